--- a/bench/admission.ts
+++ b/bench/admission.ts
@@ -4,11 +4,11 @@
 
 import * as runtime from "../src/runtime/mod.ts";
 import * as backlog from "../src/admission/backlog.ts";
-import * as estimate from "../src/admission/estimate.ts";
+import * as estimate from "../src/admission/stage_time_estimator.ts";
 import * as fairQueue from "../src/admission/fair_queue.ts";
-import * as gate from "../src/admission/gate.ts";
-import type * as lane from "../src/admission/lane.ts";
-import * as naiveEstimate from "../src/admission/naive_estimate.ts";
+import * as gate from "../src/admission/deadline_admission.ts";
+import type * as lane from "../src/admission/flow_queue.ts";
+import * as naiveEstimate from "../src/admission/naive_stage_time_estimator.ts";
 import * as naiveQueue from "../src/admission/naive_fair_queue.ts";
 import type * as result from "./result.ts";
 
@@ -80,12 +80,12 @@
 function fillGate(size: number) {
   const random = runtime.createRandom(size);
   const promised = backlog.Backlog.create();
-  const times = estimate.Estimate.create();
+  const times = estimate.StageTimeEstimator.create();
   const services = ["encode", "retrieve", "rerank", "generate"];
   for (const service of services) promised.setSlots(service, size);
   const basis = { estimate: times, backlog: promised, random };
-  const door = gate.Gate.create(basis);
-  const ask = (i: number): gate.Ask => ({
+  const door = gate.DeadlineAdmission.create(basis);
+  const ask = (i: number): gate.AdmissionRequest => ({
     id: `r${i}`,
     account: `account-${random.below(ACCOUNTS)}`,
     kind: `kind-${random.below(KINDS)}`,
@@ -100,8 +100,8 @@
 
 function timeEstimate(): result.Result[] {
   const random = runtime.createRandom(1);
-  const times = estimate.Estimate.create();
-  const naive = new naiveEstimate.NaiveEstimate();
+  const times = estimate.StageTimeEstimator.create();
+  const naive = new naiveEstimate.NaiveStageTimeEstimator();
   for (let i = 0; i < 1000; i++) {
     naive.observe(random.below(5000), random.below(1000));
   }
--- a/bench/capacity/hosts.ts
+++ b/bench/capacity/hosts.ts
@@ -90,7 +90,7 @@
     const id = `engine-${pos}`;
     this.#announced.delete(id);
     this.fake.call(this.#hostOf(), (host, now) => {
-      return host.registry({ type: "depart", id }, now);
+      return host.stepRegistry({ type: "depart", id }, now);
     });
   }
 
--- a/bench/capacity/matters_members.ts
+++ b/bench/capacity/matters_members.ts
@@ -50,7 +50,7 @@
   const start = fake.clock.now();
   fake.crash(lost);
   const knows = (host: fakeHost.FakeHost) =>
-    !host.view.live.some(({ id }) => id === lost);
+    !host.membership.live.some(({ id }) => id === lost);
   while (!fake.programs.every(knows)) fake.run(100);
   return (fake.clock.now() - start) / 1000;
 }
@@ -174,7 +174,9 @@
   fake.reaches = () => true;
   const start = fake.clock.now();
   const size = fake.ids.length;
-  while (fake.programs.some(({ view }) => view.live.length < size)) {
+  while (
+    fake.programs.some(({ membership: view }) => view.live.length < size)
+  ) {
     fake.run(100);
   }
   return (fake.clock.now() - start) / 1000;
--- a/bench/capacity/matters_memory.ts
+++ b/bench/capacity/matters_memory.ts
@@ -1,7 +1,7 @@
 /** Slopes of what an entry host keeps, and of its shares of limits.
  * @module */
 
-import * as estimate from "../../src/admission/estimate.ts";
+import * as estimate from "../../src/admission/stage_time_estimator.ts";
 import * as fairQueue from "../../src/admission/fair_queue.ts";
 import * as fakeFleet from "../../src/membership/fake_fleet.ts";
 import * as runtime from "../../src/runtime/mod.ts";
@@ -100,13 +100,13 @@
   const group = fixture.group(12);
   for (let family = 0; family < prompts; family++) {
     const prompt = fixture.prompt(family, family);
-    group.prefixes.send(`engine-${family % 12}`, prompt, 1);
+    group.prefixIndex.recordPrompt(`engine-${family % 12}`, prompt, 1);
   }
   return group;
 }
 
-function learn(stages: number): estimate.Estimate {
-  const times = estimate.Estimate.create();
+function learn(stages: number): estimate.StageTimeEstimator {
+  const times = estimate.StageTimeEstimator.create();
   for (let pos = 0; pos < stages; pos++) {
     const work = {
       service: `service-${pos % 24}`,
--- a/bench/capacity/matters_path.ts
+++ b/bench/capacity/matters_path.ts
@@ -152,7 +152,7 @@
         const call = fixture.call(fixture.prompt(1, 1));
         const choose = () => {
           for (let pos = 0; pos < CHOICES; pos++) {
-            routing.choice.choose(group, call, 100);
+            routing.endpointChoice.choose(group, call, 100);
           }
         };
         choose();
--- a/bench/capacity/page_test.ts
+++ b/bench/capacity/page_test.ts
@@ -20,16 +20,16 @@
 /** Loads that a choice among `size` endpoints looks at, on average. */
 function comparisons(size: number): number {
   const group = fixture.group(size);
-  const { load } = group;
+  const { predictLoad: load } = group;
   let count = 0;
-  group.load = (...args) => {
+  group.predictLoad = (...args) => {
     count++;
     return load.apply(group, args);
   };
   const choices = 200;
   for (let pos = 0; pos < choices; pos++) {
     const call = fixture.call(fixture.prompt(pos, pos));
-    routing.choice.choose(group, call, 100);
+    routing.endpointChoice.choose(group, call, 100);
   }
   return count / choices;
 }
--- a/bench/decisions/bound.ts
+++ b/bench/decisions/bound.ts
@@ -62,7 +62,7 @@
 ): Resource[] {
   const services = Object.entries(makers).flatMap(([name, maker]) => {
     const endpoints = countOf(maker.counts);
-    const { slots, batch, callTime, pieceTime, room } = maker.traits;
+    const { slots, batch, callTime, itemTime: pieceTime, room } = maker.traits;
     const amounts = (of: (stage: deployments.StageLoad) => number) =>
       needsOf(
         requests,
--- a/bench/decisions/caller.ts
+++ b/bench/decisions/caller.ts
@@ -15,7 +15,10 @@
   readonly random: runtime.Random;
   /** Sends an attempt; returns how it is left, or undefined where no host
    * takes it. */
-  reach(ask: gateway.Ask, hearer: wire.Hearer): (() => void) | undefined;
+  reach(
+    ask: gateway.IncomingRequest,
+    hearer: wire.Hearer,
+  ): (() => void) | undefined;
   onEnd(ended: accounts.Ended): void;
 }
 
@@ -89,10 +92,10 @@
       host: "host",
       target: `/${kind.name}/x`,
       headers: {},
-      patience: this.#left,
+      timeout: this.#left,
       prompt,
-      pieces,
-      pieceKey: id,
+      itemCounts: pieces,
+      itemKey: id,
       ...(this.#events > 0 && { resumeAfter: `${this.#events}` }),
     };
     const leave = this.#options.reach(ask, hearer);
--- a/bench/decisions/deployment.ts
+++ b/bench/decisions/deployment.ts
@@ -66,7 +66,7 @@
 /** Endpoints that make pieces. */
 export interface MakerTraits {
   readonly counts: Readonly<Record<string, number>>;
-  readonly traits: configurations.PieceTraits;
+  readonly traits: configurations.BatchTraits;
 }
 
 /** All that a play needs to know. */
@@ -284,7 +284,7 @@
         traits: {
           ...traits,
           callTime: traits.callTime * call,
-          pieceTime: traits.pieceTime * call,
+          itemTime: traits.itemTime * call,
           room: traits.room * room,
         },
       }]),
@@ -302,7 +302,7 @@
   counts: MakerTraits["counts"],
   [batch, callTime, pieceTime, room]: [number, number, number, number],
 ): MakerTraits {
-  const traits = { batch, callTime, pieceTime, room };
+  const traits = { batch, callTime, itemTime: pieceTime, room };
   return { counts, traits: { ...traits, slots: 1, queue: 2, keepTime: 4000 } };
 }
 
--- a/bench/decisions/host.ts
+++ b/bench/decisions/host.ts
@@ -5,8 +5,8 @@
 import type * as undici from "undici";
 import * as configurations from "../../src/configuration/mod.ts";
 import * as gateway from "../../src/gateway/mod.ts";
-import * as passages from "../../src/gateway/passage.ts";
-import * as pieces from "../../src/pieces/mod.ts";
+import * as passages from "../../src/gateway/active_request.ts";
+import * as pieces from "../../src/batching/mod.ts";
 import type * as endpoints from "../../src/endpoints/mod.ts";
 import * as quarantineFixture from "../../src/quarantine/fixture.ts";
 import * as rateLimitFixture from "../../src/rate_limits/fixture.ts";
@@ -37,7 +37,7 @@
   readonly name: string;
   readonly dataCentre: string;
   readonly #options: HostOptions;
-  readonly #pool = gateway.Pool.create();
+  readonly #pool = gateway.EndpointPool.create();
   readonly #batcher: pieces.Batcher;
   readonly #placement: gateway.Placement;
   readonly #context: gateway.Context;
@@ -51,32 +51,34 @@
     const common = { ...options, protocol, metrics: telemetry.noMetrics };
     this.#batcher = pieces.Batcher.create({
       ...common,
-      quotas: rateLimitFixture.openQuotas(),
+      quotas: rateLimitFixture.unlimitedQuotas(),
       service: (service) => catalogue.service(service),
       workers: ({ service, cell }) => this.#workers(service, cell),
-      isClosed: () => false,
-      isOpen: (id) => this.#pool.get(id)?.isOpen ?? false,
-      noteAnswer: (id) => this.#pool.get(id)?.judge("good", clock.now()),
+      isEvacuated: () => false,
+      acceptsCalls: (id) => this.#pool.get(id)?.isAccepting ?? false,
+      recordResponse: (id) =>
+        this.#pool.get(id)?.recordHealth("good", clock.now()),
     });
-    const maker = pieces.Maker.create({
+    const maker = pieces.BatcherClient.create({
       ...options,
       self: name,
       calls: this.#calls(),
       batcher: this.#batcher,
-      hosts: () => this.#fleet(),
-      basis: () => this.#basis,
-      services: () => catalogue.makers,
+      entryHosts: () => this.#fleet(),
+      dependencies: () => this.#basis,
+      services: () => catalogue.batchServices,
       workers: (service) => this.#known(service),
-      isSound: ({ id }) => this.#pool.get(id)?.isSound(clock.now()) ?? false,
+      isAvailable: ({ id }) =>
+        this.#pool.get(id)?.isHealthy(clock.now()) ?? false,
     });
     this.#placement = gateway.Placement.create({
       ...common,
       self: name,
       calls: this.#calls(),
       pool: this.#pool,
-      basis: () => this.#basis,
+      dependencies: () => this.#basis,
       hosts: () => this.#fleet(),
-      busyAt: (place) => maker.ownersAt(place),
+      busyHosts: (place) => maker.partitionOwnersIn(place),
     });
     const bounds = { ratio: 0.2, burst: 50, window: 10_000 };
     const budget = gateway.RetryBudget.create(bounds);
@@ -85,25 +87,25 @@
       pool: this.#pool,
       maker,
       placement: this.#placement,
-      quotas: rateLimitFixture.openQuotas(),
-      guard: quarantineFixture.openGuard(),
-      started: clock.now(),
-      greatestAge: 1000,
+      quotas: rateLimitFixture.unlimitedQuotas(),
+      guard: quarantineFixture.permissiveGuard(),
+      startedAt: clock.now(),
+      maxConfigurationAge: 1000,
       calibration: gateway.Calibration.create(),
-      patience: gateway.Patience.create(),
-      inputHold: gateway.InputHold.create(),
-      loadGossip: gateway.LoadGossip.create({
+      priorWait: gateway.PriorWait.create(),
+      inputRetention: gateway.InputRetention.create(),
+      loadUpdates: gateway.LoadUpdates.create({
         clock,
-        tell: (uses) => this.#placement.tell(uses),
+        send: (uses) => this.#placement.sendLoad(uses),
       }),
-      knowledge: {
+      fleetView: {
         catalogue: () => catalogue,
-        age: () => 0,
-        hosts: () => options.hosts().length,
+        configurationAge: () => 0,
+        hostCount: () => options.hosts().length,
       },
-      budget: () => budget,
+      retryBudget: () => budget,
       isDraining: () => false,
-      isEnding: () => false,
+      isStopping: () => false,
     };
     this.follow();
   }
@@ -119,10 +121,10 @@
   }
 
   /** Takes a request. */
-  serve(ask: gateway.Ask, response: wire.Response): void {
-    passages.Passage.start(this.#context, {
+  serve(ask: gateway.IncomingRequest, response: wire.Response): void {
+    passages.ActiveRequest.start(this.#context, {
       request: wire.request(ask),
-      response: response as unknown as passages.Pair["response"],
+      response: response as unknown as passages.HttpExchange["response"],
     });
   }
 
@@ -138,17 +140,17 @@
   }
 
   #known(service: string): pieces.Worker[] {
-    return this.#pool.of(service).map(({ identity }) => identity);
+    return this.#pool.endpointsOf(service).map(({ identity }) => identity);
   }
 
   #workers(service: string, cell: string): pieces.Worker[] {
     const now = this.#options.clock.now();
-    const members = pieces.cells.workersOf(cell, this.#known(service))
+    const members = pieces.partitions.workersOf(cell, this.#known(service))
       .flatMap(({ id }) => this.#pool.get(id) ?? []);
     return gateway.usableOf(members, now).map(({ identity }) => identity);
   }
 
-  #calls(): pieces.MakerOptions["calls"] {
+  #calls(): pieces.BatcherClientOptions["calls"] {
     const { clock, hosts } = this.#options;
     const self = this.name;
     const find = (name: string) => hosts().find((host) => host.name === name);
@@ -181,20 +183,20 @@
       return this.#placement.answer(question, from);
     }
     if (question.type === "make") {
-      return { type: "made", results: await this.#batcher.make(question) };
+      return { type: "made", results: await this.#batcher.compute(question) };
     }
     if (question.type !== "book") return { type: "failed", reason: "unknown" };
-    return { type: "booked", ...this.#batcher.book(question) };
+    return { type: "booked", ...this.#batcher.reserve(question) };
   }
 
   #hear(notice: schema.Notice, from: string): void {
     if (notice.type === "release") {
       this.#batcher.release(notice, notice.handles);
     } else if (notice.type === "drop") {
-      this.#batcher.drop(notice, notice.request);
+      this.#batcher.cancel(notice, notice.request);
     } else if (notice.type === "use") {
       const now = this.#options.clock.now();
-      this.#pool.noteUse(from, notice.uses, now);
+      this.#pool.recordRemoteLoad(from, notice.uses, now);
     }
   }
 }
--- a/bench/decisions/maker_endpoint.ts
+++ b/bench/decisions/maker_endpoint.ts
@@ -30,13 +30,13 @@
 interface Call {
   readonly items: readonly Item[];
   readonly arrived: number;
-  resolve(results: gateway.PieceResult[]): void;
+  resolve(results: gateway.ItemResult[]): void;
 }
 
 /** One endpoint; changed in place. */
 export class MakerEndpoint {
   readonly #address: string;
-  readonly #traits: configurations.PieceTraits;
+  readonly #traits: configurations.BatchTraits;
   readonly #world: Surroundings;
   readonly #held = new Map<string, number>();
   #queue: Call[] = [];
@@ -52,7 +52,7 @@
 
   constructor(
     address: string,
-    traits: configurations.PieceTraits,
+    traits: configurations.BatchTraits,
     world: Surroundings,
   ) {
     this.#address = address;
@@ -61,7 +61,7 @@
   }
 
   /** Results of a call in order; undefined where it is full. */
-  call(items: readonly Item[]): Promise<gateway.PieceResult[]> | undefined {
+  call(items: readonly Item[]): Promise<gateway.ItemResult[]> | undefined {
     if (this.#queue.length >= this.#traits.queue) return undefined;
     return new Promise((resolve) => {
       const arrived = this.#world.clock.now();
@@ -89,7 +89,7 @@
     if (call === undefined) return;
     this.#isBusy = true;
     const results = call.items.map((item) => this.#begin(item, call));
-    const { callTime, pieceTime, keepTime } = this.#traits;
+    const { callTime, itemTime: pieceTime, keepTime } = this.#traits;
     const { clock, random } = this.#world;
     const made = call.items.filter((_, pos) => results[pos].type === "made");
     const effort = made.reduce((sum, each) => sum + each.effort, 0);
@@ -109,7 +109,7 @@
     });
   }
 
-  #begin(item: Item, { arrived }: Call): gateway.PieceResult {
+  #begin(item: Item, { arrived }: Call): gateway.ItemResult {
     const { clock, random, isHeld } = this.#world;
     if (clock.now() - arrived > item.remaining) {
       return { type: "failed", failure: "late" };
--- a/bench/decisions/wire.ts
+++ b/bench/decisions/wire.ts
@@ -7,7 +7,7 @@
 import type * as gateway from "../../src/gateway/mod.ts";
 
 /** A request without a body, as the gateway reads it. */
-export function request(ask: gateway.Ask): http.IncomingMessage {
+export function request(ask: gateway.IncomingRequest): http.IncomingMessage {
   const once = (name: string, hear: () => void) => {
     if (name === "end") queueMicrotask(hear);
   };
@@ -117,18 +117,18 @@
 
 /** The protocol of these calls. */
 export const protocol: gateway.GatewayProtocol = {
-  readAsk: (sent) => ({
+  decodeRequest: (sent) => ({
     type: "ask",
-    ask: (sent as unknown as { ask: gateway.Ask }).ask,
+    request: (sent as unknown as { ask: gateway.IncomingRequest }).ask,
   }),
-  isReadinessCall: () => false,
+  isReadinessProbe: () => false,
   callHeaders: ({ id }, { inputs, urgency, fetchFrom }) => ({
     attempt: id,
     urgency: `${urgency}`,
     ...(inputs !== undefined && { inputs: inputs.join(",") }),
     ...(fetchFrom !== undefined && { source: fetchFrom }),
   }),
-  readReply: (status, headers) => ({
+  decodeReply: (status, headers) => ({
     status,
     attempt: headers.attempt as string | undefined,
     signature: headers.attempt as string | undefined,
@@ -137,20 +137,20 @@
     lacksInput: headers["lacks-input"] !== undefined,
     headers: {},
   }),
-  pieceCall: (_, orders) => ({
+  batchCall: (_, orders) => ({
     method: "POST",
     path: "/make",
     headers: { call: "make" },
     body: JSON.stringify(orders),
   }),
-  readPieces: (body) => JSON.parse(body.toString()),
+  decodeItemResults: (body) => JSON.parse(body.toString()),
   releaseCall: (handles) => ({
     method: "POST",
     path: "/release",
     headers: { call: "release" },
     body: JSON.stringify(handles),
   }),
-  makerOf: (handle) => handle.slice(0, handle.indexOf("/")),
+  holderOf: (handle) => handle.slice(0, handle.indexOf("/")),
 };
 
 function statusOf(headers: Record<string, string>): number {
--- a/bench/decisions/world.ts
+++ b/bench/decisions/world.ts
@@ -247,15 +247,15 @@
   }
 
   /** The key of the account that a caller belongs to. */
-  #keyOf({ caller }: loads.Request): { key?: string } {
+  #keyOf({ caller }: loads.Request): { apiKey?: string } {
     const { accounts = [] } = this.#play.deployment;
-    return { key: accounts[Math.floor(caller * accounts.length)]?.keys[0] };
+    return { apiKey: accounts[Math.floor(caller * accounts.length)]?.keys[0] };
   }
 
   /** Brings an attempt to a host; returns what the caller leaves with. */
   #reach(
     request: loads.Request,
-    { ask, hearer }: { ask: gateway.Ask; hearer: wire.Hearer },
+    { ask, hearer }: { ask: gateway.IncomingRequest; hearer: wire.Hearer },
   ): (() => void) | undefined {
     if (this.#hosts.length === 0) return undefined;
     const chosen = this.#random.below(this.#hosts.length);
@@ -312,7 +312,7 @@
   }
 
   #make({ address, body }: wire.Sent, reply: wire.Reply): void {
-    const orders: gateway.PieceOrder[] = JSON.parse(body);
+    const orders: gateway.ItemRequest[] = JSON.parse(body);
     const items = orders.map(({ request, stage, inputs, remaining }) => {
       const { bytes, effort } = this.#requests.get(request)!.kind.stages[stage];
       inputs?.forEach((input) => this.#fetch(input, address));
@@ -401,12 +401,12 @@
   }
 
   #isHeld(handle: string): boolean {
-    return this.#makers.get(wire.protocol.makerOf(handle))!.holds(handle);
+    return this.#makers.get(wire.protocol.holderOf(handle))!.holds(handle);
   }
 
   /** Notes a result on its way to where it is worked on. */
   #fetch(handle: string, address: string): void {
-    const maker = this.#places.get(wire.protocol.makerOf(handle))!;
+    const maker = this.#places.get(wire.protocol.holderOf(handle))!;
     const reader = this.#places.get(address)!;
     if (maker.dataCentre === reader.dataCentre) return;
     this.#costs.crossed += this.#makers.get(maker.address)!.bytesOf(handle);
@@ -447,7 +447,7 @@
       ...Object.entries(makers).map(([name, { traits: pieces }]) => ({
         name,
         connections: 370,
-        pieces,
+        batching: pieces,
       })),
     ],
     accounts,
--- a/bench/fuzz_world/network.ts
+++ b/bench/fuzz_world/network.ts
@@ -50,7 +50,7 @@
   }
 
   /** Calls as one life of a host makes them. */
-  callsOf(self: string): Pick<peers.Calls, "ask" | "cast"> {
+  callsOf(self: string): Pick<peers.Rpc, "ask" | "cast"> {
     const own = () => this.#receivers.get(self);
     return {
       cast: (to, notice) => {
--- a/bench/members/fleet.ts
+++ b/bench/members/fleet.ts
@@ -59,7 +59,10 @@
   /** A host leaves, and comes back two seconds later. */
   restartHost(number: number): void {
     const id = `h${number}`;
-    this.hosts.call(id, (host, now) => host.member({ type: "leave" }, now));
+    this.hosts.call(
+      id,
+      (host, now) => host.stepMembership({ type: "leave" }, now),
+    );
     this.hosts.crash(id);
     this.hosts.clock.after(2000, () => this.startHost(number));
   }
@@ -76,7 +79,7 @@
     const incarnation = this.#endpoints.get(id);
     this.#endpoints.delete(id);
     this.hosts.call(this.#near(number), (host, now) => {
-      return host.registry({ type: "depart", id, incarnation }, now);
+      return host.stepRegistry({ type: "depart", id, incarnation }, now);
     });
   }
 
@@ -101,8 +104,8 @@
 
   /** Whether a host knows of exactly what runs. */
   agrees(host: fakeHost.FakeHost): boolean {
-    return host.view.live.length === this.hosts.ids.length &&
-      host.endpoints.serving.length === this.#endpoints.size;
+    return host.membership.live.length === this.hosts.ids.length &&
+      host.registry.serving.length === this.#endpoints.size;
   }
 
   /** Measures the traffic of `seconds`. */
--- a/bench/members_fuzz/endpoints.ts
+++ b/bench/members_fuzz/endpoints.ts
@@ -65,7 +65,7 @@
     this.kill(id);
     const { incarnation } = announcement;
     this.#send(announcement, (host, now) => {
-      return host.registry({ type: "depart", id, incarnation }, now);
+      return host.stepRegistry({ type: "depart", id, incarnation }, now);
     });
   }
 
@@ -98,7 +98,10 @@
   /** Reaches a host of its data centre, or another when there is none. */
   #send(
     { dataCentre }: announcements.Announcement,
-    action: (host: fakeHost.FakeHost, now: number) => fakeFleet.Outgoing[],
+    action: (
+      host: fakeHost.FakeHost,
+      now: number,
+    ) => fakeFleet.OutgoingMessage[],
   ): void {
     const { ids } = this.#fleet;
     const near = ids.filter((id) => {
--- a/bench/members_fuzz/views.ts
+++ b/bench/members_fuzz/views.ts
@@ -76,12 +76,12 @@
   checkAgreement(): void {
     const hosts = [...this.fleet.ids].sort().join();
     for (const host of this.fleet.programs) {
-      const live = host.view.live.map(({ id }) => id).join();
+      const live = host.membership.live.map(({ id }) => id).join();
       violations.ensure(
         live === hosts,
         `${host.id} has hosts ${live}, running are ${hosts}`,
       );
-      const known = host.endpoints.serving
+      const known = host.registry.serving
         .map(({ id, declared, phase }) => `${id}:${declared}:${phase}`)
         .sort()
         .join();
@@ -151,7 +151,10 @@
     restart: () => this.#start(Number(this.#host().slice(1))),
     leave: () => {
       const id = this.#host();
-      this.fleet.call(id, (host, now) => host.member({ type: "leave" }, now));
+      this.fleet.call(
+        id,
+        (host, now) => host.stepMembership({ type: "leave" }, now),
+      );
       this.fleet.crash(id);
     },
     pause: () => this.fleet.pause(this.#host()),
--- a/bench/peers.ts
+++ b/bench/peers.ts
@@ -8,7 +8,7 @@
 import * as table from "../src/control/table/mod.ts";
 import * as watch from "../src/control/watch/mod.ts";
 import * as peers from "../src/peers/mod.ts";
-import * as relays from "../src/peers/relay.ts";
+import * as relays from "../src/peers/tcp_proxy.ts";
 import type * as result from "./result.ts";
 
 const SECOND = 1000;
@@ -41,7 +41,7 @@
 export class Pair {
   readonly clock = new runtime.FakeClock();
   readonly hosts = new Map<string, peers.Peers>();
-  readonly relays: relays.Relay[] = [];
+  readonly relays: relays.TcpProxy[] = [];
   received = 0;
   #arrived = () => {};
   #table = table.Table.create();
@@ -51,7 +51,9 @@
   static async create(): Promise<Pair> {
     const pair = new Pair();
     for (const id of ["p", "w"]) {
-      const relay = await relays.Relay.create(() => pair.hosts.get(id)!.port);
+      const relay = await relays.TcpProxy.create(() =>
+        pair.hosts.get(id)!.port
+      );
       pair.relays.push(relay);
     }
     for (const id of ["p", "w"]) await pair.#start(id);
--- a/bench/quarantine_fuzz/schedule.ts
+++ b/bench/quarantine_fuzz/schedule.ts
@@ -43,7 +43,7 @@
 
 /** Draws a schedule. */
 export function draw(seed: number, entries?: number): Schedule {
-  const random = runtime.createSpreadRandom(seed);
+  const random = runtime.createMixedRandom(seed);
   const between = (least: number, most: number) =>
     least + Math.floor(random.next() * (most - least + 1));
   return {
--- a/bench/quarantine_fuzz/world.ts
+++ b/bench/quarantine_fuzz/world.ts
@@ -130,7 +130,7 @@
     this.#options = options;
     const { seed, entries } = options;
     this.#schedule = schedules.draw(seed, entries);
-    this.#random = runtime.createSpreadRandom(seed + 1_000_003);
+    this.#random = runtime.createMixedRandom(seed + 1_000_003);
     this.#network = new networks.Network(this.#clock, this.#random);
     this.#endpoints = Array.from(
       { length: this.#schedule.endpoints },
@@ -173,7 +173,7 @@
         this.#cores.filter((each) => each !== core && each.coordinator)
           .map(({ name }) => name),
       followers: () => [...core.followers.keys()],
-      heardAt: (key) =>
+      lastHeartbeatAt: (key) =>
         this.#options.breakage === "believes-breaks"
           ? undefined
           : this.#endpoints.find((each) => each.key === key)?.heardAt,
@@ -182,14 +182,14 @@
     this.#network.join(core.name, {
       answer: (question, from) => this.#answer(core, { question, from }),
       hear: (notice, from) => {
-        if (notice.type === "suspects") coordinator.take(notice.suspects);
+        if (notice.type === "suspects") coordinator.merge(notice.suspects);
         else if (notice.type === "lease-over") {
-          coordinator.end(notice.fingerprint, from);
+          coordinator.endLease(notice.fingerprint, from);
         }
       },
     });
     this.#cores.forEach((other) => {
-      if (other !== core) other.coordinator?.tellAll(core.name);
+      if (other !== core) other.coordinator?.sendAll(core.name);
     });
     const tick = () => {
       if (core.epoch !== life || core.coordinator === undefined) return;
@@ -206,11 +206,13 @@
     { coordinator }: Core,
     { question, from }: { question: schema.Question; from: string },
   ): schema.Reply {
-    if (question.type === "lease") return coordinator!.allow(question, from);
+    if (question.type === "lease") {
+      return coordinator!.requestLease(question, from);
+    }
     if (question.type !== "suspects") {
       return { type: "failed", reason: "not-served" };
     }
-    coordinator!.take(question.suspects);
+    coordinator!.merge(question.suspects);
     return { type: "noted" };
   }
 
@@ -246,7 +248,7 @@
     this.#network.join(entry.name, {
       answer: () => ({ type: "failed", reason: "not-served" }),
       hear: (notice) => {
-        if (notice.type === "suspects") guard.take(notice.suspects);
+        if (notice.type === "suspects") guard.merge(notice.suspects);
       },
     });
     this.#sync(entry);
@@ -269,12 +271,12 @@
     }
     const source = entry.source!;
     source.followers.set(entry.name, this.#clock.now());
-    const { suspectRevision, suspects } = source.coordinator!.since(
+    const { suspectRevision, suspects } = source.coordinator!.changesSince(
       entry.revision,
     );
     entry.revision = suspectRevision;
-    guard.take(suspects);
-    if (!isKept) void guard.tellAll(source.name);
+    guard.merge(suspects);
+    if (!isKept) void guard.sendAll(source.name);
   }
 
   #beat(endpoint: endpoints.Endpoint): void {
@@ -289,7 +291,9 @@
     for (let at = from; at < schedules.LENGTH; at += pause) {
       this.#clock.after(at, () => {
         const ended = this.#crashes.get(fingerprint)!.length;
-        if (this.#options.isIdeal && ended >= quarantine.QUARANTINED) return;
+        if (
+          this.#options.isIdeal && ended >= quarantine.QUARANTINE_CRASH_COUNT
+        ) return;
         void this.#serve({ fingerprint, poison });
       });
     }
@@ -350,12 +354,12 @@
       const end = await this.#run(request, { entry, endpoint });
       if (end === "broken") {
         if (this.#options.breakage !== "remembers-nothing") {
-          guard.noteCrash(fingerprint, key);
+          guard.recordCrash(fingerprint, key);
         }
-      } else if (end === "unreachable") guard.noteEnd(fingerprint);
+      } else if (end === "unreachable") guard.endRun(fingerprint);
       else {
         if (this.#options.breakage !== "forgets-answers") {
-          guard.noteAnswer(fingerprint);
+          guard.recordSuccess(fingerprint);
         }
         return "served";
       }
--- a/bench/rate_limit_fuzz/cold.ts
+++ b/bench/rate_limit_fuzz/cold.ts
@@ -72,7 +72,7 @@
 
   constructor(options: Options) {
     this.#options = options;
-    const random = runtime.createSpreadRandom(options.seed);
+    const random = runtime.createMixedRandom(options.seed);
     this.#random = random;
     this.#network = new networks.Network(this.#clock, random);
     this.#borne = 1 + random.next() * 9;
@@ -131,12 +131,12 @@
   #startCore(name: string): void {
     const server = rateLimits.QuotaServer.create({
       ...this.#common(name),
-      others: () => [],
+      recipients: () => [],
     });
     this.#network.join(name, {
       answer: (question) =>
         question.type === "warmup"
-          ? server.allowCold(question)
+          ? server.requestCold(question)
           : { type: "failed", reason: "not-served" },
       hear() {},
     });
@@ -147,7 +147,7 @@
     entry.client = rateLimits.QuotaClient.create({
       ...this.#common(entry.name),
       cores: () => this.#cores,
-      hosts: () => this.#entries.length,
+      entryHostCount: () => this.#entries.length,
       coldRate: (id) => this.#coldRate(entry, id),
     });
     this.#network.join(entry.name, {
@@ -168,7 +168,7 @@
   #sync(entry: Entry): void {
     if (!this.#network.isCut(entry.name)) {
       entry.knownAt = this.#clock.now();
-      entry.client.follow([]);
+      entry.client.mergeLimits([]);
     }
     this.#clock.after(SYNC, () => this.#sync(entry));
   }
@@ -203,12 +203,12 @@
     const { client } = entry;
     const avoided: string[] = [];
     while (avoided.length < this.#endpoints.length) {
-      const withheld = new Set([...client.withheld, ...avoided]);
+      const withheld = new Set([...client.blockedEndpoints, ...avoided]);
       const free = this.#endpoints.filter(({ id }) => !withheld.has(id));
       if (free.length === 0) break;
       const endpoint = this.#pick(entry, free);
       const isAsked = this.#options.breakage !== "asks-nobody";
-      const wait = isAsked ? await client.take(endpoint.id) : 0;
+      const wait = isAsked ? await client.acquire(endpoint.id) : 0;
       if (wait === 0) return this.#call(entry, endpoint);
       avoided.push(endpoint.id);
     }
--- a/bench/rate_limit_fuzz/mod.ts
+++ b/bench/rate_limit_fuzz/mod.ts
@@ -82,7 +82,7 @@
 
   constructor(options: Options) {
     this.#options = options;
-    const random = runtime.createSpreadRandom(options.seed);
+    const random = runtime.createMixedRandom(options.seed);
     this.#random = random;
     this.#network = new networks.Network(this.#clock, random);
     const entries = options.entries ?? ENTRIES[random.below(ENTRIES.length)];
@@ -149,7 +149,7 @@
   #startCore(core: Core): void {
     const server = rateLimits.QuotaServer.create({
       ...this.#common(core.name),
-      others: () => [
+      recipients: () => [
         ...this.#cores.filter((each) => each !== core).map(({ name }) => name),
         ...this.#entries.filter(({ source }) => source === core)
           .map(({ name }) => name),
@@ -159,17 +159,19 @@
     this.#network.join(core.name, {
       answer: (question) =>
         question.type === "quota"
-          ? server.allow(question)
+          ? server.request(question)
           : { type: "failed", reason: "not-served" },
       hear: (notice) => {
-        if (notice.type === "limits") server.take(notice.limits);
-        else if (notice.type === "hello") server.take(notice.limits ?? []);
+        if (notice.type === "limits") server.mergeLimits(notice.limits);
+        else if (notice.type === "hello") {
+          server.mergeLimits(notice.limits ?? []);
+        }
       },
     });
   }
 
   #greet(core: Core): void {
-    const limits = core.server.told;
+    const limits = core.server.limits;
     core.server.tick();
     const calls = this.#network.callsOf(core.name);
     const hello = {
@@ -191,13 +193,13 @@
     entry.client = rateLimits.QuotaClient.create({
       ...this.#common(entry.name),
       cores: () => this.#cores.map(({ name }) => name),
-      hosts: () => this.#entries.length,
+      entryHostCount: () => this.#entries.length,
       coldRate: () => undefined,
     });
     this.#network.join(entry.name, {
       answer: (): schema.Reply => ({ type: "failed", reason: "not-served" }),
       hear: (notice) => {
-        if (notice.type === "limits") entry.client.follow(notice.limits);
+        if (notice.type === "limits") entry.client.mergeLimits(notice.limits);
       },
     });
   }
@@ -209,7 +211,7 @@
     );
     if (!isCut) {
       entry.source = core;
-      entry.client.follow(core.server.told);
+      entry.client.mergeLimits(core.server.limits);
     }
     this.#clock.after(SYNC, () => this.#sync(entry));
   }
@@ -239,13 +241,13 @@
     const { client } = entry;
     const avoided: string[] = [];
     while (avoided.length < this.#endpoints.length) {
-      const withheld = new Set([...client.withheld, ...avoided]);
+      const withheld = new Set([...client.blockedEndpoints, ...avoided]);
       const free = this.#endpoints.filter(({ id }) => !withheld.has(id));
       if (free.length === 0) break;
-      const endpoint = free.find(({ id }) => client.isDue(id)) ??
+      const endpoint = free.find(({ id }) => client.needsProbe(id)) ??
         free[this.#random.below(free.length)];
       const isAsked = this.#options.breakage !== "asks-nobody";
-      const wait = isAsked ? await client.take(endpoint.id) : 0;
+      const wait = isAsked ? await client.acquire(endpoint.id) : 0;
       if (wait === 0) return this.#call(entry, endpoint);
       avoided.push(endpoint.id);
     }
@@ -264,7 +266,7 @@
       if (limit !== undefined && !entry.heard.has(endpoint.id)) {
         entry.heard.set(endpoint.id, this.#clock.now());
       }
-      if (entry.client === client) client.note(endpoint.id, limit);
+      if (entry.client === client) client.recordLimit(endpoint.id, limit);
     });
   }
 
--- a/bench/roster_fuzz/mod.ts
+++ b/bench/roster_fuzz/mod.ts
@@ -22,11 +22,11 @@
 const MOST_WORDS = 24;
 /** Milliseconds over which words are heard: less than a roster's memory. */
 const SPAN = 20_000;
-const TIMES = { silence: 4000, memory: 60_000 };
+const TIMES = { silenceTimeoutMs: 4000, retentionMs: 60_000 };
 
 /** Runs one schedule; throws a `Violation`. */
 export function runSchedule({ seed, breakage }: Options): void {
-  const random = runtime.createSpreadRandom(seed);
+  const random = runtime.createMixedRandom(seed);
   // Endpoints of one kind all say when they were born, or never.
   const tellsBirth = random.next() < 0.8;
   const words = Array.from(
@@ -52,7 +52,7 @@
       for (const to of shuffle(random, rosters)) {
         const told = shuffle(random, [...from.entries]);
         for (const sighting of told) {
-          hear(to, { sighting, heard: sighting.heard }, breakage);
+          hear(to, { status: sighting, heardAt: sighting.heardAt }, breakage);
         }
       }
     }
@@ -63,13 +63,13 @@
 function draw(
   random: runtime.Random,
   tellsBirth: boolean,
-): endpoints.Report {
+): endpoints.StatusReport {
   const state = (["ready", "ready", "ready", "draining", "gone"] as const)[
     random.below(5)
   ];
   const isCounted = state !== "gone" || random.next() < 0.5;
   const incarnation = random.below(4);
-  const sighting: endpoints.Sighting = {
+  const sighting: endpoints.EndpointStatus = {
     id: IDS[random.below(IDS.length)],
     ...(tellsBirth && { born: 1000 * (1 + incarnation) }),
     service: random.next() < 0.9 ? "desk" : "map",
@@ -80,28 +80,28 @@
     state,
     sequence: isCounted ? random.below(6) : -1,
   };
-  return { sighting, heard: random.next() * SPAN };
+  return { status: sighting, heardAt: random.next() * SPAN };
 }
 
 function hear(
   roster: endpoints.Roster,
-  word: endpoints.Report,
+  word: endpoints.StatusReport,
   breakage: Options["breakage"],
 ): void {
-  const { id } = word.sighting;
+  const { id } = word.status;
   if (breakage === "gone-is-final" && roster.get(id)?.state === "gone") return;
-  roster.take(word);
+  roster.merge(word);
 }
 
 function check(
   rosters: readonly endpoints.Roster[],
-  words: readonly endpoints.Report[],
+  words: readonly endpoints.StatusReport[],
 ): void {
   const [first, ...others] = rosters.map(textOf);
   for (const other of others) {
     if (other !== first) throw new Violation(`${first}\nis not\n${other}`);
   }
-  for (const id of new Set(words.map(({ sighting }) => sighting.id))) {
+  for (const id of new Set(words.map(({ status: sighting }) => sighting.id))) {
     const held = rosters[0].get(id);
     const expected = expectedOf(words, id);
     if (held?.born === expected.born && held?.state === expected.state) {
@@ -116,10 +116,10 @@
 
 /** What words about an endpoint come to, whoever heard them when. */
 function expectedOf(
-  words: readonly endpoints.Report[],
+  words: readonly endpoints.StatusReport[],
   id: string,
-): Pick<endpoints.Sighting, "born" | "state"> {
-  const own = words.map(({ sighting }) => sighting)
+): Pick<endpoints.EndpointStatus, "born" | "state"> {
+  const own = words.map(({ status: sighting }) => sighting)
     .filter((sighting) => sighting.id === id);
   const born = own.reduce<number | undefined>(
     (latest, { born }) =>
--- a/bench/routing/coverage.ts
+++ b/bench/routing/coverage.ts
@@ -44,7 +44,7 @@
   return { name: `subset/${name}`, unit: "count", value, kind: "count" };
 }
 
-function places(name: string, size: number): routing.subset.Place[] {
+function places(name: string, size: number): routing.subset.Location[] {
   return Array.from({ length: size }, (_, pos) => ({
     id: `${name}-${pos}`,
     dataCentre: `dc-${pos % DATA_CENTRES}`,
@@ -52,14 +52,14 @@
 }
 
 function subsets(
-  hosts: readonly routing.subset.Place[],
-  endpoints: readonly routing.subset.Place[],
+  hosts: readonly routing.subset.Location[],
+  endpoints: readonly routing.subset.Location[],
 ): Subsets {
-  const fleet = routing.subset.Fleet.create(hosts);
+  const fleet = routing.subset.SubsetSelector.create(hosts);
   return new Map(hosts.map(({ id }) => [id, fleet.select(id, endpoints)]));
 }
 
-function extreme(all: Subsets, endpoints: readonly routing.subset.Place[]) {
+function extreme(all: Subsets, endpoints: readonly routing.subset.Location[]) {
   const hosts = new Map(endpoints.map(({ id }) => [id, 0]));
   for (const chosen of all.values()) {
     for (const id of chosen) hosts.set(id, (hosts.get(id) ?? 0) + 1);
--- a/bench/routing/decision.ts
+++ b/bench/routing/decision.ts
@@ -102,7 +102,7 @@
     (_, pos) => fixture.call(fixture.prompt(pos, pos)),
   );
   const choose = (pos: number) =>
-    routing.choice.choose(group, calls[pos % calls.length], 100);
+    routing.endpointChoice.choose(group, calls[pos % calls.length], 100);
   const times = time(choose, CHOICES);
   const scans = time(() => fixture.scan(group, calls[0], 100), SCANS);
   return {
@@ -118,13 +118,16 @@
 }
 
 /** Lets a group believe in cached prompts; returns the bytes of a block. */
-function believe(group: routing.group.Group, size: number): number {
+function believe(
+  group: routing.endpointGroup.EndpointGroup,
+  size: number,
+): number {
   const before = heap();
   for (let family = 0; family < FAMILIES; family++) {
     const id = `engine-${family % size}`;
-    group.prefixes.send(id, fixture.prompt(family, 0), 1);
+    group.prefixIndex.recordPrompt(id, fixture.prompt(family, 0), 1);
   }
-  return (heap() - before) / group.prefixes.size;
+  return (heap() - before) / group.prefixIndex.size;
 }
 
 function time(run: (pos: number) => unknown, runs: number): hdr.Histogram {
--- a/bench/routing/fixture.ts
+++ b/bench/routing/fixture.ts
@@ -34,7 +34,7 @@
 }
 
 /** A call with a prompt. */
-export function call(prefix: readonly string[]): routing.choice.Call {
+export function call(prefix: readonly string[]): routing.endpointChoice.Call {
   return {
     work: 1000,
     prefill: 400,
@@ -47,24 +47,27 @@
 
 /** A group of `size` engines with 70% of their slots in use, a third of that
  * by this host. */
-export function group(size: number): routing.group.Group {
+export function group(size: number): routing.endpointGroup.EndpointGroup {
   const random = runtime.createRandom(size);
-  const one = routing.group.Group.create({ dataCentre: "here", random });
-  for (let pos = 0; pos < size; pos++) one.put(endpoint(pos));
+  const one = routing.endpointGroup.EndpointGroup.create({
+    dataCentre: "here",
+    random,
+  });
+  for (let pos = 0; pos < size; pos++) one.upsert(endpoint(pos));
   for (const id of one.ids()) {
     const running = Math.floor(0.35 * SLOTS + random.below(5));
-    one.report(id, { running, waiting: 0, kvUsed: 0.5, at: 0 }, 0);
+    one.reportLoad(id, { running, waiting: 0, kvUsed: 0.5, at: 0 }, 0);
     const own = random.below(4);
-    for (let count = 0; count < own; count++) one.send(id, [], 1);
-    one.ejection.observe(id, { ok: true, slowness: 1 }, 1);
+    for (let count = 0; count < own; count++) one.startCall(id, [], 1);
+    one.outliers.observe(id, { ok: true, slowness: 1 }, 1);
   }
   return one;
 }
 
 /** The naive twin: weighs every endpoint. */
 export function scan(
-  from: routing.group.Group,
-  wanted: routing.choice.Call,
+  from: routing.endpointGroup.EndpointGroup,
+  wanted: routing.endpointChoice.Call,
   now: number,
 ): string | undefined {
   let best: string | undefined;
@@ -72,16 +75,16 @@
   for (const id of from.ids()) {
     const member = from.member(id);
     if (member === undefined || member.pool === undefined) continue;
-    if (!from.settle(member, now)) continue;
-    if (from.ejection.weight(id, now) === 0) continue;
-    const finish = routing.finish.predict({
+    if (!from.updateAvailability(member, now)) continue;
+    if (from.outliers.weight(id, now) === 0) continue;
+    const finish = routing.finishTime.predict({
       latency: member.pool.latency,
       work: wanted.work,
       saved: 0,
-      load: from.load(member, now),
+      load: from.predictLoad(member, now),
       slots: member.endpoint.slots,
-      service: from.service || wanted.work,
-      slowness: from.ejection.slowness(id),
+      service: from.meanServiceTime || wanted.work,
+      slowness: from.outliers.slowness(id),
       kvUsed: member.kvUsed,
     });
     if (finish < least) {
--- a/bench/routing/fleet.ts
+++ b/bench/routing/fleet.ts
@@ -11,7 +11,7 @@
   name: string;
   choose(
     host: Host,
-    call: routing.choice.Call,
+    call: routing.endpointChoice.Call,
     now: number,
   ): string | undefined;
 }
@@ -39,7 +39,7 @@
 
 /** One host with what the choices know. */
 export interface Host {
-  group: routing.group.Group;
+  group: routing.endpointGroup.EndpointGroup;
   random: runtime.Random;
   turn: number;
   reported: Map<string, number>;
@@ -47,7 +47,7 @@
 }
 
 interface Waiting {
-  call: routing.choice.Call;
+  call: routing.endpointChoice.Call;
   arrived: number;
 }
 
@@ -77,7 +77,8 @@
   },
   {
     name: "least own calls",
-    choose: (host) => least(host, (id) => host.group.member(id)?.load.own ?? 0),
+    choose: (host) =>
+      least(host, (id) => host.group.member(id)?.load.ownCalls ?? 0),
   },
   {
     name: "least reported",
@@ -90,12 +91,13 @@
   {
     name: "routing without affinity",
     choose: (host, call, now) =>
-      routing.choice.choose(host.group, { ...call, prefix: [] }, now)?.endpoint,
+      routing.endpointChoice.choose(host.group, { ...call, prefix: [] }, now)
+        ?.endpoint,
   },
   {
     name: "routing",
     choose: (host, call, now) =>
-      routing.choice.choose(host.group, call, now)?.endpoint,
+      routing.endpointChoice.choose(host.group, call, now)?.endpoint,
   },
 ];
 
@@ -151,7 +153,7 @@
     });
   }
 
-  #call(): routing.choice.Call {
+  #call(): routing.endpointChoice.Call {
     // A few families of prompts make up most of the calls.
     const family = Math.floor(FAMILIES * this.#random.next() ** 2);
     const spread = -Math.log(1 - this.#random.next());
@@ -174,12 +176,15 @@
 
   #send(host: Host, to: engine.Engine, { call, arrived }: Waiting): void {
     const sent = this.#clock.now();
-    host.group.send(to.id, call.prefix, sent);
+    host.group.startCall(to.id, call.prefix, sent);
     const done = (cached: boolean) => {
       const now = this.#clock.now();
       const service = now - sent;
       const slowness = service / call.work;
-      host.group.end(to.id, { seen: { ok: true, slowness }, service }, now);
+      host.group.endCall(to.id, {
+        observation: { ok: true, slowness },
+        serviceTime: service,
+      }, now);
       if (arrived >= WARM_UP) this.#outcome.times.push(now - arrived);
       if (arrived >= WARM_UP && cached) this.#outcome.hits++;
       this.#drain(host);
@@ -195,9 +200,9 @@
       const lost = this.#random.next() < LOST;
       this.#clock.after(this.#setup.lag, () => {
         const now = this.#clock.now();
-        host.group.report(from.id, load, now);
+        host.group.reportLoad(from.id, load, now);
         host.reported.set(from.id, load.running + load.waiting);
-        if (!lost) host.group.prefixes.event(from.id, changes, now);
+        if (!lost) host.group.prefixIndex.applyEvent(from.id, changes, now);
         this.#drain(host);
       });
     }
@@ -207,9 +212,12 @@
 
 function createHost(setup: Setup, pos: number): Host {
   const random = runtime.createRandom(1000 * setup.seed + pos);
-  const group = routing.group.Group.create({ dataCentre: "here", random });
+  const group = routing.endpointGroup.EndpointGroup.create({
+    dataCentre: "here",
+    random,
+  });
   for (let count = 0; count < setup.engines; count++) {
-    group.put({ ...fixture.endpoint(count), dataCentre: "here" });
+    group.upsert({ ...fixture.endpoint(count), dataCentre: "here" });
   }
   const reported = new Map<string, number>();
   return { group, random, turn: pos, reported, waiting: [] };
--- a/bench/versions_fuzz/mod.ts
+++ b/bench/versions_fuzz/mod.ts
@@ -5,7 +5,7 @@
  * @module */
 
 import type * as versions from "../../src/control/versions/mod.ts";
-import * as fakes from "../../src/control/versions/fake_stores.ts";
+import * as fakes from "../../src/control/versions/fake_cluster.ts";
 import * as runtime from "../../src/runtime/mod.ts";
 
 /** What a schedule is made from. */
@@ -13,7 +13,7 @@
   readonly seed: number;
   /** Control hosts; 5, 9 or 15 by the seed when absent. */
   readonly hosts?: number;
-  readonly breakage?: fakes.Breakage;
+  readonly breakage?: fakes.InjectedFault;
   /** Whether all hosts also lose power, and who acknowledged an order its disk,
    * at the moment of the acknowledgement. */
   readonly powerLossAtOrders?: boolean;
@@ -64,7 +64,7 @@
 /** A fleet, what is drawn for it, and what its callers have heard. */
 class World {
   readonly #random: runtime.Random;
-  readonly #fleet: fakes.FakeStores;
+  readonly #fleet: fakes.FakeCluster;
   readonly #names: readonly string[];
   /** Identity of the disk of each host, as last seen. */
   readonly #disks = new Map<string, string>();
@@ -97,14 +97,14 @@
     this.#random = runtime.createRandom(Math.imul(seed, 2_654_435_761) >>> 0);
     const count = hosts ?? NUMBERS_OF_HOSTS[seed % NUMBERS_OF_HOSTS.length];
     this.#names = Array.from({ length: count }, (_, n) => `h${10 + n}`);
-    this.#fleet = new fakes.FakeStores(
+    this.#fleet = new fakes.FakeCluster(
       this.#names,
       this.#names.slice(0, SEEDS),
       {
         voters: VOTERS,
         seed: this.#random.below(2 ** 31),
         delay: 1 + this.#random.below(60),
-        breakage,
+        fault: breakage,
       },
     );
   }
@@ -134,10 +134,10 @@
       () => this.#kill(this.#some()),
       () => this.#kill(this.#names),
       () => this.#kill([this.#leader]),
-      () => this.#fleet.cutOff([this.#leader]),
-      () => this.#fleet.cutOff(this.#some()),
-      () => this.#fleet.cutOff([this.#pick()]),
-      () => this.#fleet.join(),
+      () => this.#fleet.isolate([this.#leader]),
+      () => this.#fleet.isolate(this.#some()),
+      () => this.#fleet.isolate([this.#pick()]),
+      () => this.#fleet.heal(),
       () => this.#loseDisk(this.#pick()),
       () => this.#loseDisk(this.#leader),
       () => this.#loseAll(),
@@ -154,11 +154,11 @@
   /** Ends all troubles; every host must answer then. */
   async calm(): Promise<void> {
     this.#onAcknowledged = () => {};
-    this.#fleet.join();
+    this.#fleet.heal();
     await this.#startMissing();
     await this.#run(CALM);
     for (const name of this.#names) await this.#mustAnswer(name);
-    const voters = this.#fleet.at(this.#leader).voters;
+    const voters = this.#fleet.storeOf(this.#leader).voters;
     if (voters.length > VOTERS) {
       throw new Violation(`${voters.length} voters: ${voters.join()}`);
     }
@@ -185,7 +185,7 @@
   #kill(names: readonly string[]): void {
     this.#noteDisks();
     const running = names.filter((name) => this.#fleet.running.includes(name));
-    this.#fleet.cut(running);
+    this.#fleet.crash(running);
     running.forEach((name) => this.#startLater(name));
   }
 
@@ -210,7 +210,7 @@
     if (!this.#mayLose(name)) return;
     this.#seen.wiped++;
     this.#kill([name]);
-    this.#fleet.wipe(name);
+    this.#fleet.wipeDisk(name);
     this.#disks.delete(name);
   }
 
@@ -234,7 +234,7 @@
 
   #noteDisks(): void {
     for (const name of this.#fleet.running) {
-      const { status } = this.#fleet.at(name);
+      const { status } = this.#fleet.storeOf(name);
       if (status !== undefined) this.#disks.set(name, status.id);
     }
   }
@@ -246,7 +246,7 @@
     // What a host that is down knows of voters is not seen.
     if (this.#fleet.running.length < this.#names.length) return false;
     return this.#fleet.running.every((host) => {
-      const { voters = [] } = this.#fleet.at(host).status ?? {};
+      const { voters = [] } = this.#fleet.storeOf(host).status ?? {};
       const left = voters.filter((id) => intact.includes(id));
       return 2 * left.length > voters.length || voters.length === 0;
     });
@@ -264,7 +264,7 @@
     const least = this.#acknowledged;
     const ordered = DATA_CENTRES.map((each) => this.#newestOrder(each));
     const at = this.#fleet.clock.now();
-    const store = this.#fleet.at(name);
+    const store = this.#fleet.storeOf(name);
     return store.read(PATIENCE).then(({ version }) => {
       this.#seen.reads++;
       this.#checkEvacuations(store.evacuations, { name, ordered });
@@ -304,8 +304,8 @@
   #evacuate(name: string): Promise<boolean> {
     const dataCentre = DATA_CENTRES[this.#random.below(DATA_CENTRES.length)];
     const active = this.#random.next() < 0.5;
-    const options = { patience: PATIENCE, isAbandoned: () => false };
-    const store = this.#fleet.at(name);
+    const options = { timeout: PATIENCE, isAbandoned: () => false };
+    const store = this.#fleet.storeOf(name);
     return store.evacuate({ dataCentre, active }, options).then(
       ({ revision }) => {
         this.#seen.evacuations++;
@@ -333,8 +333,8 @@
 
   #replace(name: string): Promise<boolean> {
     const version = ++this.#version;
-    const order = fakes.editionOf(version);
-    return this.#fleet.at(name).replace(order, PATIENCE).then(() => {
+    const order = fakes.versionOf(version);
+    return this.#fleet.storeOf(name).replace(order, PATIENCE).then(() => {
       this.#seen.acks++;
       this.#acknowledged = Math.max(this.#acknowledged, version);
       this.#onAcknowledged(name);
@@ -352,7 +352,7 @@
     await this.#run(PATIENCE);
     if (Object.values(answers).every((isAnswered) => isAnswered)) return;
     const { leader } = this.#fleet;
-    const status = JSON.stringify(this.#fleet.at(name).status);
+    const status = JSON.stringify(this.#fleet.storeOf(name).status);
     throw new Violation(
       `${name} is silent (${JSON.stringify(answers)}) while ${leader} leads: ` +
         status,
--- a/src/admission/backlog.ts
+++ b/src/admission/backlog.ts
@@ -3,7 +3,7 @@
  * @module */
 
 import type * as request from "../request/mod.ts";
-import * as rate from "./rate.ts";
+import * as rate from "./decaying_rate.ts";
 import * as weight from "./weight.ts";
 
 /** Accounts, and kinds of one, that are weighed one by one; with more, all
@@ -27,13 +27,13 @@
   items: number;
   /** Milliseconds that the latest request had until its deadline. */
   allowance: number;
-  arrivals: rate.Rate;
+  arrivals: rate.DecayingRate;
 }
 
 interface Account {
   weight: number;
   work: number;
-  arrivals: rate.Rate;
+  arrivals: rate.DecayingRate;
   kinds: Map<string, Kind>;
 }
 
@@ -118,7 +118,7 @@
   /** Milliseconds until the work of `flow` promised so far has left, when
    * slots are shared by weight and others go on to arrive as of late; infinite
    * without slots. */
-  wait(service: string, flow: weight.Flow, now: number): number {
+  queueingDelay(service: string, flow: weight.Flow, now: number): number {
     const pool = this.#pools.get(service);
     if (pool === undefined || pool.slots === 0) return Infinity;
     const account = pool.accounts.get(flow.account);
@@ -156,7 +156,7 @@
     let account = pool.accounts.get(name);
     if (account === undefined) {
       const share = weight.ofAccount(this.#policies, name);
-      const arrivals = rate.Rate.create(RATE_SPAN);
+      const arrivals = rate.DecayingRate.create(RATE_SPAN);
       account = { weight: share, work: 0, arrivals, kinds: new Map() };
       pool.accounts.set(name, account);
     }
@@ -167,7 +167,7 @@
     let kind = account.kinds.get(name);
     if (kind === undefined) {
       const share = weight.ofKind(this.#policies, name);
-      const arrivals = rate.Rate.create(RATE_SPAN);
+      const arrivals = rate.DecayingRate.create(RATE_SPAN);
       const empty = { work: 0, charge: 0, items: 0, allowance: 0 };
       kind = { ...empty, weight: share, arrivals };
       account.kinds.set(name, kind);
--- a/src/admission/controls.ts
+++ b/src/admission/controller.ts
@@ -9,11 +9,11 @@
 import type * as request from "../request/mod.ts";
 import type * as runtime from "../runtime/mod.ts";
 import * as backlog from "./backlog.ts";
-import * as cost from "./cost.ts";
-import * as estimate from "./estimate.ts";
-import * as gate from "./gate.ts";
-import * as limit from "./limit.ts";
-import * as share from "./share.ts";
+import * as cost from "./cost_ledger.ts";
+import * as estimate from "./stage_time_estimator.ts";
+import * as gate from "./deadline_admission.ts";
+import * as limit from "./request_limiter.ts";
+import * as share from "./slot_share.ts";
 import * as serviceQueue from "./service_queue.ts";
 
 /** What controls are made from. */
@@ -37,31 +37,31 @@
 }
 
 /** Decisions of admission; changes its containers in place. */
-export class Controls
+export class AdmissionController
   implements policySet.Queues, policySet.Admission, policySet.Estimate {
   readonly #inFlight: number;
-  readonly #estimate = estimate.Estimate.create();
+  readonly #estimate = estimate.StageTimeEstimator.create();
   readonly #backlog = backlog.Backlog.create();
-  readonly #limit = limit.Limit.create();
-  readonly #gate: gate.Gate;
+  readonly #limit = limit.RequestLimiter.create();
+  readonly #gate: gate.DeadlineAdmission;
   readonly #queues: serviceQueue.ServiceQueue[] = [];
   readonly #admitted = new Map<string, Admitted>();
-  readonly #shares = new Map<string, share.Share>();
+  readonly #shares = new Map<string, share.SlotShare>();
   /** Service by endpoint. */
   #homes = new Map<string, string>();
   #policies: request.Policies = new Map();
   /** What calls cost; retries and hedges ask it for budget. */
-  readonly cost = cost.Cost.create();
+  readonly cost = cost.CostLedger.create();
 
   private constructor(options: Options) {
     const { random, inFlight = IN_FLIGHT } = options;
     this.#inFlight = inFlight;
     const basis = { estimate: this.#estimate, backlog: this.#backlog, random };
-    this.#gate = gate.Gate.create(basis);
+    this.#gate = gate.DeadlineAdmission.create(basis);
   }
 
-  static create(options: Options): Controls {
-    return new Controls(options);
+  static create(options: Options): AdmissionController {
+    return new AdmissionController(options);
   }
 
   create(): policySet.Queue {
@@ -137,7 +137,7 @@
     }
     for (const [service, members] of slots) {
       const taken = this.#shareOf(service);
-      taken.replace(members);
+      taken.setEndpoints(members);
       this.#backlog.setSlots(service, taken.slots);
     }
   }
@@ -147,12 +147,12 @@
     if (service === undefined) return;
     const taken = this.#shareOf(service);
     taken.report(endpoint, load);
-    const slots = Math.min(taken.slots, taken.window(now));
+    const slots = Math.min(taken.slots, taken.usableSlots(now));
     this.#backlog.setSlots(service, slots);
   }
 
   started(_attempt: request.Attempt, work: policySet.Work): void {
-    this.#shareOf(serviceOf(work)).shift(1);
+    this.#shareOf(serviceOf(work)).addCalls(1);
   }
 
   finished(ended: request.Request, how: policySet.Ending, now: number): void {
@@ -167,16 +167,16 @@
     const { attempt, work, result, elapsed, usage } = report;
     const { account, kind, stages, size } = work.request;
     const { name, service } = stages[attempt.stage];
-    this.#shareOf(service).shift(-1);
+    this.#shareOf(service).addCalls(-1);
     const spent = usage ?? unreported(work, elapsed);
     const entry = { account, kind, service, stage: name, usage: spent };
-    this.cost.record({ ...entry, fate: fateOf(report, now) });
+    this.cost.record({ ...entry, category: fateOf(report, now) });
     if (result !== "answered" || usage === undefined) return;
     const done = workOf(work);
     const { outputTokens } = usage;
     this.#estimate.observe(done, { time: elapsed, outputTokens });
     this.#estimate.observeSize(done, size);
-    this.#gate.advance(attempt.request, attempt.stage);
+    this.#gate.completeStage(attempt.request, attempt.stage);
   }
 
   dump(): unknown {
@@ -208,13 +208,13 @@
       const detail = "The request would not be finished within its deadline";
       return refusal("overloaded", detail, decision.retryAfter);
     }
-    this.#limit.take(arrived);
+    this.#limit.acquire(arrived);
     this.#admitted.set(id, { at: now, probe: decision.probe });
     return undefined;
   }
 
   /** A stage whose input is not known yet, but for the first. */
-  #stageOf(of: request.Request, stage: number): estimate.Work {
+  #stageOf(of: request.Request, stage: number): estimate.StageInput {
     const { name, service, maxTokens } = of.stages[stage];
     const place = { service, stage: name };
     const learnt = stage > 0;
@@ -222,10 +222,10 @@
     return { ...place, size, maxTokens };
   }
 
-  #shareOf(service: string): share.Share {
+  #shareOf(service: string): share.SlotShare {
     let found = this.#shares.get(service);
     if (found === undefined) {
-      found = share.Share.create();
+      found = share.SlotShare.create();
       this.#shares.set(service, found);
     }
     return found;
@@ -236,7 +236,7 @@
   }
 }
 
-function workOf(work: policySet.Work): estimate.Work {
+function workOf(work: policySet.Work): estimate.StageInput {
   const { name, service, maxTokens } = work.request.stages[work.stage];
   return { service, stage: name, size: work.size, maxTokens };
 }
@@ -248,7 +248,7 @@
 function fateOf(
   { result, attempt, work }: policySet.Report,
   now: number,
-): cost.Fate {
+): cost.Category {
   const late = now >= work.request.deadline;
   if (result === "answered") return late ? "late" : "useful";
   if (result === "failed") return "retry";
--- a/src/admission/cost.ts
+++ b/src/admission/cost_ledger.ts
@@ -8,10 +8,10 @@
 /** What became of a call that took cost. `useful` gave the stage's result;
  * the others were paid on top: a failed call that was tried again, the loser
  * of a hedge, a call cancelled, and a result too late to matter. */
-export type Fate = "useful" | "retry" | "hedge" | "cancelled" | "late";
+export type Category = "useful" | "retry" | "hedge" | "cancelled" | "late";
 
 /** Cost of some calls. */
-export interface Sum {
+export interface Totals {
   calls: number;
   /** Milliseconds of endpoint slots. */
   time: number;
@@ -20,23 +20,23 @@
 }
 
 /** Cost by fate. */
-export type Account = Record<Fate, Sum>;
+export type CostByCategory = Record<Category, Totals>;
 
 /** One call that ended. */
 export interface Entry extends weight.Flow {
   service: string;
   stage: string;
-  fate: Fate;
+  category: Category;
   /** As the endpoint reported it, or as estimated for a call without one. */
   usage: request.Usage;
 }
 
 /** Groups that the ledger sums by. */
-export type Group = "stage" | "account" | "kind";
+export type Dimension = "stage" | "account" | "kind";
 
 /** Extra cost that a flow may spend when no row says more: a share of its
  * useful cost. */
-export const DEFAULT_SPEND = 0.05;
+export const DEFAULT_SPEND_RATIO = 0.05;
 
 /** Milliseconds of useful cost whose share a flow may save up. */
 const SAVINGS = 60_000;
@@ -51,9 +51,9 @@
 const OTHERS = "others";
 
 /** Sums of all calls; `record` and `spend` change it in place. */
-export class Cost {
+export class CostLedger {
   #policies: request.Policies;
-  readonly #groups: Record<Group, Map<string, Account>> = {
+  readonly #groups: Record<Dimension, Map<string, CostByCategory>> = {
     stage: new Map(),
     account: new Map(),
     kind: new Map(),
@@ -64,8 +64,8 @@
     this.#policies = policies;
   }
 
-  static create(policies: request.Policies = new Map()): Cost {
-    return new Cost(policies);
+  static create(policies: request.Policies = new Map()): CostLedger {
+    return new CostLedger(policies);
   }
 
   setPolicies(policies: request.Policies): void {
@@ -74,7 +74,7 @@
 
   /** Adds a call that ended; useful cost earns budget for extra cost. */
   record(entry: Entry): void {
-    const { service, stage, account, kind, fate, usage } = entry;
+    const { service, stage, account, kind, category: fate, usage } = entry;
     this.#add("stage", `${service} ${stage}`, fate, usage);
     this.#add("account", account, fate, usage);
     this.#add("kind", kind, fate, usage);
@@ -99,11 +99,11 @@
   }
 
   /** Cost of one name of a group. */
-  of(group: Group, name: string): Account | undefined {
+  totals(group: Dimension, name: string): CostByCategory | undefined {
     return this.#groups[group].get(name);
   }
 
-  toJSON(): Record<Group, Record<string, Account>> {
+  toJSON(): Record<Dimension, Record<string, CostByCategory>> {
     return {
       stage: Object.fromEntries(this.#groups.stage),
       account: Object.fromEntries(this.#groups.account),
@@ -115,7 +115,7 @@
   #spendOf(flow: weight.Flow): number {
     const account = this.#policies.get(`account/${flow.account}`)?.spend;
     const kind = this.#policies.get(`kind/${flow.kind}`)?.spend;
-    if (account === undefined) return kind ?? DEFAULT_SPEND;
+    if (account === undefined) return kind ?? DEFAULT_SPEND_RATIO;
     return kind === undefined ? account : Math.min(account, kind);
   }
 
@@ -130,7 +130,12 @@
     return known || this.#budgets.size < MOST_NAMES ? name : OTHERS;
   }
 
-  #add(group: Group, name: string, fate: Fate, usage: request.Usage): void {
+  #add(
+    group: Dimension,
+    name: string,
+    fate: Category,
+    usage: request.Usage,
+  ): void {
     const accounts = this.#groups[group];
     const full = !accounts.has(name) && accounts.size >= MOST_NAMES;
     const key = full ? OTHERS : name;
@@ -148,12 +153,12 @@
 }
 
 /** Milliseconds of slots by all fates but `useful`. */
-export function wastedTime(account: Account): number {
+export function wastedTime(account: CostByCategory): number {
   const { retry, hedge, cancelled, late } = account;
   return retry.time + hedge.time + cancelled.time + late.time;
 }
 
-function createAccount(): Account {
+function createAccount(): CostByCategory {
   return {
     useful: createSum(),
     retry: createSum(),
@@ -163,6 +168,6 @@
   };
 }
 
-function createSum(): Sum {
+function createSum(): Totals {
   return { calls: 0, time: 0, inputTokens: 0, outputTokens: 0 };
 }
--- a/src/admission/cost_test.ts
+++ b/src/admission/cost_ledger_test.ts
@@ -1,5 +1,5 @@
 import test from "ava";
-import * as cost from "./cost.ts";
+import * as cost from "./cost_ledger.ts";
 
 function createEntry(fields: Partial<cost.Entry> = {}): cost.Entry {
   const usage = {
@@ -13,27 +13,27 @@
     kind: "plan",
     service: "lm-pool",
     stage: "generate",
-    fate: "useful",
+    category: "useful",
     usage,
     ...fields,
   };
 }
 
 test("sums cost by stage, account and kind, and what was wasted", (t) => {
-  const ledger = cost.Cost.create();
+  const ledger = cost.CostLedger.create();
   ledger.record(createEntry());
-  ledger.record(createEntry({ fate: "hedge" }));
-  ledger.record(createEntry({ fate: "retry", account: "clerk" }));
-  const stage = ledger.of("stage", "lm-pool generate")!;
+  ledger.record(createEntry({ category: "hedge" }));
+  ledger.record(createEntry({ category: "retry", account: "clerk" }));
+  const stage = ledger.totals("stage", "lm-pool generate")!;
   t.is(stage.useful.time, 1000);
   t.is(cost.wastedTime(stage), 2000);
-  t.is(cost.wastedTime(ledger.of("account", "clerk")!), 1000);
-  t.is(ledger.of("kind", "plan")?.hedge.outputTokens, 10);
+  t.is(cost.wastedTime(ledger.totals("account", "clerk")!), 1000);
+  t.is(ledger.totals("kind", "plan")?.hedge.outputTokens, 10);
 });
 
 test("extra cost stays within the share that the table grants", (t) => {
   const policies = new Map([["account/crew", { spend: 0.2 }]]);
-  const ledger = cost.Cost.create(policies);
+  const ledger = cost.CostLedger.create(policies);
   let spent = 0;
   for (let i = 0; i < 100; i++) {
     ledger.record(createEntry());
@@ -47,13 +47,13 @@
     ["account/crew", { spend: 0.5 }],
     ["kind/plan", { spend: 0 }],
   ]);
-  const ledger = cost.Cost.create(policies);
+  const ledger = cost.CostLedger.create(policies);
   ledger.record(createEntry());
   t.false(ledger.spend(createEntry(), 1));
 });
 
 test("savings are bounded", (t) => {
-  const ledger = cost.Cost.create();
+  const ledger = cost.CostLedger.create();
   for (let i = 0; i < 1000; i++) ledger.record(createEntry());
   t.is(ledger.budget(createEntry()), 3000);
 });
--- a/src/admission/gate.ts
+++ b/src/admission/deadline_admission.ts
@@ -8,16 +8,16 @@
 
 import type * as runtime from "../runtime/mod.ts";
 import type * as backlog from "./backlog.ts";
-import type * as estimate from "./estimate.ts";
-import * as quantile from "./quantile.ts";
+import type * as estimate from "./stage_time_estimator.ts";
+import * as quantile from "./quantile_estimator.ts";
 import * as weight from "./weight.ts";
 
 /** A request that asks to be admitted. */
-export interface Ask extends weight.Flow {
+export interface AdmissionRequest extends weight.Flow {
   id: string;
   /** Milliseconds. */
   deadline: number;
-  stages: readonly estimate.Work[];
+  stages: readonly estimate.StageInput[];
 }
 
 /** Answer of the gate. */
@@ -40,8 +40,8 @@
   };
 
 /** Parts that a gate decides by. */
-export interface Basis {
-  estimate: estimate.Estimate;
+export interface Dependencies {
+  estimate: estimate.StageTimeEstimator;
   backlog: backlog.Backlog;
   random: runtime.Random;
 }
@@ -58,16 +58,16 @@
 /** Most flows with a margin of their own; others share one. */
 const MOST_MARGINS = 1024;
 
-const MARGIN: quantile.Goal = {
+const MARGIN: quantile.Options = {
   quantile: 0.8,
   initial: 1.2,
   step: 0.1,
-  least: 1,
-  most: 2,
+  min: 1,
+  max: 2,
 };
 
 interface Commitment {
-  ask: Ask;
+  ask: AdmissionRequest;
   admitted: number;
   predicted: number;
   stages: readonly estimate.Prediction[];
@@ -83,20 +83,20 @@
 }
 
 /** Decides on arrival; keeps what it promised until it is told of the end. */
-export class Gate {
-  readonly #basis: Basis;
+export class DeadlineAdmission {
+  readonly #basis: Dependencies;
   readonly #commitments = new Map<string, Commitment>();
-  readonly #margins = new Map<string, quantile.Quantile>();
+  readonly #margins = new Map<string, quantile.QuantileEstimator>();
   #refusals = 0;
   #lastProbe = -Infinity;
   readonly counts: Counts = { admitted: 0, refused: 0, probes: 0 };
 
-  private constructor(basis: Basis) {
+  private constructor(basis: Dependencies) {
     this.#basis = basis;
   }
 
-  static create(basis: Basis): Gate {
-    return new Gate(basis);
+  static create(basis: Dependencies): DeadlineAdmission {
+    return new DeadlineAdmission(basis);
   }
 
   /** Requests admitted and not ended. */
@@ -105,7 +105,7 @@
   }
 
   /** Admits or refuses; an admitted request must be ended by `finish`. */
-  decide(ask: Ask, now: number): Decision {
+  decide(ask: AdmissionRequest, now: number): Decision {
     const stages = ask.stages.map((work) => this.#basis.estimate.predict(work));
     const span = this.#span(ask, stages, now);
     const margin = this.#marginOf(ask).value;
@@ -120,7 +120,7 @@
   }
 
   /** Takes a finished stage off the backlog. */
-  advance(id: string, stage: number): void {
+  completeStage(id: string, stage: number): void {
     const commitment = this.#commitments.get(id);
     if (commitment !== undefined) this.#release(commitment, stage + 1);
   }
@@ -141,20 +141,20 @@
 
   /** Milliseconds predicted for a request that would come now. */
   #span(
-    ask: Ask,
+    ask: AdmissionRequest,
     stages: readonly estimate.Prediction[],
     now: number,
   ): number {
     let span = 0;
     ask.stages.forEach((work, i) => {
-      const wait = this.#basis.backlog.wait(work.service, ask, now);
+      const wait = this.#basis.backlog.queueingDelay(work.service, ask, now);
       span = Math.max(span, wait) + stages[i].mean;
     });
     return span;
   }
 
   #refuse(
-    ask: Ask,
+    ask: AdmissionRequest,
     by: {
       stages: readonly estimate.Prediction[];
       finish: number;
@@ -208,14 +208,14 @@
     }
   }
 
-  #marginOf(flow: weight.Flow): quantile.Quantile {
+  #marginOf(flow: weight.Flow): quantile.QuantileEstimator {
     const name = weight.nameOf(flow);
     const found = this.#margins.get(name);
     if (found !== undefined) return found;
     const full = this.#margins.size >= MOST_MARGINS;
     const shared = full ? this.#margins.get("") : undefined;
     if (shared !== undefined) return shared;
-    const margin = quantile.Quantile.create(MARGIN);
+    const margin = quantile.QuantileEstimator.create(MARGIN);
     this.#margins.set(full ? "" : name, margin);
     return margin;
   }
--- a/src/admission/gate_test.ts
+++ b/src/admission/deadline_admission_test.ts
@@ -2,14 +2,14 @@
 import type * as request from "../request/mod.ts";
 import * as runtime from "../runtime/mod.ts";
 import * as backlog from "./backlog.ts";
-import * as estimate from "./estimate.ts";
-import * as gate from "./gate.ts";
+import * as estimate from "./stage_time_estimator.ts";
+import * as gate from "./deadline_admission.ts";
 
 const policies: request.Policies = new Map([["account/large", { weight: 9 }]]);
 
 /** A gate over one service with `slots` slots and calls of 100 ms. */
 function createGate(slots: number) {
-  const times = estimate.Estimate.create();
+  const times = estimate.StageTimeEstimator.create();
   const promised = backlog.Backlog.create(policies);
   promised.setSlots("lm-pool", slots);
   for (let i = 0; i < 50; i++) {
@@ -17,14 +17,17 @@
   }
   const random = runtime.createRandom(1);
   const basis = { estimate: times, backlog: promised, random };
-  return { ...basis, gate: gate.Gate.create(basis) };
+  return { ...basis, gate: gate.DeadlineAdmission.create(basis) };
 }
 
-function createWork(): estimate.Work {
+function createWork(): estimate.StageInput {
   return { service: "lm-pool", stage: "generate", size: 100, maxTokens: 0 };
 }
 
-function createAsk(id: string, fields: Partial<gate.Ask> = {}): gate.Ask {
+function createAsk(
+  id: string,
+  fields: Partial<gate.AdmissionRequest> = {},
+): gate.AdmissionRequest {
   const stages = [createWork()];
   return {
     id,
@@ -37,7 +40,10 @@
 }
 
 /** Asks until the gate refuses; returns the refusal and how many got in. */
-function fill(door: gate.Gate, fields: Partial<gate.Ask>) {
+function fill(
+  door: gate.DeadlineAdmission,
+  fields: Partial<gate.AdmissionRequest>,
+) {
   for (let count = 0;; count++) {
     const decision = door.decide(createAsk(`${count}`, fields), 0);
     if (decision.type === "refuse") return { decision, count };
@@ -112,8 +118,8 @@
   const { gate: door, backlog: promised } = createGate(2);
   door.decide(createAsk("a"), 0);
   door.decide(createAsk("b"), 0);
-  door.advance("a", 0);
-  door.advance("a", 0);
+  door.completeStage("a", 0);
+  door.completeStage("a", 0);
   door.finish("a", 10, true);
   t.true(promised.work("lm-pool") > 0);
   door.finish("b", 10);
@@ -129,8 +135,8 @@
   promised.add("s", small, { work: 1000, now: 0 });
   promised.add("s", large, { work: 180, now: 0 });
   const now = 1e6;
-  t.is(promised.wait("s", small, now), 590);
-  t.is(promised.wait("s", large, now), 100);
+  t.is(promised.queueingDelay("s", small, now), 590);
+  t.is(promised.queueingDelay("s", large, now), 100);
 });
 
 test("a wait grows by what others send meanwhile, up to their share", (t) => {
@@ -144,10 +150,10 @@
     promised.remove("s", large, 50);
     promised.add("s", large, { work: 0, now });
   }
-  const wait = promised.wait("s", small, 30_000);
+  const wait = promised.queueingDelay("s", small, 30_000);
   t.true(wait > 1700 && wait < 2100, `${wait}`);
   for (let i = 0; i < 1e3; i++) {
     promised.add("s", large, { work: 1000, now: 30_000 });
   }
-  t.is(promised.wait("s", small, 30_000), 10_000);
+  t.is(promised.queueingDelay("s", small, 30_000), 10_000);
 });
--- a/src/admission/rate.ts
+++ b/src/admission/decaying_rate.ts
@@ -2,7 +2,7 @@
  * @module */
 
 /** An amount for each millisecond, older amounts fading; changed in place. */
-export class Rate {
+export class DecayingRate {
   readonly #span: number;
   #sum = 0;
   #at = 0;
@@ -12,8 +12,8 @@
   }
 
   /** `span` is the milliseconds in which an amount fades to 1/e. */
-  static create(span: number): Rate {
-    return new Rate(span);
+  static create(span: number): DecayingRate {
+    return new DecayingRate(span);
   }
 
   add(amount: number, now: number): void {
--- a/src/admission/fair_queue.ts
+++ b/src/admission/fair_queue.ts
@@ -11,8 +11,8 @@
 
 import type * as request from "../request/mod.ts";
 import * as heap from "./heap.ts";
-import * as lanes from "./lane.ts";
-import * as schedule from "./schedule.ts";
+import * as lanes from "./flow_queue.ts";
+import * as schedule from "./fair_scheduler.ts";
 import * as weight from "./weight.ts";
 
 /** Flows, and accounts, among which patient items look for shorter ones. */
@@ -32,9 +32,9 @@
   /** What `pop` gave last, and the start it had before. */
   #last?: { item: lanes.Item; start: number | undefined };
   readonly #entries = new Map<string, lanes.Entry>();
-  readonly #accounts = new Map<string, lanes.Account>();
-  readonly #turns = schedule.Schedule.create<lanes.Account>();
-  readonly #waiting = heap.Heap.create<lanes.Lane>(lanes.worthOrder);
+  readonly #accounts = new Map<string, lanes.AccountQueue>();
+  readonly #turns = schedule.FairScheduler.create<lanes.AccountQueue>();
+  readonly #waiting = heap.Heap.create<lanes.FlowQueue>(lanes.flowWeightOrder);
   readonly #retried = heap.Heap.create<lanes.Entry>(lanes.retriedOrder);
   readonly #expiry = heap.Heap.create<lanes.Entry>(lanes.expiryOrder);
 
@@ -65,7 +65,7 @@
     this.#policies = policies;
     for (const account of this.#accounts.values()) {
       account.weight = weight.ofAccount(policies, account.name);
-      for (const lane of account.lanes.values()) {
+      for (const lane of account.flowQueues.values()) {
         this.#weigh(lane);
         this.#waiting.update(lane);
       }
@@ -79,7 +79,7 @@
     const entry = lanes.createEntry(item, lane);
     this.#entries.set(item.id, entry);
     this.#expiry.push(entry);
-    lane.last.push(entry);
+    lane.byLatestDeadline.push(entry);
     if (entry.retried) this.#retried.push(entry);
     else lane.fresh.push(entry);
     this.#count(lane, 1, item.work);
@@ -92,16 +92,16 @@
   pop(now = Infinity): lanes.Item | undefined {
     const entry = this.#first(now);
     if (entry === undefined) return undefined;
-    const { item, lane, retried } = entry;
-    const { owner } = lane;
+    const { item, flowQueue: lane, retried } = entry;
+    const { accountQueue: owner } = lane;
     // Whoever was passed over keeps its place: virtual time waits for it.
-    const start = item.start ?? startOf(this.#turns);
-    const inner = retried ? lane.start : startOf(owner.turns);
-    this.#last = { item, start: item.start };
-    item.start = start;
+    const start = item.startTag ?? startOf(this.#turns);
+    const inner = retried ? lane.startTag : startOf(owner.scheduler);
+    this.#last = { item, start: item.startTag };
+    item.startTag = start;
     this.#turns.serve(owner, item.work / owner.weight, start);
     const charge = weight.chargeOf(item.work) / lane.weight;
-    owner.turns.serve(lane, charge, inner);
+    owner.scheduler.serve(lane, charge, inner);
     this.#drop(entry);
     return item;
   }
@@ -110,15 +110,15 @@
    * and its flow does not pay. */
   putBack(item: lanes.Item): void {
     const owner = this.#accounts.get(item.account);
-    const lane = owner?.lanes.get(item.kind);
+    const lane = owner?.flowQueues.get(item.kind);
     if (owner !== undefined) {
       this.#turns.refund(owner, item.work / owner.weight);
     }
     if (lane !== undefined) {
       const charge = weight.chargeOf(item.work) / lane.weight;
-      lane.owner.turns.refund(lane, charge);
+      lane.accountQueue.scheduler.refund(lane, charge);
     }
-    if (this.#last?.item === item) item.start = this.#last.start;
+    if (this.#last?.item === item) item.startTag = this.#last.start;
     this.push(item);
   }
 
@@ -136,7 +136,7 @@
 
   /** Removes the latest deadline of the least weighted flow. */
   shed(): lanes.Item | undefined {
-    const entry = this.#waiting.peek()?.last.peek();
+    const entry = this.#waiting.peek()?.byLatestDeadline.peek();
     if (entry !== undefined) this.#drop(entry);
     return entry?.item;
   }
@@ -149,10 +149,12 @@
   }
 
   toJSON(): FlowState[] {
-    const all = [...this.#accounts.values()].flatMap(({ lanes }) => {
-      return [...lanes.values()];
-    });
-    return all.map(({ account, kind, worth, size, work }) => {
+    const all = [...this.#accounts.values()].flatMap(
+      ({ flowQueues: lanes }) => {
+        return [...lanes.values()];
+      },
+    );
+    return all.map(({ account, kind, flowWeight: worth, size, work }) => {
       return { account, kind, weight: worth, size, work };
     });
   }
@@ -160,7 +162,7 @@
   /** The entry to be served next. */
   #first(now: number): lanes.Entry | undefined {
     const first = this.#entitled();
-    if (first === undefined || !lanes.isPatient(first.item, now)) return first;
+    if (first === undefined || !lanes.canDefer(first.item, now)) return first;
     return this.#shorter(first.item) ?? first;
   }
 
@@ -168,20 +170,20 @@
   #entitled(): lanes.Entry | undefined {
     const retried = this.#retried.peek();
     const account = this.#turns.peek();
-    const fresh = account?.turns.peek()?.fresh.peek();
+    const fresh = account?.scheduler.peek()?.fresh.peek();
     if (retried === undefined || account === undefined) return retried ?? fresh;
-    return lanes.startOf(retried) <= account.start ? retried : fresh;
+    return lanes.startTagOf(retried) <= account.startTag ? retried : fresh;
   }
 
   /** The entry that an item lets go first, in the order of turns. */
   #shorter(patient: lanes.Item): lanes.Entry | undefined {
     if (this.#accounts.size > MOST_SCANNED) return undefined;
     if (this.#waiting.size > MOST_SCANNED) return undefined;
-    let best: lanes.Lane | undefined;
-    for (const { lanes: flows } of this.#accounts.values()) {
+    let best: lanes.FlowQueue | undefined;
+    for (const { flowQueues: flows } of this.#accounts.values()) {
       for (const lane of flows.values()) {
         const head = lane.fresh.peek();
-        if (head === undefined || !lanes.yields(patient, head.item)) continue;
+        if (head === undefined || !lanes.defersTo(patient, head.item)) continue;
         if (best === undefined || isBefore(lane, best)) best = lane;
       }
     }
@@ -189,89 +191,89 @@
   }
 
   #drop(entry: lanes.Entry): void {
-    const { item, lane } = entry;
+    const { item, flowQueue: lane } = entry;
     this.#entries.delete(item.id);
     this.#expiry.remove(entry);
-    lane.last.remove(entry);
+    lane.byLatestDeadline.remove(entry);
     if (entry.retried) this.#retried.remove(entry);
     else lane.fresh.remove(entry);
     this.#count(lane, -1, item.work);
     this.#settle(lane);
-    this.#forget(lane.owner);
+    this.#forget(lane.accountQueue);
   }
 
-  #count(lane: lanes.Lane, change: 1 | -1, work: number): void {
+  #count(lane: lanes.FlowQueue, change: 1 | -1, work: number): void {
     lane.size += change;
-    lane.owner.size += change;
+    lane.accountQueue.size += change;
     lane.work = lane.size === 0 ? 0 : lane.work + change * work;
     this.#work = this.size === 0 ? 0 : this.#work + change * work;
   }
 
   /** Puts a lane and its account among those with work, or without. */
-  #settle(lane: lanes.Lane): void {
-    const { owner } = lane;
-    if (lane.fresh.size > 0) owner.turns.begin(lane);
-    else owner.turns.end(lane);
-    if (owner.turns.peek() !== undefined) this.#turns.begin(owner);
-    else this.#turns.end(owner);
+  #settle(lane: lanes.FlowQueue): void {
+    const { accountQueue: owner } = lane;
+    if (lane.fresh.size > 0) owner.scheduler.activate(lane);
+    else owner.scheduler.deactivate(lane);
+    if (owner.scheduler.peek() !== undefined) this.#turns.activate(owner);
+    else this.#turns.deactivate(owner);
     if (lane.size === 0) this.#waiting.remove(lane);
-    else if (lane.worthPos < 0) this.#waiting.push(lane);
+    else if (lane.flowWeightPos < 0) this.#waiting.push(lane);
   }
 
-  #forget(owner: lanes.Account): void {
-    const over = (lane: lanes.Lane) => owner.lanes.delete(lane.kind);
-    forgetAll(owner.turns, { over, all: owner.size === 0 });
+  #forget(owner: lanes.AccountQueue): void {
+    const over = (lane: lanes.FlowQueue) => owner.flowQueues.delete(lane.kind);
+    forgetAll(owner.scheduler, { over, all: owner.size === 0 });
     forgetAll(this.#turns, {
       over: (account) => this.#accounts.delete(account.name),
       all: this.size === 0,
     });
   }
 
-  #weigh(lane: lanes.Lane): void {
+  #weigh(lane: lanes.FlowQueue): void {
     lane.weight = weight.ofKind(this.#policies, lane.kind);
-    lane.worth = weight.ofFlow(this.#policies, lane);
+    lane.flowWeight = weight.ofFlow(this.#policies, lane);
   }
 
-  #laneOf({ account, kind }: weight.Flow): lanes.Lane {
+  #laneOf({ account, kind }: weight.Flow): lanes.FlowQueue {
     let owner = this.#accounts.get(account);
     if (owner === undefined) {
-      owner = lanes.createAccount(account);
+      owner = lanes.createAccountQueue(account);
       owner.weight = weight.ofAccount(this.#policies, account);
       this.#accounts.set(account, owner);
     }
-    let lane = owner.lanes.get(kind);
+    let lane = owner.flowQueues.get(kind);
     if (lane === undefined) {
-      lane = lanes.createLane(owner, kind);
+      lane = lanes.createFlowQueue(owner, kind);
       this.#weigh(lane);
-      owner.lanes.set(kind, lane);
+      owner.flowQueues.set(kind, lane);
     }
     return lane;
   }
 }
 
 /** Virtual start of the member whose turn it is. */
-function startOf(turns: schedule.Schedule<schedule.Member>): number {
-  return turns.peek()?.start ?? 0;
+function startOf(turns: schedule.FairScheduler<schedule.Entity>): number {
+  return turns.peek()?.startTag ?? 0;
 }
 
 /** Whether the turn of a lane comes first, its account's before its own. */
-function isBefore(a: lanes.Lane, b: lanes.Lane): boolean {
-  const accounts = schedule.compare(a.owner, b.owner);
+function isBefore(a: lanes.FlowQueue, b: lanes.FlowQueue): boolean {
+  const accounts = schedule.compare(a.accountQueue, b.accountQueue);
   return (accounts !== 0 ? accounts : schedule.compare(a, b)) < 0;
 }
 
 /** Forgets members that hold nothing; those that only wait for retries are
  * kept, since their entries refer to them. */
-function forgetAll<T extends lanes.Account | lanes.Lane>(
-  turns: schedule.Schedule<T>,
+function forgetAll<T extends lanes.AccountQueue | lanes.FlowQueue>(
+  turns: schedule.FairScheduler<T>,
   by: { over(member: T): void; all: boolean },
 ): void {
   const kept: T[] = [];
-  let member = turns.forget(by.all);
+  let member = turns.removeIdle(by.all);
   while (member !== undefined) {
     if (member.size > 0) kept.push(member);
     else by.over(member);
-    member = turns.forget(by.all);
+    member = turns.removeIdle(by.all);
   }
-  for (const one of kept) turns.end(one);
+  for (const one of kept) turns.deactivate(one);
 }
--- a/src/admission/fair_queue_test.ts
+++ b/src/admission/fair_queue_test.ts
@@ -2,7 +2,7 @@
 import * as fc from "fast-check";
 import type * as request from "../request/mod.ts";
 import * as fairQueue from "./fair_queue.ts";
-import * as lane from "./lane.ts";
+import * as lane from "./flow_queue.ts";
 import * as naive from "./naive_fair_queue.ts";
 
 const policies: request.Policies = new Map([
--- a/src/admission/lane.ts
+++ b/src/admission/flow_queue.ts
@@ -2,7 +2,7 @@
  * @module */
 
 import * as heap from "./heap.ts";
-import * as schedule from "./schedule.ts";
+import * as schedule from "./fair_scheduler.ts";
 import type * as weight from "./weight.ts";
 
 /** Work that waits for a slot. */
@@ -16,58 +16,65 @@
   /** Predicted milliseconds of a slot. */
   work: number;
   /** Virtual start given when it first left the queue. */
-  start?: number;
+  startTag?: number;
 }
 
 /** An item in the queue, with its position in each heap. */
 export interface Entry {
   item: Item;
-  lane: Lane;
+  flowQueue: FlowQueue;
   /** True when it left the queue before, so that it keeps its start. */
   retried: boolean;
   orderPos: number;
-  lastPos: number;
+  latestDeadlinePos: number;
   expiryPos: number;
 }
 
 /** An account in the queue. */
-export interface Account extends schedule.Member {
+export interface AccountQueue extends schedule.Entity {
   weight: number;
   /** Lanes in turn, and all of them by kind. */
-  turns: schedule.Schedule<Lane>;
-  lanes: Map<string, Lane>;
+  scheduler: schedule.FairScheduler<FlowQueue>;
+  flowQueues: Map<string, FlowQueue>;
   size: number;
 }
 
 /** A flow in the queue: the items of one kind of one account. */
-export interface Lane extends schedule.Member, weight.Flow {
-  owner: Account;
+export interface FlowQueue extends schedule.Entity, weight.Flow {
+  accountQueue: AccountQueue;
   /** Weight among the kinds of the account, and among all flows. */
   weight: number;
-  worth: number;
+  flowWeight: number;
   work: number;
   size: number;
   /** Fresh items, earliest deadline first. */
   fresh: heap.Heap<Entry>;
   /** All items, latest deadline first. */
-  last: heap.Heap<Entry>;
-  worthPos: number;
+  byLatestDeadline: heap.Heap<Entry>;
+  flowWeightPos: number;
 }
 
 /** An entry in no heap yet. */
-export function createEntry(item: Item, lane: Lane): Entry {
-  const retried = item.start !== undefined;
-  return { item, lane, retried, orderPos: -1, lastPos: -1, expiryPos: -1 };
+export function createEntry(item: Item, lane: FlowQueue): Entry {
+  const retried = item.startTag !== undefined;
+  return {
+    item,
+    flowQueue: lane,
+    retried,
+    orderPos: -1,
+    latestDeadlinePos: -1,
+    expiryPos: -1,
+  };
 }
 
 /** An account without lanes. */
-export function createAccount(name: string): Account {
+export function createAccountQueue(name: string): AccountQueue {
   return {
     name,
     weight: 1,
-    start: 0,
-    turns: schedule.Schedule.create(),
-    lanes: new Map(),
+    startTag: 0,
+    scheduler: schedule.FairScheduler.create(),
+    flowQueues: new Map(),
     size: 0,
     readyPos: -1,
     idlePos: -1,
@@ -75,28 +82,28 @@
 }
 
 /** A lane without items. */
-export function createLane(owner: Account, kind: string): Lane {
+export function createFlowQueue(owner: AccountQueue, kind: string): FlowQueue {
   return {
     name: kind,
     account: owner.name,
     kind,
-    owner,
+    accountQueue: owner,
     weight: 1,
-    worth: 1,
-    start: 0,
+    flowWeight: 1,
+    startTag: 0,
     work: 0,
     size: 0,
     fresh: heap.Heap.create<Entry>(deadlineOrder),
-    last: heap.Heap.create<Entry>(lastOrder),
+    byLatestDeadline: heap.Heap.create<Entry>(lastOrder),
     readyPos: -1,
     idlePos: -1,
-    worthPos: -1,
+    flowWeightPos: -1,
   };
 }
 
 /** Virtual start of a retried entry. */
-export function startOf(entry: Entry): number {
-  return entry.item.start ?? 0;
+export function startTagOf(entry: Entry): number {
+  return entry.item.startTag ?? 0;
 }
 
 /** Earliest deadline, then first arrival, then id, so that runs repeat. */
@@ -113,12 +120,12 @@
 const LONGER = 2;
 
 /** Whether an item can still wait while shorter ones are served. */
-export function isPatient(item: Item, now: number): boolean {
+export function canDefer(item: Item, now: number): boolean {
   return item.expires - now > RESERVE * allowance(item);
 }
 
 /** Whether `patient` lets `other` go first, since it has far more time. */
-export function yields(patient: Item, other: Item): boolean {
+export function defersTo(patient: Item, other: Item): boolean {
   return allowance(other) * LONGER <= allowance(patient);
 }
 
@@ -131,39 +138,39 @@
 const deadlineOrder: heap.Order<Entry> = {
   less: (a, b) => isBefore(a.item, b.item),
   position: (entry) => entry.orderPos,
-  place: (entry, pos) => entry.orderPos = pos,
+  setPosition: (entry, pos) => entry.orderPos = pos,
 };
 
 /** Latest deadline first. */
 const lastOrder: heap.Order<Entry> = {
   less: (a, b) => isBefore(b.item, a.item),
-  position: (entry) => entry.lastPos,
-  place: (entry, pos) => entry.lastPos = pos,
+  position: (entry) => entry.latestDeadlinePos,
+  setPosition: (entry, pos) => entry.latestDeadlinePos = pos,
 };
 
 /** Least virtual start first. */
 export const retriedOrder: heap.Order<Entry> = {
   less: (a, b) =>
-    startOf(a) !== startOf(b)
-      ? startOf(a) < startOf(b)
+    startTagOf(a) !== startTagOf(b)
+      ? startTagOf(a) < startTagOf(b)
       : isBefore(a.item, b.item),
   position: (entry) => entry.orderPos,
-  place: (entry, pos) => entry.orderPos = pos,
+  setPosition: (entry, pos) => entry.orderPos = pos,
 };
 
 /** Earliest expiry first. */
 export const expiryOrder: heap.Order<Entry> = {
   less: (a, b) => a.item.expires < b.item.expires,
   position: (entry) => entry.expiryPos,
-  place: (entry, pos) => entry.expiryPos = pos,
+  setPosition: (entry, pos) => entry.expiryPos = pos,
 };
 
 /** Least weight among all flows first, then by name. */
-export const worthOrder: heap.Order<Lane> = {
+export const flowWeightOrder: heap.Order<FlowQueue> = {
   less(a, b) {
-    if (a.worth !== b.worth) return a.worth < b.worth;
+    if (a.flowWeight !== b.flowWeight) return a.flowWeight < b.flowWeight;
     return a.account !== b.account ? a.account < b.account : a.kind < b.kind;
   },
-  position: (lane) => lane.worthPos,
-  place: (lane, pos) => lane.worthPos = pos,
+  position: (lane) => lane.flowWeightPos,
+  setPosition: (lane, pos) => lane.flowWeightPos = pos,
 };
--- a/src/admission/heap.ts
+++ b/src/admission/heap.ts
@@ -7,7 +7,7 @@
   less(a: T, b: T): boolean;
   /** Position of the value, -1 when it is not in the heap. */
   position(value: T): number;
-  place(value: T, pos: number): void;
+  setPosition(value: T, pos: number): void;
 }
 
 /** Values by `Order.less`, the least one first. */
@@ -48,7 +48,7 @@
   remove(value: T): boolean {
     const pos = this.#order.position(value);
     if (pos < 0) return false;
-    this.#order.place(value, -1);
+    this.#order.setPosition(value, -1);
     const last = this.#values.pop() as T;
     if (pos < this.#values.length) this.#settle(pos, last);
     return true;
@@ -96,6 +96,6 @@
 
   #set(pos: number, value: T): void {
     this.#values[pos] = value;
-    this.#order.place(value, pos);
+    this.#order.setPosition(value, pos);
   }
 }
--- a/src/admission/mod.ts
+++ b/src/admission/mod.ts
@@ -5,13 +5,13 @@
  * @module */
 
 export * as backlog from "./backlog.ts";
-export * as controls from "./controls.ts";
-export * as cost from "./cost.ts";
-export * as estimate from "./estimate.ts";
+export * as controller from "./controller.ts";
+export * as costLedger from "./cost_ledger.ts";
+export * as stageTimeEstimator from "./stage_time_estimator.ts";
 export * as fairQueue from "./fair_queue.ts";
-export * as gate from "./gate.ts";
-export * as lane from "./lane.ts";
-export * as limit from "./limit.ts";
-export * as schedule from "./schedule.ts";
-export * as split from "./split.ts";
+export * as deadlineAdmission from "./deadline_admission.ts";
+export * as flowQueue from "./flow_queue.ts";
+export * as requestLimiter from "./request_limiter.ts";
+export * as fairScheduler from "./fair_scheduler.ts";
+export * as stageDeadlines from "./stage_deadlines.ts";
 export * as weight from "./weight.ts";
--- a/src/admission/naive_fair_queue.ts
+++ b/src/admission/naive_fair_queue.ts
@@ -3,7 +3,7 @@
  * @module */
 
 import type * as request from "../request/mod.ts";
-import * as lane from "./lane.ts";
+import * as lane from "./flow_queue.ts";
 import * as weight from "./weight.ts";
 
 /** Virtual time of one level and where each name stands in it. */
@@ -39,7 +39,7 @@
 
   push(item: lane.Item): boolean {
     if (this.#items.some((other) => other.id === item.id)) return false;
-    if (item.start === undefined) {
+    if (item.startTag === undefined) {
       const fresh = this.#fresh().filter(({ account }) => {
         return account === item.account;
       });
@@ -59,10 +59,10 @@
     const fresh = this.#fresh();
     const kinds = fresh.filter((item) => item.account === account)
       .map((item) => this.#levelOf(account).startOf(item.kind));
-    const inner = first.start === undefined ? Math.min(...kinds) : undefined;
+    const inner = first.startTag === undefined ? Math.min(...kinds) : undefined;
     const least = fresh.map((item) => this.#accounts.startOf(item.account));
-    const start = first.start ?? Math.min(...least);
-    first.start = start;
+    const start = first.startTag ?? Math.min(...least);
+    first.startTag = start;
     const share = weight.ofAccount(this.#policies, account);
     this.#accounts.serve(account, work / share, start);
     const charge = weight.chargeOf(work) / weight.ofKind(this.#policies, kind);
@@ -96,27 +96,27 @@
   }
 
   #fresh(): lane.Item[] {
-    return this.#items.filter(({ start }) => start === undefined);
+    return this.#items.filter(({ startTag: start }) => start === undefined);
   }
 
   #first(): lane.Item | undefined {
     const retried = least(
-      this.#items.filter(({ start }) => start !== undefined),
+      this.#items.filter(({ startTag: start }) => start !== undefined),
       (a, b) => {
-        const starts = (a.start ?? 0) - (b.start ?? 0);
+        const starts = (a.startTag ?? 0) - (b.startTag ?? 0);
         return starts !== 0 ? starts : lane.isBefore(a, b) ? -1 : 1;
       },
     );
     const fresh = least(this.#fresh(), (a, b) => this.#compareFresh(a, b));
     if (retried === undefined || fresh === undefined) return retried ?? fresh;
     const start = this.#accounts.startOf(fresh.account);
-    return (retried.start ?? 0) <= start ? retried : fresh;
+    return (retried.startTag ?? 0) <= start ? retried : fresh;
   }
 
   /** The fresh item that goes before a patient one. Of each flow only the
    * first counts. */
   #shorter(turn: lane.Item, now: number): lane.Item | undefined {
-    if (!lane.isPatient(turn, now)) return undefined;
+    if (!lane.canDefer(turn, now)) return undefined;
     const fresh = this.#fresh();
     const heads = fresh.filter((item) =>
       !fresh.some((other) =>
@@ -124,7 +124,7 @@
         lane.isBefore(other, item)
       )
     );
-    const shorter = heads.filter((item) => lane.yields(turn, item));
+    const shorter = heads.filter((item) => lane.defersTo(turn, item));
     return least(shorter, (a, b) => this.#compareFresh(a, b));
   }
 
--- a/src/admission/naive_estimate.ts
+++ b/src/admission/naive_stage_time_estimator.ts
@@ -11,7 +11,7 @@
 }
 
 /** Sorts all samples for each prediction. */
-export class NaiveEstimate {
+export class NaiveStageTimeEstimator {
   readonly #samples: Sample[] = [];
 
   observe(size: number, time: number): void {
--- a/src/admission/quantile.ts
+++ b/src/admission/quantile_estimator.ts
@@ -6,30 +6,30 @@
  * @module */
 
 /** What a tracker follows. */
-export interface Goal {
+export interface Options {
   /** Share of values to lie below, 0 to 1. */
   quantile: number;
   /** Value before any sample. */
   initial: number;
   /** Relative step; larger follows faster and rests less. */
   step: number;
-  least: number;
-  most: number;
+  min: number;
+  max: number;
 }
 
 /** An online quantile; `observe` changes it in place. */
-export class Quantile {
-  readonly #goal: Goal;
+export class QuantileEstimator {
+  readonly #goal: Options;
   #value: number;
   #samples = 0;
 
-  private constructor(goal: Goal) {
+  private constructor(goal: Options) {
     this.#goal = goal;
     this.#value = goal.initial;
   }
 
-  static create(goal: Goal): Quantile {
-    return new Quantile(goal);
+  static create(goal: Options): QuantileEstimator {
+    return new QuantileEstimator(goal);
   }
 
   get value(): number {
@@ -41,7 +41,7 @@
   }
 
   observe(value: number): void {
-    const { quantile, step, least, most } = this.#goal;
+    const { quantile, step, min: least, max: most } = this.#goal;
     const move = value > this.#value ? quantile : quantile - 1;
     const next = this.#value * Math.exp(step * move);
     this.#value = Math.min(most, Math.max(least, next));
--- a/src/admission/regression.ts
+++ b/src/admission/regression.ts
@@ -10,7 +10,7 @@
  * @module */
 
 /** Coefficients of a fit. */
-export interface Line {
+export interface Coefficients {
   constant: number;
   first: number;
   second: number;
@@ -52,11 +52,11 @@
 
 /** An online fit; `observe` changes it in place. */
 export class Regression {
-  readonly #prior: Line;
+  readonly #prior: Coefficients;
   /** Sums of weighted products: 11, 12, 13, 22, 23, 33. */
   readonly #products = new Float64Array(6);
   readonly #targets = new Float64Array(3);
-  #line: Line;
+  #line: Coefficients;
   #stale = false;
   /** Mean of the samples against the prior. */
   #level = 1;
@@ -65,12 +65,12 @@
   #side = 0;
   #samples = 0;
 
-  private constructor(prior: Line) {
+  private constructor(prior: Coefficients) {
     this.#prior = prior;
     this.#line = prior;
   }
 
-  static create(prior: Line): Regression {
+  static create(prior: Coefficients): Regression {
     return new Regression(prior);
   }
 
@@ -150,7 +150,10 @@
   }
 }
 
-function shapeOf(line: Line, [x1, x2]: readonly [number, number]): number {
+function shapeOf(
+  line: Coefficients,
+  [x1, x2]: readonly [number, number],
+): number {
   return Math.max(LEAST, line.constant + line.first * x1 + line.second * x2);
 }
 
--- a/src/admission/limit.ts
+++ b/src/admission/request_limiter.ts
@@ -6,7 +6,7 @@
 import type * as weight from "./weight.ts";
 
 /** Answer of the limits; `row` is the row that refused. */
-export type Verdict =
+export type Decision =
   | { type: "admit" }
   | { type: "refuse"; row: string; retryAfter?: number };
 
@@ -35,7 +35,7 @@
 }
 
 /** Limits of all rows; `take` and `release` change it in place. */
-export class Limit {
+export class RequestLimiter {
   #policies: request.Policies;
   readonly #rows = new Map<string, Row>();
   #sweep: Iterator<[string, Row]>;
@@ -45,8 +45,8 @@
     this.#sweep = this.#rows.entries();
   }
 
-  static create(policies: request.Policies = new Map()): Limit {
-    return new Limit(policies);
+  static create(policies: request.Policies = new Map()): RequestLimiter {
+    return new RequestLimiter(policies);
   }
 
   /** Takes new limits. What is in flight stays, also above a lower limit. */
@@ -55,7 +55,7 @@
   }
 
   /** Whether the account's row and the kind's have a token and a place. */
-  check(flow: weight.Flow, now: number): Verdict {
+  check(flow: weight.Flow, now: number): Decision {
     this.#forget(now);
     for (const name of rowsOf(flow)) {
       const verdict = this.#check(name, now);
@@ -66,7 +66,7 @@
 
   /** Takes them after `check`, once nothing else refuses the request, so that
    * a refusal uses up no limit. What was taken must be released. */
-  take(flow: weight.Flow): void {
+  acquire(flow: weight.Flow): void {
     for (const name of rowsOf(flow)) this.#take(name);
   }
 
@@ -87,7 +87,7 @@
     return Object.fromEntries(entries);
   }
 
-  #check(name: string, now: number): Verdict {
+  #check(name: string, now: number): Decision {
     const policy = this.#policies.get(name) ?? {};
     const row = this.#rowOf(name, now);
     const { rate, concurrency } = policy;
@@ -158,7 +158,7 @@
   row.at = now;
 }
 
-function refusal(row: string, wait?: number): Verdict {
+function refusal(row: string, wait?: number): Decision {
   if (wait === undefined) return { type: "refuse", row };
   const retryAfter = Math.max(LEAST_RETRY_AFTER, Math.ceil(wait));
   return { type: "refuse", row, retryAfter };
--- a/src/admission/limit_test.ts
+++ b/src/admission/request_limiter_test.ts
@@ -1,16 +1,16 @@
 import test from "ava";
-import * as limit from "./limit.ts";
+import * as limit from "./request_limiter.ts";
 
 const flow = { account: "crew", kind: "plan" };
 
 function createLimit(policy: { rate?: number; concurrency?: number }) {
-  return limit.Limit.create(new Map([["account/crew", policy]]));
+  return limit.RequestLimiter.create(new Map([["account/crew", policy]]));
 }
 
 /** Takes when the check admits; returns whether it did. */
-function tryTake(limits: limit.Limit, now: number): boolean {
+function tryTake(limits: limit.RequestLimiter, now: number): boolean {
   const admitted = limits.check(flow, now).type === "admit";
-  if (admitted) limits.take(flow);
+  if (admitted) limits.acquire(flow);
   return admitted;
 }
 
@@ -71,7 +71,7 @@
 });
 
 test("forgets rows that nothing is asked of", (t) => {
-  const limits = limit.Limit.create();
+  const limits = limit.RequestLimiter.create();
   for (let i = 0; i < 5000; i++) {
     limits.check({ account: `a${i}`, kind: "plan" }, i * 1000);
   }
--- a/src/admission/service_queue.ts
+++ b/src/admission/service_queue.ts
@@ -4,10 +4,10 @@
 import type * as policySet from "../request/policy_set.ts";
 import type * as request from "../request/mod.ts";
 import * as fairQueue from "./fair_queue.ts";
-import type * as lane from "./lane.ts";
+import type * as lane from "./flow_queue.ts";
 
 /** What a queue asks of the estimates. */
-export interface Predict {
+export interface Predictor {
   /** Milliseconds of a slot that the stage takes. */
   work(work: policySet.Work): number;
   /** Latest start at which the request can still finish. */
@@ -21,17 +21,17 @@
 
 /** A weighted fair queue over the dispatcher's work. */
 export class ServiceQueue implements policySet.Queue {
-  readonly #predict: Predict;
+  readonly #predict: Predictor;
   readonly #queue = fairQueue.FairQueue.create();
   readonly #works = new Map<string, policySet.Work>();
   /** Items that left the queue, so that a retry keeps its place. */
   readonly #places = new WeakMap<policySet.Work, Place>();
 
-  private constructor(predict: Predict) {
+  private constructor(predict: Predictor) {
     this.#predict = predict;
   }
 
-  static create(predict: Predict): ServiceQueue {
+  static create(predict: Predictor): ServiceQueue {
     return new ServiceQueue(predict);
   }
 
@@ -97,7 +97,7 @@
       deadline,
       expires: this.#predict.expires(work),
       work: this.#predict.work(work),
-      start: retried ? place.item.start : undefined,
+      startTag: retried ? place.item.startTag : undefined,
     };
   }
 }
--- a/src/admission/share.ts
+++ b/src/admission/slot_share.ts
@@ -19,14 +19,14 @@
 }
 
 /** Share of one service's slots; changed in place. */
-export class Share {
+export class SlotShare {
   readonly #members = new Map<string, Member>();
   #own = 0;
 
   private constructor() {}
 
-  static create(): Share {
-    return new Share();
+  static create(): SlotShare {
+    return new SlotShare();
   }
 
   /** Slots of all usable endpoints. */
@@ -37,7 +37,7 @@
   }
 
   /** Takes the usable endpoints with their slots. */
-  replace(endpoints: ReadonlyMap<string, number>): void {
+  setEndpoints(endpoints: ReadonlyMap<string, number>): void {
     for (const id of this.#members.keys()) {
       if (!endpoints.has(id)) this.#members.delete(id);
     }
@@ -53,13 +53,13 @@
   }
 
   /** Counts a call that starts, or one that ends. */
-  shift(change: 1 | -1): void {
+  addCalls(change: 1 | -1): void {
     this.#own = Math.max(0, this.#own + change);
   }
 
   /** Slots that this host can count on; infinite while the endpoints report
    * nothing. */
-  window(now: number): number {
+  usableSlots(now: number): number {
     let slots = 0;
     let calls = 0;
     for (const member of this.#members.values()) {
--- a/src/admission/estimate.ts
+++ b/src/admission/stage_time_estimator.ts
@@ -5,11 +5,11 @@
  * quantile of actual against predicted time. About 1 KB a record.
  * @module */
 
-import * as quantile from "./quantile.ts";
+import * as quantile from "./quantile_estimator.ts";
 import * as regression from "./regression.ts";
 
 /** One stage's work, as far as known before it runs. */
-export interface Work {
+export interface StageInput {
   service: string;
   stage: string;
   /** Input tokens. */
@@ -43,58 +43,62 @@
 
 /** Before any sample: 20 ms a call, 100 ms per 1,000 tokens in, 10 ms a token
  * out. */
-const TIME_PRIOR: regression.Line = {
+const TIME_PRIOR: regression.Coefficients = {
   constant: 20,
   first: 100,
   second: 10_000,
 };
 
 /** Before any sample: about a quarter of the most tokens is generated. */
-const OUTPUT_PRIOR: regression.Line = {
+const OUTPUT_PRIOR: regression.Coefficients = {
   constant: 0.01,
   first: 0.001,
   second: 0.25,
 };
 
 /** Before any sample: a stage's input is about as large as the request. */
-const SIZE_PRIOR: regression.Line = { constant: 0.05, first: 1, second: 0.01 };
+const SIZE_PRIOR: regression.Coefficients = {
+  constant: 0.05,
+  first: 1,
+  second: 0.01,
+};
 
-const HIGH: quantile.Goal = {
+const HIGH: quantile.Options = {
   quantile: 0.95,
   initial: 2,
   step: 0.1,
-  least: 1,
-  most: 20,
+  min: 1,
+  max: 20,
 };
 
-const LOW: quantile.Goal = {
+const LOW: quantile.Options = {
   quantile: 0.1,
   initial: 0.5,
   step: 0.1,
-  least: 0.05,
-  most: 1,
+  min: 0.05,
+  max: 1,
 };
 
 interface Record {
   time: regression.Regression;
   output: regression.Regression;
   size: regression.Regression;
-  high: quantile.Quantile;
-  low: quantile.Quantile;
+  high: quantile.QuantileEstimator;
+  low: quantile.QuantileEstimator;
 }
 
 /** Learnt stage times of all services; `observe` changes it in place. */
-export class Estimate {
+export class StageTimeEstimator {
   readonly #records = new Map<string, Record>();
 
   private constructor() {}
 
-  static create(): Estimate {
-    return new Estimate();
+  static create(): StageTimeEstimator {
+    return new StageTimeEstimator();
   }
 
   /** Time that a stage is expected to take in a slot. */
-  predict(work: Work): Prediction {
+  predict(work: StageInput): Prediction {
     const record = this.#recordOf(work);
     const output = outputOf(record, work);
     const mean = record.time.predict(work.size / UNIT, output / UNIT);
@@ -109,7 +113,7 @@
   }
 
   /** Learns from a call that was answered whole. */
-  observe(work: Work, sample: Sample): void {
+  observe(work: StageInput, sample: Sample): void {
     const record = this.#recordOf(work);
     const size = work.size / UNIT;
     const output = sample.outputTokens / UNIT;
@@ -123,7 +127,7 @@
   }
 
   /** Learns the input size that a stage got for a request of `size` tokens. */
-  observeSize(work: Work, size: number): void {
+  observeSize(work: StageInput, size: number): void {
     this.#recordOf(work).size.observe([size / UNIT, 0], work.size / UNIT);
   }
 
@@ -161,12 +165,12 @@
     time: regression.Regression.create(TIME_PRIOR),
     output: regression.Regression.create(OUTPUT_PRIOR),
     size: regression.Regression.create(SIZE_PRIOR),
-    high: quantile.Quantile.create(HIGH),
-    low: quantile.Quantile.create(LOW),
+    high: quantile.QuantileEstimator.create(HIGH),
+    low: quantile.QuantileEstimator.create(LOW),
   };
 }
 
-function outputOf(record: Record, work: Work): number {
+function outputOf(record: Record, work: StageInput): number {
   if (work.maxTokens === 0) return 0;
   const output = record.output.predict(
     work.size / UNIT,
--- a/src/admission/estimate_test.ts
+++ b/src/admission/stage_time_estimator_test.ts
@@ -1,12 +1,12 @@
 import test from "ava";
 import * as runtime from "../runtime/mod.ts";
-import * as estimate from "./estimate.ts";
-import * as naive from "./naive_estimate.ts";
-import * as split from "./split.ts";
+import * as estimate from "./stage_time_estimator.ts";
+import * as naive from "./naive_stage_time_estimator.ts";
+import * as split from "./stage_deadlines.ts";
 
 const SLOW = 10;
 
-function createWork(size: number): estimate.Work {
+function createWork(size: number): estimate.StageInput {
   return { service: "lm-pool", stage: "generate", size, maxTokens: 0 };
 }
 
@@ -22,7 +22,7 @@
 
 test("learns time against size from a cold start", (t) => {
   const random = runtime.createRandom(1);
-  const times = estimate.Estimate.create();
+  const times = estimate.StageTimeEstimator.create();
   for (let i = 0; i < 100; i++) {
     const size = sizeFrom(random);
     const time = timeOf(size, random);
@@ -37,8 +37,8 @@
 test("stays near its naive twin when a tenth of the calls straggle", (t) => {
   for (let seed = 1; seed <= 20; seed++) {
     const random = runtime.createRandom(seed);
-    const times = estimate.Estimate.create();
-    const twin = new naive.NaiveEstimate();
+    const times = estimate.StageTimeEstimator.create();
+    const twin = new naive.NaiveStageTimeEstimator();
     for (let i = 0; i < 500; i++) {
       const size = sizeFrom(random);
       const slow = random.next() < 0.1 ? SLOW : 1;
@@ -55,7 +55,7 @@
 
 test("follows a lasting change", (t) => {
   const random = runtime.createRandom(2);
-  const times = estimate.Estimate.create();
+  const times = estimate.StageTimeEstimator.create();
   for (let i = 0; i < 500; i++) {
     const size = sizeFrom(random);
     const time = (i < 200 ? 1 : 4) * timeOf(size, random);
@@ -67,7 +67,7 @@
 
 test("the high quantile covers 95 of 100 calls", (t) => {
   const random = runtime.createRandom(3);
-  const times = estimate.Estimate.create();
+  const times = estimate.StageTimeEstimator.create();
   let covered = 0;
   for (let i = 0; i < 3000; i++) {
     const size = sizeFrom(random);
@@ -81,7 +81,7 @@
 
 test("learns how much of the most tokens is generated", (t) => {
   const random = runtime.createRandom(4);
-  const times = estimate.Estimate.create();
+  const times = estimate.StageTimeEstimator.create();
   for (let i = 0; i < 300; i++) {
     const maxTokens = 100 + random.below(400);
     const outputTokens = Math.round(maxTokens * (0.4 + 0.2 * random.next()));
@@ -95,7 +95,7 @@
 });
 
 test("keeps its memory bounded", (t) => {
-  const times = estimate.Estimate.create();
+  const times = estimate.StageTimeEstimator.create();
   for (let i = 0; i < 3000; i++) {
     const work = { ...createWork(100), service: `s${i}` };
     times.observe(work, { time: 10, outputTokens: 0 });
@@ -108,7 +108,7 @@
     { mean: 10, high: 20, low: 5 },
     { mean: 30, high: 60, low: 15 },
   ];
-  t.deepEqual(split.split(stages, 100, 500), [
+  t.deepEqual(split.splitDeadline(stages, 100, 500), [
     { latestStart: 460, finish: 200 },
     { latestStart: 470, finish: 500 },
   ]);
--- a/src/admission/weight.ts
+++ b/src/admission/weight.ts
@@ -13,7 +13,7 @@
 export const DEFAULT_WEIGHT = 1;
 
 /** Least weight, so that a weight of 0 still drains when nothing else waits. */
-export const LEAST_WEIGHT = 0.001;
+export const MIN_WEIGHT = 0.001;
 
 /** Requests of one client account and one request kind. */
 export interface Flow {
@@ -52,5 +52,5 @@
 }
 
 function orLeast(weight = DEFAULT_WEIGHT): number {
-  return Math.max(LEAST_WEIGHT, weight);
+  return Math.max(MIN_WEIGHT, weight);
 }
--- a/src/pieces/arrivals.ts
+++ b/src/batching/arrivals.ts
@@ -11,8 +11,8 @@
   readonly request: string;
   readonly count: number;
   /** Milliseconds from the booking to the time that decides its turn. */
-  readonly allowed: number;
-  readonly at: number;
+  readonly leadTime: number;
+  readonly bookedAt: number;
 }
 
 /** Bookings of one cell; changed in place. */
@@ -23,22 +23,22 @@
     return new Arrivals();
   }
 
-  note(arrival: Arrival): void {
+  record(arrival: Arrival): void {
     this.#recent.push(arrival);
   }
 
   /** Forgets a request that was refused: what comes like it will be, too. */
-  drop(request: string): void {
+  removeRequest(request: string): void {
     this.#recent = this.#recent.filter((each) => each.request !== request);
   }
 
   /** Pieces expected to come within `wait` milliseconds and to have their turn
    * before `turn`. */
-  overtaking(
+  expectedAhead(
     turn: number,
     { wait, now }: { wait: number; now: number },
   ): number {
-    return this.#recent.reduce((sum, { count, allowed }) => {
+    return this.#recent.reduce((sum, { count, leadTime: allowed }) => {
       const span = Math.min(wait, turn - allowed - now);
       return span > 0 ? sum + count * span / WINDOW : sum;
     }, 0);
@@ -46,7 +46,9 @@
 
   /** Forgets what is too old to tell anything. */
   expire(now: number): void {
-    const first = this.#recent.findIndex(({ at }) => at > now - WINDOW);
+    const first = this.#recent.findIndex(({ bookedAt: at }) =>
+      at > now - WINDOW
+    );
     this.#recent = first < 0 ? [] : this.#recent.slice(first);
   }
 }
--- a/src/pieces/piece_call.ts
+++ b/src/batching/batch_call.ts
@@ -6,7 +6,7 @@
 import type * as protocols from "../gateway/protocol.ts";
 import type * as runtime from "../runtime/mod.ts";
 import type * as telemetry from "../telemetry/mod.ts";
-import type * as works from "./work.ts";
+import type * as works from "./task.ts";
 
 /** Bytes of the largest answer: a full call has some dozens of results. */
 const MOST_BYTES = 1024 * 1024;
@@ -18,7 +18,7 @@
 
 /** What a call gave. */
 export type CallOutcome =
-  | { type: "results"; results: readonly protocols.PieceResult[] }
+  | { type: "results"; results: readonly protocols.ItemResult[] }
   | { type: "failed"; cause: CallFailure };
 
 /** What calls need. */
@@ -33,7 +33,7 @@
 
 /** Asks an endpoint for the pieces of an assignment; never rejects. */
 export async function call(
-  { worker, works }: works.Assignment,
+  { worker, tasks: works }: works.Assignment,
   options: CallOptions & { readonly patience: number },
 ): Promise<CallOutcome> {
   const { protocol, clock, patience } = options;
@@ -41,12 +41,12 @@
   const orders = works.map((work) => ({
     request: work.request,
     stage: work.stage,
-    piece: work.piece,
-    remaining: Math.max(1, Math.round(work.expires - now)),
+    itemIndex: work.itemIndex,
+    remaining: Math.max(1, Math.round(work.expiresAt - now)),
     key: work.key,
     inputs: work.inputs,
   }));
-  const outgoing = protocol.pieceCall(worker.name, orders);
+  const outgoing = protocol.batchCall(worker.name, orders);
   const whole = await exchange(worker.address, outgoing, {
     ...options,
     timeout: patience,
@@ -55,7 +55,9 @@
   const { head, body } = whole;
   if (head.isNotRun) return { type: "failed", cause: "full" };
   if (head.isMisdirected) return { type: "failed", cause: "unreachable" };
-  const results = head.status === 200 ? protocol.readPieces(body) : undefined;
+  const results = head.status === 200
+    ? protocol.decodeItemResults(body)
+    : undefined;
   if (results === undefined || results.length !== works.length) {
     return { type: "failed", cause: "broken" };
   }
@@ -102,7 +104,7 @@
       mostBytes: MOST_BYTES,
       receiver: {
         head(status, headers) {
-          head = protocol.readReply(status, headers);
+          head = protocol.decodeReply(status, headers);
           options.onHead?.(head);
         },
         data: (part) => void parts.push(part),
--- a/src/pieces/batcher.ts
+++ b/src/batching/batcher.ts
@@ -4,23 +4,23 @@
 
 import type * as configurations from "../configuration/mod.ts";
 import type * as schema from "../schema/fleet_types.ts";
-import * as cellBatchers from "./cell_batcher.ts";
-import type * as cells from "./cells.ts";
-import type * as works from "./work.ts";
+import * as cellBatchers from "./partition_batcher.ts";
+import type * as cells from "./partitions.ts";
+import type * as works from "./task.ts";
 
 /** What batchers need of their host. */
-export interface BatcherOptions extends cellBatchers.CallOptions {
+export interface BatcherOptions extends cellBatchers.BatcherDependencies {
   service(name: string): configurations.Service | undefined;
   /** Endpoints of a cell that take calls. */
-  workers(of: cells.CellName): readonly works.Worker[];
+  workers(of: cells.PartitionName): readonly works.Worker[];
   /** Whether no endpoint of a cell may get new calls. */
-  isClosed(of: cells.CellName): boolean;
+  isEvacuated(of: cells.PartitionName): boolean;
 }
 
 /** Batchers of cells. */
 export class Batcher {
   readonly #options: BatcherOptions;
-  readonly #cells = new Map<string, cellBatchers.CellBatcher>();
+  readonly #cells = new Map<string, cellBatchers.PartitionBatcher>();
 
   private constructor(options: BatcherOptions) {
     this.#options = options;
@@ -31,9 +31,9 @@
   }
 
   /** Makes pieces; resolves once each is made or cannot be. */
-  make(question: schema.MakeQuestion): Promise<schema.Result[]> {
+  compute(question: schema.MakeQuestion): Promise<schema.Result[]> {
     const cell = this.#cell(question);
-    if (cell !== undefined) return cell.make(question);
+    if (cell !== undefined) return cell.compute(question);
     return Promise.resolve(question.pieces.map((piece) => ({
       piece,
       failure: "unreachable" as const,
@@ -41,17 +41,18 @@
   }
 
   /** Notes pieces that will be asked for; says when they would be made. */
-  book(question: schema.BookQuestion): cellBatchers.Turn {
-    return this.#cell(question)?.book(question) ?? cellBatchers.UNKNOWN;
+  reserve(question: schema.BookQuestion): cellBatchers.ReservationEstimate {
+    return this.#cell(question)?.reserve(question) ??
+      cellBatchers.UNKNOWN_ESTIMATE;
   }
 
   /** Drops the pieces of a request that have not been begun. */
-  drop(of: cells.CellName, request: string): void {
-    this.#cells.get(keyOf(of))?.drop(request);
+  cancel(of: cells.PartitionName, request: string): void {
+    this.#cells.get(keyOf(of))?.cancel(request);
   }
 
   /** Gives results up, so that their room is free. */
-  release(of: cells.CellName, handles: readonly string[]): void {
+  release(of: cells.PartitionName, handles: readonly string[]): void {
     this.#cell(of)?.release(handles);
   }
 
@@ -68,26 +69,26 @@
   }
 
   /** Undefined where the service is not known to make pieces. */
-  #cell({ service, cell }: cells.CellName):
-    | cellBatchers.CellBatcher
+  #cell({ service, cell }: cells.PartitionName):
+    | cellBatchers.PartitionBatcher
     | undefined {
     const key = keyOf({ service, cell });
     const known = this.#cells.get(key);
-    const traits = this.#options.service(service)?.pieces;
+    const traits = this.#options.service(service)?.batching;
     if (known !== undefined || traits === undefined) return known;
     let last = traits;
-    const made = cellBatchers.CellBatcher.create({
+    const made = cellBatchers.PartitionBatcher.create({
       ...this.#options,
       service,
-      traits: () => last = this.#options.service(service)?.pieces ?? last,
+      traits: () => last = this.#options.service(service)?.batching ?? last,
       workers: () => this.#options.workers({ service, cell }),
-      isClosed: () => this.#options.isClosed({ service, cell }),
+      isEvacuated: () => this.#options.isEvacuated({ service, cell }),
     });
     this.#cells.set(key, made);
     return made;
   }
 }
 
-function keyOf({ service, cell }: cells.CellName): string {
+function keyOf({ service, cell }: cells.PartitionName): string {
   return `${service} ${cell}`;
 }
--- a/src/pieces/maker_test.ts
+++ b/src/batching/batcher_client_test.ts
@@ -5,8 +5,8 @@
 import type * as schema from "../schema/fleet_types.ts";
 import * as telemetry from "../telemetry/mod.ts";
 import * as fixture from "./fixture.ts";
-import * as makers from "./maker.ts";
-import type * as works from "./work.ts";
+import * as makers from "./batcher_client.ts";
+import type * as works from "./task.ts";
 
 function host(name: string, dataCentre: string) {
   return { host: name, dataCentre };
@@ -29,15 +29,15 @@
   const asked: string[] = [];
   const clock = new runtime.FakeClock();
   const own = { booked: 0, made: 0 };
-  const maker = makers.Maker.create({
+  const maker = makers.BatcherClient.create({
     self: "me",
     clock,
     logger: telemetry.noLogger,
-    basis: () => [HOSTS],
-    hosts: () => HOSTS,
+    dependencies: () => [HOSTS],
+    entryHosts: () => HOSTS,
     services: () => services,
     workers: () => endpoints,
-    isSound: () => true,
+    isAvailable: () => true,
     calls: {
       ask(to, { type }): Promise<schema.Reply> {
         asked.push(to);
@@ -51,11 +51,11 @@
       cast: (to) => void asked.push(to),
     },
     batcher: {
-      make() {
+      compute() {
         own.made++;
         return Promise.resolve([]);
       },
-    } as unknown as makers.MakerOptions["batcher"],
+    } as unknown as makers.BatcherClientOptions["batcher"],
   });
   return { maker, asked, own };
 }
@@ -74,9 +74,9 @@
 
 test("a host of a cell's data centre batches for it", async (t) => {
   const { maker, asked } = makerOf(fixture.workersAt({ hall: 5, town: 5 }));
-  const cell = maker.cell("maps", WANTED);
+  const cell = maker.selectPartition("maps", WANTED);
   t.is(cell, "town/0.1");
-  t.deepEqual(await maker.book(booking("maps", cell)), {
+  t.deepEqual(await maker.reserve(booking("maps", cell)), {
     type: "booked",
     wait: 7,
     work: 3,
@@ -87,7 +87,9 @@
 test("two cells of a data centre are batched by two hosts", async (t) => {
   const { maker, asked } = makerOf(fixture.workersAt({ hall: 5, town: 5 }));
   for (const service of ["billing", "maps"]) {
-    await maker.book(booking(service, maker.cell(service, WANTED)));
+    await maker.reserve(
+      booking(service, maker.selectPartition(service, WANTED)),
+    );
   }
   t.deepEqual([...asked].sort(), ["town-1", "town-2"]);
 });
@@ -95,7 +97,7 @@
 test("other hosts make pieces when one is silent, the own one at last", async (t) => {
   const silent = HOSTS.map((each) => each.host);
   const { maker, asked, own } = makerOf(fixture.workersAt({ hall: 1 }), silent);
-  await maker.make(making("maps", "all"));
+  await maker.compute(making("maps", "all"));
   t.is(new Set(asked).size, 2);
   t.is(own.made, 1);
 });
@@ -103,13 +105,13 @@
 test("a host that was silent is left out for a while", async (t) => {
   const first = async () => {
     const { maker, asked } = makerOf(fixture.workersAt({ hall: 1 }));
-    await maker.make(making("maps", "all"));
+    await maker.compute(making("maps", "all"));
     return asked[0];
   };
   const lost = await first();
   const { maker, asked } = makerOf(fixture.workersAt({ hall: 1 }), [lost]);
-  await maker.make(making("maps", "all"));
-  await maker.make(making("maps", "all"));
+  await maker.compute(making("maps", "all"));
+  await maker.compute(making("maps", "all"));
   t.is(asked.filter((host) => host === lost).length, 1);
   t.is(asked.length, 3);
 });
@@ -118,15 +120,15 @@
   const services = ["billing", "gear", "maps"];
   const endpoints = fixture.workersAt({ hall: 1 });
   const { maker, asked } = makerOf(endpoints, [], services);
-  for (const each of services) await maker.make(making(each, "all"));
+  for (const each of services) await maker.compute(making(each, "all"));
   const batchers = [...asked];
   for (const [pos, lost] of services.entries()) {
     const other = makerOf(endpoints, [batchers[pos]], services);
-    await other.maker.make(making(lost, "all"));
+    await other.maker.compute(making(lost, "all"));
     for (const [kept, service] of services.entries()) {
       if (kept === pos) continue;
       other.asked.length = 0;
-      await other.maker.make(making(service, "all"));
+      await other.maker.compute(making(service, "all"));
       t.deepEqual(other.asked, [batchers[kept]]);
     }
   }
@@ -135,5 +137,8 @@
 test("where nobody says when pieces would be made, nothing is assumed", async (t) => {
   const silent = HOSTS.map((each) => each.host);
   const { maker } = makerOf(fixture.workersAt({ hall: 1 }), silent);
-  t.deepEqual(await maker.book(booking("maps", "all")), { wait: 0, work: 0 });
+  t.deepEqual(await maker.reserve(booking("maps", "all")), {
+    wait: 0,
+    work: 0,
+  });
 });
--- a/src/pieces/suitability.ts
+++ b/src/batching/delay_scheduling.ts
@@ -3,7 +3,7 @@
  * @module */
 
 import type * as configurations from "../configuration/mod.ts";
-import type * as works from "./work.ts";
+import type * as works from "./task.ts";
 import type * as workerStates from "./worker_state.ts";
 
 /** Bytes for which a piece is made where they are while there is time: their
@@ -22,19 +22,19 @@
 const FASTER = 1.5;
 
 /** What a choice goes by. */
-export interface SuitabilityOptions {
+export interface DelaySchedulingOptions {
   /** All endpoints of the cell. */
   readonly workers: Iterable<workerStates.WorkerState>;
-  readonly traits: configurations.PieceTraits;
+  readonly traits: configurations.BatchTraits;
   readonly now: number;
 }
 
 /** One free endpoint, beside those that pieces may be left for; asked piece by
  * piece, the most urgent first. */
-export class Suitability {
+export class DelayScheduling {
   readonly #state: workerStates.WorkerState;
   readonly #usable: readonly workerStates.WorkerState[];
-  readonly #traits: configurations.PieceTraits;
+  readonly #traits: configurations.BatchTraits;
   readonly #now: number;
   /** When a full call there would end, and one at the first of the faster
    * endpoints; endless without one. */
@@ -47,7 +47,7 @@
 
   private constructor(
     state: workerStates.WorkerState,
-    { workers, traits, now }: SuitabilityOptions,
+    { workers, traits, now }: DelaySchedulingOptions,
   ) {
     this.#state = state;
     this.#traits = traits;
@@ -65,13 +65,13 @@
 
   static of(
     state: workerStates.WorkerState,
-    options: SuitabilityOptions,
-  ): Suitability {
-    return new Suitability(state, options);
+    options: DelaySchedulingOptions,
+  ): DelayScheduling {
+    return new DelayScheduling(state, options);
   }
 
   /** Whether the endpoint is to make a piece. */
-  suits(work: works.Work): boolean {
+  accepts(work: works.Task): boolean {
     const isSooner = !this.#isSavedByFaster(work);
     const isNear = !this.#waitsForData(work);
     return isSooner && isNear;
@@ -81,7 +81,7 @@
    * behind the more urgent ones. In simulated overloads with an endpoint that is
    * four times slower .02 more of the worth is served so, and .004 in the usual
    * loads with faults. */
-  #isSavedByFaster({ wanted }: works.Work): boolean {
+  #isSavedByFaster({ dueAt: wanted }: works.Task): boolean {
     const before = this.#before++;
     if (this.#faster === 0 || this.#ends <= wanted) return false;
     const calls = Math.floor(before / (this.#traits.batch * this.#faster));
@@ -90,7 +90,9 @@
 
   /** Whether a piece that moves much waits for an endpoint where its data is,
    * as long as it is in time there behind the more urgent ones. */
-  #waitsForData({ dataCentre = "", moved, wanted }: works.Work): boolean {
+  #waitsForData(
+    { dataCentre = "", transferBytes: moved, dueAt: wanted }: works.Task,
+  ): boolean {
     const before = this.#beforeAt.get(dataCentre) ?? 0;
     this.#beforeAt.set(dataCentre, before + 1);
     if (moved < LARGE || dataCentre === "") return false;
@@ -101,26 +103,26 @@
     if (there.length === 0) return false;
     const calls = Math.floor(before / (this.#traits.batch * there.length));
     const begins = this.#firstFree(there) + calls * fullCall(this.#traits);
-    return begins + patience(this.#traits) <= wanted;
+    return begins + localityMargin(this.#traits) <= wanted;
   }
 
   #firstFree(states: readonly workerStates.WorkerState[]): number {
     const { callTime } = this.#traits;
     return Math.min(
       Infinity,
-      ...states.map((state) => state.freeAt(this.#now, callTime)),
+      ...states.map((state) => state.availableAt(this.#now, callTime)),
     );
   }
 }
 
 /** Milliseconds that must be left of a piece's time when it is begun at an
  * endpoint that it has waited for. */
-export function patience(traits: configurations.PieceTraits): number {
+export function localityMargin(traits: configurations.BatchTraits): number {
   return PATIENT_CALLS * fullCall(traits);
 }
 
 function fullCall(
-  { callTime, pieceTime, batch }: configurations.PieceTraits,
+  { callTime, itemTime: pieceTime, batch }: configurations.BatchTraits,
 ): number {
   return callTime + batch * pieceTime;
 }
--- a/src/pieces/fixture.ts
+++ b/src/batching/fixture.ts
@@ -1,7 +1,7 @@
 /** Pieces and endpoints for tests.
  * @module */
 
-import type * as work from "./work.ts";
+import type * as work from "./task.ts";
 
 /** So many endpoints in each data centre. */
 export function workersAt(counts: Record<string, number>): work.Worker[] {
@@ -16,22 +16,22 @@
 }
 
 /** So many pieces of a request. */
-export function works(
+export function tasks(
   request: string,
   count: number,
-  change: Partial<work.Work> = {},
-): work.Work[] {
+  change: Partial<work.Task> = {},
+): work.Task[] {
   return Array.from({ length: count }, (_, piece) => ({
     request,
     stage: 0,
-    piece,
+    itemIndex: piece,
     key: "k",
     bytes: 100,
-    expires: 10_000,
-    wanted: 2000,
+    expiresAt: 10_000,
+    dueAt: 2000,
     rank: 0,
-    moved: 100,
-    tries: 0,
+    transferBytes: 100,
+    attempts: 0,
     ...change,
   }));
 }
--- a/src/pieces/forecast.ts
+++ b/src/batching/forecast.ts
@@ -14,7 +14,7 @@
 
 /** Milliseconds until all stages are made. What waits is drained while earlier
  * stages are made, so a stage begins when both are over. */
-export function finish(stages: readonly StageForecast[]): number {
+export function completionTime(stages: readonly StageForecast[]): number {
   const ends: number[] = [];
   for (const { after, wait, work } of stages) {
     const start = Math.max(0, ...after.map((other) => ends[other]));
@@ -24,7 +24,7 @@
 }
 
 /** Milliseconds of work that follow on each stage. */
-export function tails(
+export function remainingTimes(
   stages: readonly Pick<StageForecast, "after" | "work">[],
 ): number[] {
   const tails = stages.map(() => 0);
@@ -38,8 +38,8 @@
 }
 
 /** Milliseconds that the calls for so many pieces take, side by side. */
-export function workOf(
-  { batch, callTime, pieceTime }: configurations.PieceTraits,
+export function callDuration(
+  { batch, callTime, itemTime: pieceTime }: configurations.BatchTraits,
   count: number,
 ): number {
   return count === 0 ? 0 : callTime + Math.min(count, batch) * pieceTime;
--- a/src/pieces/forecast_test.ts
+++ b/src/batching/forecast_test.ts
@@ -3,7 +3,7 @@
 import test from "ava";
 import * as fixture from "../configuration/fixture.ts";
 import * as forecast from "./forecast.ts";
-import * as pace from "./pace.ts";
+import * as pace from "./throughput.ts";
 
 test("a stage begins when what it needs is made and its turn has come", (t) => {
   const chain = [
@@ -11,16 +11,16 @@
     { after: [0], wait: 250, work: 50 },
     { after: [1], wait: 900, work: 10 },
   ];
-  t.is(forecast.finish(chain), 910);
-  t.is(forecast.finish(chain.slice(0, 2)), 350);
+  t.is(forecast.completionTime(chain), 910);
+  t.is(forecast.completionTime(chain.slice(0, 2)), 350);
 });
 
 test("a stage without pieces takes no time", (t) => {
-  t.is(forecast.finish([{ after: [], wait: 500, work: 0 }]), 0);
+  t.is(forecast.completionTime([{ after: [], wait: 500, work: 0 }]), 0);
 });
 
 test("what follows on a stage is the longest way behind it", (t) => {
-  const tails = forecast.tails([
+  const tails = forecast.remainingTimes([
     { after: [], work: 5 },
     { after: [0], work: 10 },
     { after: [0], work: 70 },
@@ -30,18 +30,18 @@
 });
 
 test("calls for more pieces than a batch run side by side", (t) => {
-  const traits = fixture.pieceTraits();
-  t.is(forecast.workOf(traits, 2), 120);
-  t.is(forecast.workOf(traits, 9), 140);
-  t.is(forecast.workOf(traits, 0), 0);
+  const traits = fixture.batchTraits();
+  t.is(forecast.callDuration(traits, 2), 120);
+  t.is(forecast.callDuration(traits, 9), 140);
+  t.is(forecast.callDuration(traits, 0), 0);
 });
 
 test("a pace that is held up counts while pieces wait", (t) => {
-  const measured = pace.Pace.create();
-  measured.note(true, 0);
-  for (let at = 100; at <= 1000; at += 100) measured.begin(1, at);
+  const measured = pace.Throughput.create();
+  measured.recordSaturation(true, 0);
+  for (let at = 100; at <= 1000; at += 100) measured.recordStart(1, at);
   t.is(measured.rate(0.02, 300), 0.02);
   t.is(measured.rate(0.02, 1000), 0.01);
-  measured.note(false, 1001);
+  measured.recordSaturation(false, 1001);
   t.is(measured.rate(0.02, 1500), 0.02);
 });
--- a/src/pieces/mod.ts
+++ b/src/batching/mod.ts
@@ -2,10 +2,10 @@
  * @module */
 
 export * from "./batcher.ts";
-export type { Turn } from "./cell_batcher.ts";
-export * as cells from "./cells.ts";
+export type { ReservationEstimate as Turn } from "./partition_batcher.ts";
+export * as partitions from "./partitions.ts";
 export * as forecast from "./forecast.ts";
-export * from "./maker.ts";
+export * from "./batcher_client.ts";
 export * from "./plan.ts";
 export { Scheduler } from "./scheduler.ts";
-export type { Work, Worker } from "./work.ts";
+export type { Task as Work, Worker } from "./task.ts";
--- a/src/pieces/cell_batcher.ts
+++ b/src/batching/partition_batcher.ts
@@ -9,9 +9,9 @@
 import type * as runtime from "../runtime/mod.ts";
 import type * as schema from "../schema/fleet_types.ts";
 import type * as telemetry from "../telemetry/mod.ts";
-import * as pieceCall from "./piece_call.ts";
+import * as pieceCall from "./batch_call.ts";
 import * as schedulers from "./scheduler.ts";
-import * as works from "./work.ts";
+import * as works from "./task.ts";
 
 /** Times that a piece is tried; each costs an endpoint's time. */
 const TRIES = 4;
@@ -20,7 +20,7 @@
 const GATHER = 20;
 
 /** What a batcher needs of its host. */
-export interface CallOptions {
+export interface BatcherDependencies {
   clock: runtime.Clock;
   dispatcher: undici.Dispatcher;
   protocol: protocols.GatewayProtocol;
@@ -28,29 +28,29 @@
   logger: telemetry.Logger;
   /** Notes that an endpoint has answered a call. One that has not is left alone
    * by its scheduler. */
-  noteAnswer(endpoint: string): void;
+  recordResponse(endpoint: string): void;
   /** Whether new calls may go to an endpoint, be it well or not. */
-  isOpen(endpoint: string): boolean;
-  quotas: Pick<rateLimits.QuotaClient, "note" | "isLimited" | "take">;
+  acceptsCalls(endpoint: string): boolean;
+  quotas: Pick<rateLimits.QuotaClient, "recordLimit" | "isLimited" | "acquire">;
 }
 
 /** What a batcher of one cell is made from. */
-export interface CellBatcherOptions extends CallOptions {
+export interface PartitionBatcherOptions extends BatcherDependencies {
   readonly service: string;
   /** Whether no endpoint of the cell may get new calls: its data centre is
    * evacuated. */
-  isClosed(): boolean;
+  isEvacuated(): boolean;
   /** Figures of the service; those in force before when it has none now. */
-  traits(): configurations.PieceTraits;
+  traits(): configurations.BatchTraits;
   /** Endpoints that take calls. */
   workers(): readonly works.Worker[];
 }
 
 /** When pieces would be made, and what that follows from. */
-export type Turn = Omit<schema.BookedReply, "type">;
+export type ReservationEstimate = Omit<schema.BookedReply, "type">;
 
 /** Nobody says when they would be made. */
-export const UNKNOWN: Turn = { wait: 0, work: 0 };
+export const UNKNOWN_ESTIMATE: ReservationEstimate = { wait: 0, work: 0 };
 
 interface Order {
   readonly question: schema.MakeQuestion;
@@ -59,8 +59,8 @@
 }
 
 /** The scheduler of a cell, and the calls that it orders. */
-export class CellBatcher {
-  readonly #options: CellBatcherOptions;
+export class PartitionBatcher {
+  readonly #options: PartitionBatcherOptions;
   readonly #scheduler: schedulers.Scheduler;
   readonly #orders = new Map<string, Order>();
   /** Results to be given up, by their maker. */
@@ -68,21 +68,21 @@
   #cancelWake: runtime.Cancel = () => {};
   #isReleasing = false;
 
-  private constructor(options: CellBatcherOptions) {
+  private constructor(options: PartitionBatcherOptions) {
     this.#options = options;
     this.#scheduler = schedulers.Scheduler.create(options.traits());
   }
 
-  static create(options: CellBatcherOptions): CellBatcher {
-    return new CellBatcher(options);
+  static create(options: PartitionBatcherOptions): PartitionBatcher {
+    return new PartitionBatcher(options);
   }
 
   /** Makes pieces; resolves once each is made or cannot be. */
-  make(question: schema.MakeQuestion): Promise<schema.Result[]> {
+  compute(question: schema.MakeQuestion): Promise<schema.Result[]> {
     const now = this.#options.clock.now();
     return new Promise((resolve) => {
       const order = { question, results: new Map(), resolve };
-      this.#orders.set(works.stageOf(question), order);
+      this.#orders.set(works.stageKey(question), order);
       this.#scheduler.add(worksOf(question, now));
       this.update();
     });
@@ -90,26 +90,26 @@
 
   /** Notes pieces that will be asked for; says how long they would wait, and
    * how long calls take. */
-  book(question: schema.BookQuestion): Turn {
+  reserve(question: schema.BookQuestion): ReservationEstimate {
     const { request, stage, pieces: count, slack, rank } = question;
     const now = this.#options.clock.now();
     this.#scheduler.setWorkers(this.#options.workers());
     const wanted = now + slack;
-    const booking = { request, stage, count, wanted, rank };
-    const { wait, ahead, rate } = this.#scheduler.book(booking, now);
+    const booking = { request, stage, count, dueAt: wanted, rank };
+    const { wait, ahead, rate } = this.#scheduler.reserve(booking, now);
     return {
       wait,
-      work: this.#scheduler.work(now),
-      workAge: this.#scheduler.workAge(now),
+      work: this.#scheduler.callDuration(now),
+      workAge: this.#scheduler.callDurationAge(now),
       ahead,
       rate: 1000 * rate,
     };
   }
 
   /** Drops the pieces of a request that have not been begun. */
-  drop(request: string): void {
-    for (const work of this.#scheduler.drop(request)) {
-      this.#settle(work, { piece: work.piece, failure: "late" });
+  cancel(request: string): void {
+    for (const work of this.#scheduler.cancelRequest(request)) {
+      this.#settle(work, { piece: work.itemIndex, failure: "late" });
     }
   }
 
@@ -117,7 +117,7 @@
   release(handles: readonly string[]): void {
     const { protocol, clock } = this.#options;
     for (const handle of handles) {
-      const maker = protocol.makerOf(handle);
+      const maker = protocol.holderOf(handle);
       const gathered = this.#released.get(maker) ?? new Set();
       gathered.add(handle);
       this.#released.set(maker, gathered);
@@ -130,13 +130,13 @@
   /** Follows a change of endpoints, of the configuration or of what waits:
    * makes the calls that can be made now. */
   update(): void {
-    const { clock, workers, traits, isClosed } = this.#options;
+    const { clock, workers, traits, isEvacuated: isClosed } = this.#options;
     const now = clock.now();
     if (isClosed()) this.#giveBackWaiting();
     this.#scheduler.setTraits(traits());
     this.#scheduler.setWorkers(workers());
     for (const work of this.#scheduler.expire(now)) {
-      this.#settle(work, { piece: work.piece, failure: "late" });
+      this.#settle(work, { piece: work.itemIndex, failure: "late" });
     }
     for (const assignment of this.#scheduler.assign(now)) {
       void this.#call(assignment);
@@ -147,7 +147,7 @@
   /** Ends pieces that wait, so that another cell is asked for them. */
   #giveBackWaiting(): void {
     for (const work of this.#scheduler.clear()) {
-      this.#settle(work, { piece: work.piece, failure: "unreachable" });
+      this.#settle(work, { piece: work.itemIndex, failure: "unreachable" });
     }
   }
 
@@ -165,26 +165,27 @@
   }
 
   async #call(assignment: works.Assignment): Promise<void> {
-    const { clock, metrics, service, quotas, isOpen } = this.#options;
+    const { clock, metrics, service, quotas, acceptsCalls: isOpen } =
+      this.#options;
     const { id } = assignment.worker;
     if (quotas.isLimited(id)) {
-      const wait = await quotas.take(id);
+      const wait = await quotas.acquire(id);
       if (wait > 0) return this.#putOff(assignment, wait);
     }
     if (!isOpen(id)) return this.#putOff(assignment, 0);
     const started = clock.now();
     metrics.count("pieces.calls", 1, { service });
-    metrics.count("pieces.made", assignment.works.length, { service });
+    metrics.count("pieces.made", assignment.tasks.length, { service });
     const outcome = await pieceCall.call(assignment, {
       ...this.#options,
-      patience: this.#scheduler.patience(assignment, started),
+      patience: this.#scheduler.callTimeout(assignment, started),
       onHead: ({ isMisdirected, rateLimit }) => {
-        if (!isMisdirected) quotas.note(id, rateLimit);
+        if (!isMisdirected) quotas.recordLimit(id, rateLimit);
       },
     });
     const now = clock.now();
     const isGood = outcome.type === "results" || outcome.cause === "full";
-    if (isGood) this.#options.noteAnswer(assignment.worker.id);
+    if (isGood) this.#options.recordResponse(assignment.worker.id);
     if (outcome.type === "results") {
       this.#takeResults(assignment, {
         results: outcome.results,
@@ -197,8 +198,11 @@
 
   /** Leaves an endpoint alone that takes no call for so many milliseconds. */
   #putOff(assignment: works.Assignment, pause: number): void {
-    this.#scheduler.fail(assignment, { now: this.#options.clock.now(), pause });
-    for (const work of assignment.works) {
+    this.#scheduler.failCall(assignment, {
+      now: this.#options.clock.now(),
+      pause,
+    });
+    for (const work of assignment.tasks) {
       this.#again(untried(work), "unreachable");
     }
     this.update();
@@ -207,19 +211,19 @@
   #takeResults(
     assignment: works.Assignment,
     { results, duration, now }: {
-      results: readonly protocols.PieceResult[];
+      results: readonly protocols.ItemResult[];
       duration: number;
       now: number;
     },
   ): void {
-    const { works } = assignment;
+    const { tasks: works } = assignment;
     const { metrics, service } = this.#options;
     const made = results.flatMap((result, pos) =>
       result.type === "made"
         ? [{ handle: result.handle, bytes: works[pos].bytes }]
         : []
     );
-    this.#scheduler.finish(assignment, { results: made, duration, now });
+    this.#scheduler.completeCall(assignment, { results: made, duration, now });
     const rejected = works.filter((_, pos) => {
       const result = results[pos];
       return result.type === "failed" && result.failure === "room";
@@ -228,7 +232,7 @@
       this.#noteFull(assignment, { rejected, made }, now);
     results.forEach((result, pos) => {
       const work = works[pos];
-      const { piece } = work;
+      const { itemIndex: piece } = work;
       if (result.type === "made") {
         this.#settle(work, { piece, handle: result.handle });
         return;
@@ -244,9 +248,9 @@
   /** Notes that an endpoint had less room than was thought; says whether most
    * of the call found none. */
   #noteFull(
-    { worker, works }: works.Assignment,
+    { worker, tasks: works }: works.Assignment,
     { rejected, made }: {
-      rejected: readonly works.Work[];
+      rejected: readonly works.Task[];
       made: readonly { bytes: number }[];
     },
     now: number,
@@ -258,7 +262,7 @@
       bytes: Math.min(...rejected.map(({ bytes }) => bytes)),
       made: made.reduce((sum, { bytes }) => sum + bytes, 0),
     };
-    const belief = this.#scheduler.noteFull(worker.id, full, now);
+    const belief = this.#scheduler.recordMemoryRejection(worker.id, full, now);
     logger.info(
       { service, endpoint: worker.id, ...full, ...belief },
       "Endpoint had no room",
@@ -271,7 +275,7 @@
     { cause }: { cause: pieceCall.CallFailure },
   ): void {
     const { clock, metrics, logger, service } = this.#options;
-    const { worker, works } = assignment;
+    const { worker, tasks: works } = assignment;
     const now = clock.now();
     const pause = cause === "full" ? FULL_PAUSE : undefined;
     metrics.count("pieces.failed", works.length, { service, failure: cause });
@@ -279,29 +283,29 @@
       { service, endpoint: worker.id, cause, pieces: works.length },
       "Call for pieces failed",
     );
-    this.#scheduler.fail(assignment, { now, pause });
+    this.#scheduler.failCall(assignment, { now, pause });
     for (const work of works) {
       this.#again(cause === "full" ? untried(work) : work, "unreachable");
     }
   }
 
-  #again(work: works.Work, failure: schema.Result["failure"]): void {
-    const order = this.#orders.get(works.stageOf(work));
-    const tries = work.tries + 1;
+  #again(work: works.Task, failure: schema.Result["failure"]): void {
+    const order = this.#orders.get(works.stageKey(work));
+    const tries = work.attempts + 1;
     if (order === undefined) return;
     if (tries < TRIES) {
-      this.#scheduler.add([{ ...work, tries }]);
-    } else this.#settle(work, { piece: work.piece, failure });
+      this.#scheduler.add([{ ...work, attempts: tries }]);
+    } else this.#settle(work, { piece: work.itemIndex, failure });
   }
 
-  #settle(work: works.Work, result: schema.Result): void {
-    const key = works.stageOf(work);
+  #settle(work: works.Task, result: schema.Result): void {
+    const key = works.stageKey(work);
     const order = this.#orders.get(key);
     if (order === undefined) {
       if (result.handle !== undefined) this.release([result.handle]);
       return;
     }
-    order.results.set(work.piece, result);
+    order.results.set(work.itemIndex, result);
     if (order.results.size < order.question.pieces.length) return;
     this.#orders.delete(key);
     order.resolve([...order.results.values()]);
@@ -324,7 +328,7 @@
     const { clock, quotas, workers } = this.#options;
     const worker = workers().find((each) => each.address === address);
     if (worker !== undefined && quotas.isLimited(worker.id)) {
-      const wait = await quotas.take(worker.id);
+      const wait = await quotas.acquire(worker.id);
       // Results end by themselves; until then these gather with others.
       if (wait > 0) {
         clock.after(wait, () => this.release(handles));
@@ -333,14 +337,14 @@
     }
     const isDone = await pieceCall.release(address, handles, this.#options);
     if (!isDone) return;
-    this.#scheduler.release(address, handles);
+    this.#scheduler.releaseResults(address, handles);
     this.update();
   }
 }
 
 /** A piece that a full endpoint has not tried. */
-function untried(work: works.Work): works.Work {
-  return { ...work, tries: work.tries - 1 };
+function untried(work: works.Task): works.Task {
+  return { ...work, attempts: work.attempts - 1 };
 }
 
 /** Milliseconds after which a full endpoint is asked again: about one call. */
@@ -349,7 +353,7 @@
 function worksOf(
   question: schema.MakeQuestion,
   now: number,
-): works.Work[] {
+): works.Task[] {
   const { request, stage, key, inputs, bytes, rank, dataCentre } = question;
   const { moved = bytes } = question;
   const expires = now + question.remaining;
@@ -357,15 +361,15 @@
   return question.pieces.map((piece) => ({
     request,
     stage,
-    piece,
+    itemIndex: piece,
     key,
     inputs,
     bytes,
-    expires,
-    wanted,
+    expiresAt: expires,
+    dueAt: wanted,
     rank,
     dataCentre,
-    moved,
-    tries: 0,
+    transferBytes: moved,
+    attempts: 0,
   }));
 }
--- a/src/pieces/cell_batcher_test.ts
+++ b/src/batching/partition_batcher_test.ts
@@ -8,7 +8,7 @@
 import * as runtime from "../runtime/mod.ts";
 import type * as schema from "../schema/fleet_types.ts";
 import * as telemetry from "../telemetry/mod.ts";
-import * as cellBatchers from "./cell_batcher.ts";
+import * as cellBatchers from "./partition_batcher.ts";
 import * as pieceFixture from "./fixture.ts";
 
 const QUESTION: schema.MakeQuestion = {
@@ -32,19 +32,23 @@
 ) {
   const [worker] = pieceFixture.workersAt({ hall: 1 });
   const state = { isEvacuated, calls: 0 };
-  const batcher = cellBatchers.CellBatcher.create({
+  const batcher = cellBatchers.PartitionBatcher.create({
     clock: new runtime.FakeClock(),
     metrics: telemetry.noMetrics,
     logger: telemetry.noLogger,
     service: "maps",
-    traits: () => fixture.pieceTraits(),
+    traits: () => fixture.batchTraits(),
     workers: () => state.isEvacuated ? [] : [worker],
-    isClosed: () => state.isEvacuated,
-    isOpen: () => !state.isEvacuated,
-    noteAnswer() {},
-    quotas: { ...quotaFixture.openQuotas(), isLimited: () => true, take },
+    isEvacuated: () => state.isEvacuated,
+    acceptsCalls: () => !state.isEvacuated,
+    recordResponse() {},
+    quotas: {
+      ...quotaFixture.unlimitedQuotas(),
+      isLimited: () => true,
+      acquire: take,
+    },
     protocol: {
-      pieceCall: () => ({ method: "POST", path: "/", headers: {}, body: "" }),
+      batchCall: () => ({ method: "POST", path: "/", headers: {}, body: "" }),
     } as unknown as protocols.GatewayProtocol,
     dispatcher: {
       dispatch() {
@@ -58,7 +62,7 @@
 
 test("pieces that wait for an evacuated data centre are given back", async (t) => {
   const { batcher, state } = batcherOf({ isEvacuated: true });
-  const results = await batcher.make(QUESTION);
+  const results = await batcher.compute(QUESTION);
   t.deepEqual(results.map(({ failure }) => failure), [
     "unreachable",
     "unreachable",
@@ -70,7 +74,7 @@
   let grant = (_: number) => {};
   const take = () => new Promise<number>((resolve) => grant = resolve);
   const { batcher, state } = batcherOf({ take });
-  const made = batcher.make(QUESTION);
+  const made = batcher.compute(QUESTION);
   state.isEvacuated = true;
   grant(0);
   const results = await made;
@@ -80,7 +84,7 @@
 
 test("a call is made where nothing is evacuated", async (t) => {
   const { batcher, state } = batcherOf();
-  void batcher.make(QUESTION);
+  void batcher.compute(QUESTION);
   await new Promise(setImmediate);
   t.is(state.calls, 1);
 });
--- a/src/pieces/seats.ts
+++ b/src/batching/partition_owners.ts
@@ -7,7 +7,7 @@
 
 /** Hosts for a cell, the one that batches for it first; empty without hosts.
  * `cells` are all that share the hosts. */
-export function hostsFor(
+export function candidatesFor(
   cell: string,
   { cells, hosts }: { cells: readonly string[]; hosts: readonly string[] },
 ): string[] {
--- a/src/pieces/seats_test.ts
+++ b/src/batching/partition_owners_test.ts
@@ -1,13 +1,13 @@
 /** @module */
 
 import test from "ava";
-import * as seats from "./seats.ts";
+import * as seats from "./partition_owners.ts";
 
 const HOSTS = ["a", "b", "c", "d"];
 const CELLS = ["billing", "desk", "ledger"];
 
 function first(cell: string, hosts = HOSTS): string {
-  return seats.hostsFor(cell, { cells: CELLS, hosts })[0];
+  return seats.candidatesFor(cell, { cells: CELLS, hosts })[0];
 }
 
 test("no host batches for two cells while one batches for none", (t) => {
@@ -25,7 +25,7 @@
 });
 
 test("every host is named, in the order in which it would follow", (t) => {
-  const ranked = seats.hostsFor("desk", { cells: CELLS, hosts: HOSTS });
+  const ranked = seats.candidatesFor("desk", { cells: CELLS, hosts: HOSTS });
   t.deepEqual([...ranked].sort(), HOSTS);
 });
 
@@ -37,7 +37,7 @@
 });
 
 test("a cell that is not among those known has its own order", (t) => {
-  const ranked = seats.hostsFor("new", { cells: CELLS, hosts: HOSTS });
+  const ranked = seats.candidatesFor("new", { cells: CELLS, hosts: HOSTS });
   t.is(ranked.length, 4);
-  t.deepEqual(seats.hostsFor("desk", { cells: CELLS, hosts: [] }), []);
+  t.deepEqual(seats.candidatesFor("desk", { cells: CELLS, hosts: [] }), []);
 });
--- a/src/pieces/cells.ts
+++ b/src/batching/partitions.ts
@@ -9,7 +9,7 @@
  * @module */
 
 import * as rendezvous from "../routing/rendezvous.ts";
-import type * as works from "./work.ts";
+import type * as works from "./task.ts";
 
 /** Most endpoints of one cell: the batcher of 10 to 12 of them took 0.2 of a
  * core on average, and over 7 Mbit/s in bursts (docs/RUNS.md). */
@@ -23,28 +23,28 @@
 const SHARED = "*";
 
 /** Endpoints that one batcher gives calls to. */
-export interface Cell {
+export interface Partition {
   /** The same on all hosts that know the same endpoints. */
   readonly name: string;
   /** Where all of them are; undefined where they are in several places. */
   readonly dataCentre?: string;
   /** Data centres that it is near to; undefined of all. */
-  readonly near?: readonly string[];
+  readonly localDataCentres?: readonly string[];
   readonly workers: readonly works.Worker[];
 }
 
 /** The cell of a service. */
-export interface CellName {
+export interface PartitionName {
   readonly service: string;
   readonly cell: string;
 }
 
 /** Divides the endpoints of a service. Which are sound must not matter: a cell
  * that came and went would lose sight of its results. */
-export function divide(
+export function partition(
   workers: readonly works.Worker[],
   most = MOST,
-): Cell[] {
+): Partition[] {
   if (workers.length <= most) return [{ name: WHOLE, workers }];
   const places = new Map<string, works.Worker[]>();
   for (const worker of workers) {
@@ -63,28 +63,30 @@
   workers: readonly works.Worker[],
   most = MOST,
 ): readonly works.Worker[] {
-  const cell = divide(workers, most).find((each) => each.name === name);
+  const cell = partition(workers, most).find((each) => each.name === name);
   return cell?.workers ?? workers;
 }
 
 /** Data centre of a cell; undefined of one in several places. */
-export function placeOf(name: string): string | undefined {
+export function dataCentreOf(name: string): string | undefined {
   const isShared = name === WHOLE || name.startsWith(SHARED);
   return isShared ? undefined : name.slice(0, name.lastIndexOf("/"));
 }
 
 /** The cell that makes a request's pieces: one where they are wanted, if any
  * there has endpoints that are sound. */
-export function pick(
-  cells: readonly Cell[],
+export function select(
+  cells: readonly Partition[],
   { request, dataCentre, isSound }: {
     request: string;
     dataCentre: string;
     isSound(worker: works.Worker): boolean;
   },
-): Cell {
+): Partition {
   const able = cells.filter(({ workers }) => workers.some(isSound));
-  const near = able.filter((cell) => cell.near?.includes(dataCentre));
+  const near = able.filter((cell) =>
+    cell.localDataCentres?.includes(dataCentre)
+  );
   const candidates = [near, able, cells].find(({ length }) => length > 0)!;
   const [first] = rendezvous.rank(request, candidates.map(({ name }) => name));
   return candidates.find(({ name }) => name === first)!;
@@ -95,14 +97,18 @@
 function group(
   places: ReadonlyMap<string, readonly works.Worker[]>,
   count: number,
-): Cell[] {
+): Partition[] {
   const names = [...places.keys()].sort();
   return Array.from({ length: count }, (_, number) => {
     const near = names.filter((_, pos) =>
       Math.floor(pos * count / names.length) === number
     );
     const workers = near.flatMap((place) => places.get(place)!);
-    return { name: `${SHARED}${number}.${count}`, near, workers };
+    return {
+      name: `${SHARED}${number}.${count}`,
+      localDataCentres: near,
+      workers,
+    };
   });
 }
 
@@ -110,7 +116,7 @@
   dataCentre: string,
   workers: readonly works.Worker[],
   most: number,
-): Cell[] {
+): Partition[] {
   const count = Math.ceil(workers.length / most);
   const sorted = [...workers].sort((one, other) =>
     one.address < other.address ? -1 : 1
@@ -118,7 +124,7 @@
   return Array.from({ length: count }, (_, number) => ({
     name: `${dataCentre}/${number}.${count}`,
     dataCentre,
-    near: [dataCentre],
+    localDataCentres: [dataCentre],
     workers: sorted.filter((_, pos) => pos % count === number),
   }));
 }
--- a/src/pieces/cells_test.ts
+++ b/src/batching/partitions_test.ts
@@ -1,18 +1,18 @@
 /** @module */
 
 import test from "ava";
-import * as cells from "./cells.ts";
+import * as cells from "./partitions.ts";
 import * as fixture from "./fixture.ts";
-import type * as works from "./work.ts";
+import type * as works from "./task.ts";
 
-function names(divided: readonly cells.Cell[]): string[] {
+function names(divided: readonly cells.Partition[]): string[] {
   return divided.map(({ name }) => name);
 }
 
 const anywhere = { request: "r", dataCentre: "town", isSound: () => true };
 
 test("a few endpoints are one cell, wherever they are", (t) => {
-  const [cell, ...others] = cells.divide(
+  const [cell, ...others] = cells.partition(
     fixture.workersAt({ hall: 3, town: 3 }),
   );
   t.is(cell.workers.length, 6);
@@ -21,15 +21,15 @@
 });
 
 test("more endpoints are divided by data centre, many there once more", (t) => {
-  const divided = cells.divide(fixture.workersAt({ hall: 3, town: 13 }));
+  const divided = cells.partition(fixture.workersAt({ hall: 3, town: 13 }));
   t.deepEqual(names(divided), ["hall/0.1", "town/0.3", "town/1.3", "town/2.3"]);
   t.deepEqual(divided.map((cell) => cell.workers.length), [3, 5, 4, 4]);
 });
 
 test("hosts that heard of the endpoints in another order agree", (t) => {
   const known = fixture.workersAt({ hall: 4, town: 9 });
-  const one = cells.divide(known);
-  const other = cells.divide([...known].reverse());
+  const one = cells.partition(known);
+  const other = cells.partition([...known].reverse());
   for (const { name, workers } of one) {
     const same = other.find((cell) => cell.name === name)!.workers;
     t.deepEqual(
@@ -40,23 +40,23 @@
 });
 
 test("pieces are made where they are wanted", (t) => {
-  const divided = cells.divide(fixture.workersAt({ hall: 4, town: 4 }));
-  t.is(cells.pick(divided, anywhere).name, "town/0.1");
-  const [whole] = cells.divide(fixture.workersAt({ hall: 2 }));
-  t.is(cells.pick([whole], anywhere), whole);
+  const divided = cells.partition(fixture.workersAt({ hall: 4, town: 4 }));
+  t.is(cells.select(divided, anywhere).name, "town/0.1");
+  const [whole] = cells.partition(fixture.workersAt({ hall: 2 }));
+  t.is(cells.select([whole], anywhere), whole);
 });
 
 test("they are made elsewhere where no endpoint there is sound", (t) => {
-  const divided = cells.divide(fixture.workersAt({ hall: 4, town: 4 }));
+  const divided = cells.partition(fixture.workersAt({ hall: 4, town: 4 }));
   const isSound = ({ dataCentre }: works.Worker) => dataCentre === "hall";
-  t.is(cells.pick(divided, { ...anywhere, isSound }).name, "hall/0.1");
+  t.is(cells.select(divided, { ...anywhere, isSound }).name, "hall/0.1");
   const none = { ...anywhere, isSound: () => false };
-  t.true(divided.includes(cells.pick(divided, none)));
+  t.true(divided.includes(cells.select(divided, none)));
 });
 
 test("the name of a cell tells its data centre", (t) => {
-  t.is(cells.placeOf("town/1.3"), "town");
-  t.is(cells.placeOf(cells.divide([])[0].name), undefined);
+  t.is(cells.dataCentreOf("town/1.3"), "town");
+  t.is(cells.dataCentreOf(cells.partition([])[0].name), undefined);
 });
 
 test("a cell that this host does not know has all endpoints", (t) => {
@@ -68,26 +68,28 @@
 // overloaded by a burst that all together take.
 test("data centres with few endpoints share cells", (t) => {
   const counts = { a: 1, b: 2, c: 2, d: 2, e: 2 };
-  const divided = cells.divide(fixture.workersAt(counts));
+  const divided = cells.partition(fixture.workersAt(counts));
   t.deepEqual(divided.map(({ workers }) => workers.length), [5, 4]);
   for (const dataCentre of Object.keys(counts)) {
-    const near = divided.filter((each) => each.near?.includes(dataCentre));
+    const near = divided.filter((each) =>
+      each.localDataCentres?.includes(dataCentre)
+    );
     t.is(near.length, 1);
     const isSound = () => true;
     const wanted = { request: "r", dataCentre, isSound };
-    t.is(cells.pick(divided, wanted), near[0]);
+    t.is(cells.select(divided, wanted), near[0]);
   }
-  t.true(divided.every(({ name }) => cells.placeOf(name) === undefined));
+  t.true(divided.every(({ name }) => cells.dataCentreOf(name) === undefined));
 });
 
 test("endpoints that come and go in one data centre move no others", (t) => {
-  const before = cells.divide(
+  const before = cells.partition(
     fixture.workersAt({ a: 1, b: 2, c: 2, d: 2, e: 2 }),
   );
-  const after = cells.divide(
+  const after = cells.partition(
     fixture.workersAt({ a: 2, b: 2, c: 2, d: 1, e: 2 }),
   );
-  const nears = (divided: readonly cells.Cell[]) =>
-    divided.map(({ name, near }) => ({ name, near }));
+  const nears = (divided: readonly cells.Partition[]) =>
+    divided.map(({ name, localDataCentres: near }) => ({ name, near }));
   t.deepEqual(nears(before), nears(after));
 });
--- a/src/pieces/plan.ts
+++ b/src/batching/plan.ts
@@ -10,22 +10,22 @@
   /** Handle of each piece; undefined until it is made. */
   readonly handles: readonly (string | undefined)[];
   /** Whether its pieces have been asked for. */
-  readonly isAsked: boolean;
+  readonly isRequested: boolean;
   /** Whether its results have been given up, since all have worked on them. */
-  readonly isRead: boolean;
+  readonly isReleased: boolean;
 }
 
 /** Results that one service holds. */
-export interface Holding {
+export interface HeldResults {
   readonly service: string;
   readonly handles: readonly string[];
 }
 
 /** Pieces to ask for at once. */
-export interface Round {
+export interface StageRequest {
   readonly stage: number;
   readonly service: string;
-  readonly pieces: readonly number[];
+  readonly items: readonly number[];
   readonly bytes: number;
   /** Results that they need; undefined for stages that work on the key. */
   readonly inputs?: readonly string[];
@@ -50,13 +50,13 @@
     return new Plan(stages.map((stage, number) => ({
       stage,
       handles: new Array(counts[number] ?? 0).fill(undefined),
-      isAsked: false,
-      isRead: false,
+      isRequested: false,
+      isReleased: false,
     })));
   }
 
   /** Whether every piece is made. */
-  get isDone(): boolean {
+  get isComplete(): boolean {
     return this.#stages.every(isMade);
   }
 
@@ -69,9 +69,13 @@
   }
 
   /** Stages whose pieces can be made and have not been asked for. */
-  get rounds(): Round[] {
+  get readyRequests(): StageRequest[] {
     return this.#stages.flatMap((state, stage) => {
-      const { handles, isAsked, stage: { service, after, bytes } } = state;
+      const {
+        handles,
+        isRequested: isAsked,
+        stage: { service, after, bytes },
+      } = state;
       const isReady = after.every((other) => isMade(this.#stages[other]));
       const pieces = missing(handles);
       if (isAsked || !isReady || pieces.length === 0) return [];
@@ -80,61 +84,61 @@
         const { handles, stage } = this.#stages[other];
         return sum + handles.length * stage.bytes;
       }, 0);
-      return [{ stage, service, pieces, bytes, inputs, inputBytes }];
+      return [{ stage, service, items: pieces, bytes, inputs, inputBytes }];
     });
   }
 
   /** Results that somebody may still work on, by the service that holds
    * them. */
-  get held(): Holding[] {
+  get heldResults(): HeldResults[] {
     return this.#stages.flatMap((state) =>
-      state.isRead ? [] : holdingOf(state)
+      state.isReleased ? [] : holdingOf(state)
     );
   }
 
   /** Results that have been worked on by all stages that need them: their room
    * is wanted by others. */
-  get read(): Holding[] {
+  get consumedResults(): HeldResults[] {
     return this.#stages.flatMap((state, number) =>
-      this.#isRead(number) && !state.isRead ? holdingOf(state) : []
+      this.#isRead(number) && !state.isReleased ? holdingOf(state) : []
     );
   }
 
   /** Notes that what was `read` has been given up. */
-  giveUpRead(): Plan {
+  markConsumedReleased(): Plan {
     return new Plan(
       this.#stages.map((state, number) =>
-        this.#isRead(number) ? { ...state, isRead: true } : state
+        this.#isRead(number) ? { ...state, isReleased: true } : state
       ),
     );
   }
 
   /** Notes that the missing pieces of a stage have been asked for. */
-  ask(stage: number): Plan {
-    return this.#with(stage, (state) => ({ ...state, isAsked: true }));
+  markRequested(stage: number): Plan {
+    return this.#with(stage, (state) => ({ ...state, isRequested: true }));
   }
 
   /** Notes results; pieces that failed may be asked for again. */
-  take(
+  addResults(
     stage: number,
     results: readonly { piece: number; handle?: string }[],
   ): Plan {
     return this.#with(stage, (state) => {
       const handles = [...state.handles];
       for (const { piece, handle } of results) handles[piece] = handle;
-      return { ...state, handles, isAsked: false };
+      return { ...state, handles, isRequested: false };
     });
   }
 
   /** Forgets the results that stages have given: one of them is gone. */
-  forget(stages: readonly number[]): Plan {
+  discardResults(stages: readonly number[]): Plan {
     return new Plan(
       this.#stages.map((state, number) =>
         stages.includes(number)
           ? {
             ...state,
             handles: state.handles.map(() => undefined),
-            isRead: false,
+            isReleased: false,
           }
           : state
       ),
@@ -142,17 +146,17 @@
   }
 
   /** Number of pieces of each stage. */
-  get counts(): number[] {
+  get itemCounts(): number[] {
     return this.#stages.map(({ handles }) => handles.length);
   }
 
   /** Stages that a stage works on. */
-  inputsOf(stage: number): readonly number[] {
+  dependenciesOf(stage: number): readonly number[] {
     return this.#stages[stage].stage.after;
   }
 
   /** All stages. */
-  get numbers(): number[] {
+  get stageIndexes(): number[] {
     return this.#stages.map((_, number) => number);
   }
 
@@ -177,7 +181,7 @@
   }
 }
 
-function holdingOf({ stage: { service }, handles }: StageState): Holding[] {
+function holdingOf({ stage: { service }, handles }: StageState): HeldResults[] {
   const held = handles.filter((handle) => handle !== undefined);
   return held.length > 0 ? [{ service, handles: held }] : [];
 }
--- a/src/pieces/bookings.ts
+++ b/src/batching/reservations.ts
@@ -3,7 +3,7 @@
  * @module */
 
 import * as arrivals from "./arrivals.ts";
-import * as work from "./work.ts";
+import * as work from "./task.ts";
 
 /** Milliseconds after which pieces that were booked are not expected. */
 const MEMORY = 1000;
@@ -11,38 +11,38 @@
 const STEPS = 4;
 
 /** Pieces that will be asked for. */
-export interface Booking {
+export interface Reservation {
   readonly request: string;
   readonly stage: number;
   readonly count: number;
-  readonly wanted: number;
+  readonly dueAt: number;
   readonly rank: number;
 }
 
 /** Bookings of one cell; changed in place. */
-export class Bookings {
-  readonly #booked = new Map<string, Booking>();
+export class Reservations {
+  readonly #booked = new Map<string, Reservation>();
   readonly #arrivals = arrivals.Arrivals.create();
 
-  static create(): Bookings {
-    return new Bookings();
+  static create(): Reservations {
+    return new Reservations();
   }
 
-  note(booking: Booking, now: number): void {
+  add(booking: Reservation, now: number): void {
     const { request, count } = booking;
-    const allowed = work.turnOf(booking) - now;
-    this.#booked.set(work.stageOf(booking), booking);
-    this.#arrivals.note({ request, count, allowed, at: now });
+    const allowed = work.virtualDeadline(booking) - now;
+    this.#booked.set(work.stageKey(booking), booking);
+    this.#arrivals.record({ request, count, leadTime: allowed, bookedAt: now });
   }
 
   /** Notes that pieces have been asked for. */
-  take(asked: Pick<Booking, "request" | "stage">): void {
-    this.#booked.delete(work.stageOf(asked));
+  remove(asked: Pick<Reservation, "request" | "stage">): void {
+    this.#booked.delete(work.stageKey(asked));
   }
 
   /** Forgets a request. */
-  drop(request: string): void {
-    this.#arrivals.drop(request);
+  removeRequest(request: string): void {
+    this.#arrivals.removeRequest(request);
     for (const [key, booking] of this.#booked) {
       if (booking.request === request) this.#booked.delete(key);
     }
@@ -51,7 +51,7 @@
   /** Forgets what was booked and did not come in time. */
   expire(now: number): void {
     this.#arrivals.expire(now);
-    for (const [key, { wanted }] of this.#booked) {
+    for (const [key, { dueAt: wanted }] of this.#booked) {
       if (wanted + MEMORY < now) this.#booked.delete(key);
     }
   }
@@ -59,14 +59,14 @@
   /** Milliseconds until `turn` has come, behind `waiting` pieces, what is booked
    * before it and what will come meanwhile; `rate` pieces are begun in a
    * millisecond. */
-  wait(
+  estimateWait(
     turn: number,
     { waiting, rate, now }: { waiting: number; rate: number; now: number },
   ): number {
     const ahead = waiting + this.#ahead(turn);
     let wait = ahead / rate;
     for (let step = 0; step < STEPS; step++) {
-      const coming = this.#arrivals.overtaking(turn, { wait, now });
+      const coming = this.#arrivals.expectedAhead(turn, { wait, now });
       wait = (ahead + coming) / rate;
     }
     return wait;
@@ -75,7 +75,7 @@
   #ahead(turn: number): number {
     let count = 0;
     for (const booking of this.#booked.values()) {
-      if (work.turnOf(booking) <= turn) count += booking.count;
+      if (work.virtualDeadline(booking) <= turn) count += booking.count;
     }
     return count;
   }
--- a/src/pieces/scheduler.ts
+++ b/src/batching/scheduler.ts
@@ -7,16 +7,16 @@
  * @module */
 
 import type * as configurations from "../configuration/mod.ts";
-import * as fadingMeans from "../runtime/fading_mean.ts";
-import * as bookings from "./bookings.ts";
-import * as pace from "./pace.ts";
-import * as suitabilities from "./suitability.ts";
-import * as works from "./work.ts";
+import * as fadingMeans from "../runtime/decaying_mean.ts";
+import * as bookings from "./reservations.ts";
+import * as pace from "./throughput.ts";
+import * as suitabilities from "./delay_scheduling.ts";
+import * as works from "./task.ts";
 import * as workerStates from "./worker_state.ts";
 
 /** The running mean of the time of calls: some dozens of calls, which is a
  * second or two of a busy cell. */
-const WORK = { gain: 0.05, fresh: 2000, halfLife: 1000 };
+const WORK = { gain: 0.05, freshMs: 2000, halfLifeMs: 1000 };
 /** Times of its service's figures up to which a first call is believed. */
 const FIRST_WORK = 2;
 /** Part of the pieces that could be in a call which make it worthwhile before
@@ -40,28 +40,28 @@
 
 /** Pieces and endpoints of one cell; changed in place. */
 export class Scheduler {
-  #traits: configurations.PieceTraits;
+  #traits: configurations.BatchTraits;
   readonly #workers = new Map<string, workerStates.WorkerState>();
-  #waiting: works.Work[] = [];
-  readonly #bookings = bookings.Bookings.create();
-  readonly #pace = pace.Pace.create();
-  readonly #work = fadingMeans.FadingMean.create(WORK);
+  #waiting: works.Task[] = [];
+  readonly #bookings = bookings.Reservations.create();
+  readonly #pace = pace.Throughput.create();
+  readonly #work = fadingMeans.DecayingMean.create(WORK);
 
-  private constructor(traits: configurations.PieceTraits) {
+  private constructor(traits: configurations.BatchTraits) {
     this.#traits = traits;
   }
 
-  static create(traits: configurations.PieceTraits): Scheduler {
+  static create(traits: configurations.BatchTraits): Scheduler {
     return new Scheduler(traits);
   }
 
   /** Pieces that wait. */
-  get waiting(): readonly works.Work[] {
+  get waiting(): readonly works.Task[] {
     return this.#waiting;
   }
 
   /** Follows a change of the service's figures. */
-  setTraits(traits: configurations.PieceTraits): void {
+  setTraits(traits: configurations.BatchTraits): void {
     this.#traits = traits;
   }
 
@@ -75,37 +75,39 @@
       state.isListed = true;
       this.#workers.set(worker.id, state);
     }
-    for (const [id, { isListed, calls, isHolding }] of this.#workers) {
+    for (
+      const [id, { isListed, calls, hasResults: isHolding }] of this.#workers
+    ) {
       if (!isListed && calls === 0 && !isHolding) this.#workers.delete(id);
     }
   }
 
   /** Milliseconds that calls take lately, with what others put into them; those
    * of a call for one piece where none was made lately. */
-  work(now: number): number {
+  callDuration(now: number): number {
     return this.#work.value({ now, prior: this.#expected(1) });
   }
 
   /** Milliseconds since a call was last measured; undefined before the first. */
-  workAge(now: number): number | undefined {
+  callDurationAge(now: number): number | undefined {
     return this.#work.age(now);
   }
 
   /** Notes pieces that will be asked for; says when they would be begun if they
    * were asked for now. */
-  book(booking: bookings.Booking, now: number): Forecast {
+  reserve(booking: bookings.Reservation, now: number): Forecast {
     this.#bookings.expire(now);
     const forecast = this.forecast(booking, now);
-    this.#bookings.note(booking, now);
+    this.#bookings.add(booking, now);
     return forecast;
   }
 
   /** Forecasts when pieces would be begun, behind all that is more urgent. */
   forecast(
-    { wanted, rank }: Pick<works.Work, "wanted" | "rank">,
+    { dueAt: wanted, rank }: Pick<works.Task, "dueAt" | "rank">,
     now: number,
   ): Forecast {
-    const turn = works.turnOf({ wanted, rank });
+    const turn = works.virtualDeadline({ dueAt: wanted, rank });
     const waiting = this.#waiting.filter((work) =>
       this.#turnOf(work, now) <= turn
     );
@@ -123,7 +125,7 @@
     const isBusy = usable.every(({ calls }) => calls >= slots);
     // The first of so many calls under way ends then, each as likely any time.
     const first = isBusy ? full / (usable.length + 1) : 0;
-    const wait = this.#bookings.wait(turn, {
+    const wait = this.#bookings.estimateWait(turn, {
       waiting: waiting.length,
       rate,
       now,
@@ -132,25 +134,25 @@
   }
 
   /** Adds pieces. */
-  add(added: readonly works.Work[]): void {
-    for (const work of added) this.#bookings.take(work);
+  add(added: readonly works.Task[]): void {
+    for (const work of added) this.#bookings.remove(work);
     this.#waiting.push(...added);
   }
 
   /** Takes out the pieces of a request that nobody waits for any more. */
-  drop(request: string): works.Work[] {
-    this.#bookings.drop(request);
+  cancelRequest(request: string): works.Task[] {
+    this.#bookings.removeRequest(request);
     return this.#takeOut((work) => work.request === request);
   }
 
   /** Takes out all pieces that wait. */
-  clear(): works.Work[] {
+  clear(): works.Task[] {
     return this.#takeOut(() => true);
   }
 
   /** Takes out the pieces that are of no use any more. */
-  expire(now: number): works.Work[] {
-    return this.#takeOut((work) => work.expires <= now);
+  expire(now: number): works.Task[] {
+    return this.#takeOut((work) => work.expiresAt <= now);
   }
 
   /** The calls that can be made now; they count as made. */
@@ -164,66 +166,73 @@
       this.#remove(taken);
       const slowness = Math.max(1, state.slowness(now));
       const time = this.#expected(taken.length) * slowness;
-      state.begin(taken, now + time);
-      this.#pace.begin(taken.length, now);
-      assignments.push({ worker: state.worker, works: taken });
+      state.startCall(taken, now + time);
+      this.#pace.recordStart(taken.length, now);
+      assignments.push({ worker: state.worker, tasks: taken });
     }
-    this.#pace.note(this.#waiting.length >= this.#traits.batch, now);
+    this.#pace.recordSaturation(
+      this.#waiting.length >= this.#traits.batch,
+      now,
+    );
     return assignments;
   }
 
   /** Milliseconds after which a call counts as hung. */
-  patience({ works: called, worker }: works.Assignment, now: number): number {
+  callTimeout(
+    { tasks: called, worker }: works.Assignment,
+    now: number,
+  ): number {
     const state = this.#workers.get(worker.id);
     const slowness = Math.max(1, state?.slowness(now) ?? 1);
     return LEAST_PATIENCE + HANGING * slowness * this.#expected(called.length);
   }
 
   /** Notes the end of a call with the results it gave. */
-  finish(
-    { worker, works: called }: works.Assignment,
+  completeCall(
+    { worker, tasks: called }: works.Assignment,
     { results, duration, now }: {
-      results: readonly workerStates.Result[];
+      results: readonly workerStates.HeldResult[];
       duration: number;
       now: number;
     },
   ): void {
     const expected = this.#expected(called.length);
     const prior = Math.min(duration, FIRST_WORK * expected);
-    this.#work.note(duration, { now, prior });
+    this.#work.add(duration, { now, prior });
     const ratio = duration / expected;
     const until = now + this.#traits.keepTime;
     const state = this.#workers.get(worker.id);
-    state?.finish(called, { results, until, ratio, now });
+    state?.completeCall(called, { results, until, ratio, now });
   }
 
   /** Notes that a call gave nothing. `pause` says for how long the endpoint is
    * left alone, where it is not failing but full. */
-  fail(
-    { worker, works: called }: works.Assignment,
+  failCall(
+    { worker, tasks: called }: works.Assignment,
     { now, pause }: { now: number; pause?: number },
   ): void {
-    this.#workers.get(worker.id)?.fail(called, { now, pause });
+    this.#workers.get(worker.id)?.failCall(called, { now, pause });
   }
 
   /** Notes that an endpoint had no room for some pieces of a call, whatever was
    * thought; returns what was thought, and whether those were most of it. */
-  noteFull(
+  recordMemoryRejection(
     worker: string,
-    full: Omit<workerStates.FullCall, "room">,
+    full: Omit<workerStates.MemoryRejection, "room">,
     now: number,
-  ): Partial<workerStates.RoomBelief> & { isMost: boolean } {
+  ): Partial<workerStates.MemoryEstimate> & { isMost: boolean } {
     const { room } = this.#traits;
     const state = this.#workers.get(worker);
-    const isMost = state?.noteFull({ ...full, room }, now) ?? false;
-    return { ...state?.belief(room), isMost };
+    const isMost = state?.recordMemoryRejection({ ...full, room }, now) ??
+      false;
+    return { ...state?.memoryEstimate(room), isMost };
   }
 
   /** Notes that the endpoint at an address has given results up. */
-  release(address: string, handles: readonly string[]): void {
+  releaseResults(address: string, handles: readonly string[]): void {
     for (const state of this.#workers.values()) {
       if (state.worker.address !== address) continue;
-      for (const handle of handles) state.drop(handle);
+      for (const handle of handles) state.removeResult(handle);
     }
   }
 
@@ -232,11 +241,11 @@
     if (this.#waiting.length === 0) return undefined;
     const { callTime } = this.#traits;
     const times = [...this.#workers.values()]
-      .flatMap((state) => state.wakes(callTime, now))
+      .flatMap((state) => state.wakeTimes(callTime, now))
       .filter((time) => time > now);
-    const patience = suitabilities.patience(this.#traits);
+    const patience = suitabilities.localityMargin(this.#traits);
     const first = this.#waiting.reduce(
-      (least, { expires, wanted }) =>
+      (least, { expiresAt: expires, dueAt: wanted }) =>
         Math.min(
           least,
           expires,
@@ -256,7 +265,7 @@
   }
 
   #expected(count: number): number {
-    const { callTime, pieceTime } = this.#traits;
+    const { callTime, itemTime: pieceTime } = this.#traits;
     return callTime + count * pieceTime;
   }
 
@@ -273,15 +282,21 @@
    * results of its own stage, or those that it works on, take up room until it
    * is made, and end by themselves before that: what is begun keeps its turn.
    * In simulated bursts .05 of the worth hangs on it. */
-  #turnOf(work: works.Work, now: number): number {
-    const { wanted, expires, rank, isBegun, inputs } = work;
+  #turnOf(work: works.Task, now: number): number {
+    const {
+      dueAt: wanted,
+      expiresAt: expires,
+      rank,
+      isStageStarted: isBegun,
+      inputs,
+    } = work;
     const soonest = now + this.#expected(1) - LATE_TOLERANCE;
     if (wanted >= soonest || isBegun || inputs !== undefined) {
-      return works.turnOf(work);
+      return works.virtualDeadline(work);
     }
     const { batch } = this.#traits;
     const last = expires - LATE_CALLS * this.#expected(batch);
-    return works.turnOf({ wanted: Math.max(wanted, last), rank });
+    return works.virtualDeadline({ dueAt: Math.max(wanted, last), rank });
   }
 
   /** Endpoints that can take a call, the fastest first. */
@@ -295,10 +310,10 @@
 
   /** Takes the most urgent pieces that one call can hold and that may be made
    * there. */
-  #fill(state: workerStates.WorkerState, now: number): works.Work[] {
-    const taken = new Set<works.Work>();
-    let room = state.free(this.#traits.room, now);
-    const take = (suits: (work: works.Work) => boolean) => {
+  #fill(state: workerStates.WorkerState, now: number): works.Task[] {
+    const taken = new Set<works.Task>();
+    let room = state.freeBytes(this.#traits.room, now);
+    const take = (suits: (work: works.Task) => boolean) => {
       for (const work of this.#waiting) {
         if (taken.size >= this.#traits.batch) return;
         if (work.bytes > room || taken.has(work) || !suits(work)) continue;
@@ -306,12 +321,12 @@
         room -= work.bytes;
       }
     };
-    const suitability = suitabilities.Suitability.of(state, {
+    const suitability = suitabilities.DelayScheduling.of(state, {
       workers: this.#workers.values(),
       traits: this.#traits,
       now,
     });
-    take((work) => suitability.suits(work));
+    take((work) => suitability.accepts(work));
     return [...taken];
   }
 
@@ -320,29 +335,31 @@
    * comes free, would halve what it makes. */
   #holdsBack(
     state: workerStates.WorkerState,
-    taken: readonly works.Work[],
+    taken: readonly works.Task[],
     now: number,
   ): boolean {
     const { batch, callTime } = this.#traits;
     const wanted = Math.min(batch, this.#waiting.length);
     const isSmall = taken.length < wanted * WORTHWHILE;
-    if (!isSmall || !state.isHolding) return false;
-    state.heldBackSince ??= now;
-    return now - state.heldBackSince < callTime;
+    if (!isSmall || !state.hasResults) return false;
+    state.batchingSince ??= now;
+    return now - state.batchingSince < callTime;
   }
 
   /** Takes out what is begun, and notes that for what waits of the same
    * stages. */
-  #remove(taken: readonly works.Work[]): void {
+  #remove(taken: readonly works.Task[]): void {
     const gone = new Set(taken);
-    const begun = new Set(taken.map(works.stageOf));
+    const begun = new Set(taken.map(works.stageKey));
     this.#waiting = this.#waiting.filter((work) => !gone.has(work))
       .map((work) =>
-        begun.has(works.stageOf(work)) ? { ...work, isBegun: true } : work
+        begun.has(works.stageKey(work))
+          ? { ...work, isStageStarted: true }
+          : work
       );
   }
 
-  #takeOut(isOut: (work: works.Work) => boolean): works.Work[] {
+  #takeOut(isOut: (work: works.Task) => boolean): works.Task[] {
     const out = this.#waiting.filter(isOut);
     if (out.length > 0) {
       this.#waiting = this.#waiting.filter((work) => !isOut(work));
--- a/src/pieces/work.ts
+++ b/src/batching/task.ts
@@ -7,27 +7,27 @@
 const RANK_DELAY = 400;
 
 /** A piece to be made. */
-export interface Work {
+export interface Task {
   readonly request: string;
   readonly stage: number;
-  readonly piece: number;
+  readonly itemIndex: number;
   readonly key?: string;
   readonly inputs?: readonly string[];
   /** About how large the result is. */
   readonly bytes: number;
   /** When the result is of no use any more. */
-  readonly expires: number;
+  readonly expiresAt: number;
   /** When it is wanted. */
-  readonly wanted: number;
+  readonly dueAt: number;
   /** 0 is the highest. */
   readonly rank: number;
   /** Where most of what it works on or gives is. */
   readonly dataCentre?: string;
   /** Bytes that cross data centres when it is made elsewhere. */
-  readonly moved: number;
-  readonly tries: number;
+  readonly transferBytes: number;
+  readonly attempts: number;
   /** Whether others of its request and stage have been begun. */
-  readonly isBegun?: boolean;
+  readonly isStageStarted?: boolean;
 }
 
 /** An endpoint that makes pieces. */
@@ -43,22 +43,22 @@
 /** A call to make. */
 export interface Assignment {
   readonly worker: Worker;
-  readonly works: readonly Work[];
+  readonly tasks: readonly Task[];
 }
 
 /** The time that decides whose turn it is: the earlier goes first. */
-export function turnOf(
-  { wanted, rank }: Pick<Work, "wanted" | "rank">,
+export function virtualDeadline(
+  { dueAt: wanted, rank }: Pick<Task, "dueAt" | "rank">,
 ): number {
   return wanted + rank * RANK_DELAY;
 }
 
 /** Bytes of the results of some pieces. */
-export function bytesOf(works: readonly Work[]): number {
+export function totalBytes(works: readonly Task[]): number {
   return works.reduce((sum, { bytes }) => sum + bytes, 0);
 }
 
 /** Names the stage of a request that a piece belongs to. */
-export function stageOf({ request, stage }: Pick<Work, "request" | "stage">) {
+export function stageKey({ request, stage }: Pick<Task, "request" | "stage">) {
   return `${request}/${stage}`;
 }
--- a/src/pieces/pace.ts
+++ b/src/batching/throughput.ts
@@ -15,22 +15,22 @@
 }
 
 /** The pace of one service; changed in place. */
-export class Pace {
+export class Throughput {
   #begins: Begin[] = [];
   #saturatedSince = Infinity;
 
-  static create(): Pace {
-    return new Pace();
+  static create(): Throughput {
+    return new Throughput();
   }
 
   /** Notes that pieces are begun. */
-  begin(count: number, at: number): void {
+  recordStart(count: number, at: number): void {
     this.#begins.push({ at, count });
   }
 
   /** Notes whether more than a full call waits after all that can be begun has
    * been. */
-  note(isSaturated: boolean, now: number): void {
+  recordSaturation(isSaturated: boolean, now: number): void {
     if (!isSaturated) this.#saturatedSince = Infinity;
     else this.#saturatedSince = Math.min(this.#saturatedSince, now);
     this.#begins = this.#begins.filter(({ at }) => at > now - WINDOW);
--- a/src/pieces/worker_state.ts
+++ b/src/batching/worker_state.ts
@@ -2,8 +2,8 @@
  * and the results that take up its room.
  * @module */
 
-import * as fadingMeans from "../runtime/fading_mean.ts";
-import * as works from "./work.ts";
+import * as fadingMeans from "../runtime/decaying_mean.ts";
+import * as works from "./task.ts";
 
 /** Milliseconds of the first pause after a failure; it doubles up to the
  * last. */
@@ -27,10 +27,10 @@
 /** Part of the pieces of a call from which on most of it found no room. */
 const MOSTLY = 0.5;
 /** The running mean of its slowness. */
-const SLOWNESS = { gain: 0.3, fresh: 4000, halfLife: 2000 };
+const SLOWNESS = { gain: 0.3, freshMs: 4000, halfLifeMs: 2000 };
 
 /** What was thought of an endpoint's room, in bytes. */
-export interface RoomBelief {
+export interface MemoryEstimate {
   readonly room: number;
   readonly heldBytes: number;
   readonly reserved: number;
@@ -39,7 +39,7 @@
 }
 
 /** A call of which some pieces found no room. */
-export interface FullCall {
+export interface MemoryRejection {
   readonly rejected: number;
   readonly pieces: number;
   /** Size of the smallest one that found none. */
@@ -51,7 +51,7 @@
 }
 
 /** A result that an endpoint holds. */
-export interface Result {
+export interface HeldResult {
   readonly handle: string;
   readonly bytes: number;
 }
@@ -62,7 +62,7 @@
   /** Whether it takes work now. */
   isListed = true;
   /** Since when it waits for more room. */
-  heldBackSince?: number;
+  batchingSince?: number;
   /** When its call under way is expected to end. */
   #callEnds = 0;
   /** Calls of this host there. */
@@ -73,7 +73,7 @@
   #rest = FIRST_REST;
   /** Pause after the next call that mostly finds no room. */
   #fullPause = FIRST_FULL;
-  readonly #slowness = fadingMeans.FadingMean.create(SLOWNESS);
+  readonly #slowness = fadingMeans.DecayingMean.create(SLOWNESS);
   /** Results that it holds, and when they end by themselves; those that end
    * first come first, since all are kept for the same time. */
   readonly #held = new Map<string, { bytes: number; until: number }>();
@@ -105,7 +105,7 @@
   }
 
   /** Whether it holds results. */
-  get isHolding(): boolean {
+  get hasResults(): boolean {
     return this.#held.size > 0;
   }
 
@@ -116,20 +116,20 @@
 
   /** Bytes that are free of so many, with what calls under way will give and
    * what is there of others. */
-  free(room: number, now: number): number {
+  freeBytes(room: number, now: number): number {
     return room * FILLED - this.#heldBytes - this.#reserved -
-      this.foreign(now);
+      this.foreignBytes(now);
   }
 
   /** Bytes that results of others are believed to take: those of a batcher
    * before this one, or of one beside it. */
-  foreign(now: number): number {
+  foreignBytes(now: number): number {
     const faded = (now - this.#foreignAt) / FADE;
     return this.#foreign * Math.max(0, 1 - faded);
   }
 
   /** What is thought of its room. */
-  belief(room: number): RoomBelief {
+  memoryEstimate(room: number): MemoryEstimate {
     const { size: held } = this.#held;
     return {
       room,
@@ -140,16 +140,16 @@
   }
 
   /** Times at which it may take a call again that it does not take now. */
-  wakes(callTime: number, now: number): number[] {
+  wakeTimes(callTime: number, now: number): number[] {
     const [first] = this.#held.values();
-    const since = this.heldBackSince ?? -Infinity;
-    const look = this.foreign(now) > 0 ? now + FADE / FADE_LOOKS : 0;
+    const since = this.batchingSince ?? -Infinity;
+    const look = this.foreignBytes(now) > 0 ? now + FADE / FADE_LOOKS : 0;
     return [this.#blockedUntil, first?.until ?? 0, since + callTime, look];
   }
 
   /** When it is expected to take another call; one that is overdue may take as
    * long again as a call at least takes. */
-  freeAt(now: number, callTime: number): number {
+  availableAt(now: number, callTime: number): number {
     const free = Math.max(now, this.#blockedUntil);
     if (this.#calls === 0) return free;
     return Math.max(
@@ -159,20 +159,20 @@
   }
 
   /** Notes a call that is expected to end at a time. */
-  begin(called: readonly works.Work[], ends: number): void {
+  startCall(called: readonly works.Task[], ends: number): void {
     this.#callEnds = ends;
-    this.heldBackSince = undefined;
+    this.batchingSince = undefined;
     this.#calls++;
     this.#heldBefore = this.#heldBytes;
-    this.#reserved += works.bytesOf(called);
+    this.#reserved += works.totalBytes(called);
   }
 
   /** Notes the end of a call that took `ratio` times as long as it should, and
    * the results that it gave. */
-  finish(
-    called: readonly works.Work[],
+  completeCall(
+    called: readonly works.Task[],
     { results, until, ratio, now }: {
-      results: readonly Result[];
+      results: readonly HeldResult[];
       until: number;
       ratio: number;
       now: number;
@@ -180,7 +180,7 @@
   ): void {
     this.#end(called);
     this.#rest = FIRST_REST;
-    this.#slowness.note(ratio, { now, prior: 1 });
+    this.#slowness.add(ratio, { now, prior: 1 });
     for (const { handle, bytes } of results) {
       this.#held.set(handle, { bytes, until });
       this.#heldBytes += bytes;
@@ -189,8 +189,8 @@
 
   /** Notes that a call gave nothing; it rests for `pause` milliseconds, or for
    * longer with each failure. */
-  fail(
-    called: readonly works.Work[],
+  failCall(
+    called: readonly works.Task[],
     { now, pause }: { now: number; pause?: number },
   ): void {
     this.#end(called);
@@ -201,8 +201,8 @@
   /** Notes that it had no room for some of a call's pieces; says whether that
    * was most of them. What was not this batcher's when the call began is of
    * others. */
-  noteFull(
-    { rejected, pieces, bytes, made, room }: FullCall,
+  recordMemoryRejection(
+    { rejected, pieces, bytes, made, room }: MemoryRejection,
     now: number,
   ): boolean {
     const own = this.#heldBefore + made + bytes / 2;
@@ -216,7 +216,7 @@
   }
 
   /** Notes that it has given a result up. */
-  drop(handle: string): void {
+  removeResult(handle: string): void {
     const held = this.#held.get(handle);
     if (held === undefined) return;
     this.#held.delete(handle);
@@ -227,7 +227,7 @@
   expire(now: number): void {
     for (const [handle, { until }] of this.#held) {
       if (until > now) return;
-      this.drop(handle);
+      this.removeResult(handle);
     }
   }
 
@@ -242,8 +242,8 @@
     };
   }
 
-  #end(called: readonly works.Work[]): void {
+  #end(called: readonly works.Task[]): void {
     this.#calls = Math.max(0, this.#calls - 1);
-    this.#reserved = Math.max(0, this.#reserved - works.bytesOf(called));
+    this.#reserved = Math.max(0, this.#reserved - works.totalBytes(called));
   }
 }
