--- a/src/pieces/worker_state_test.ts
+++ b/src/batching/worker_state_test.ts
@@ -5,7 +5,7 @@
 import * as workerStates from "./worker_state.ts";
 
 function pieces(count: number) {
-  return fixture.works("r", count);
+  return fixture.tasks("r", count);
 }
 
 function stateOf() {
@@ -24,15 +24,20 @@
 
 test("room is taken from the begin of a call until a result is given up", (t) => {
   const state = stateOf();
-  t.is(state.free(1000, 0), 970);
-  state.begin(pieces(2), 100);
-  t.is(state.free(1000, 0), 770);
-  state.finish(pieces(2), { results: RESULTS, until: 4000, ratio: 1, now: 0 });
-  t.is(state.free(1000, 0), 770);
-  state.drop("a");
-  state.drop("a");
-  t.is(state.free(1000, 0), 870);
-  t.deepEqual(state.belief(1000), {
+  t.is(state.freeBytes(1000, 0), 970);
+  state.startCall(pieces(2), 100);
+  t.is(state.freeBytes(1000, 0), 770);
+  state.completeCall(pieces(2), {
+    results: RESULTS,
+    until: 4000,
+    ratio: 1,
+    now: 0,
+  });
+  t.is(state.freeBytes(1000, 0), 770);
+  state.removeResult("a");
+  state.removeResult("a");
+  t.is(state.freeBytes(1000, 0), 870);
+  t.deepEqual(state.memoryEstimate(1000), {
     room: 1000,
     heldBytes: 100,
     reserved: 0,
@@ -42,20 +47,25 @@
 
 test("a result that nobody gives up ends by itself", (t) => {
   const state = stateOf();
-  state.begin(pieces(2), 100);
-  state.finish(pieces(2), { results: RESULTS, until: 4000, ratio: 1, now: 0 });
-  t.true(state.wakes(100, 0).includes(4000));
+  state.startCall(pieces(2), 100);
+  state.completeCall(pieces(2), {
+    results: RESULTS,
+    until: 4000,
+    ratio: 1,
+    now: 0,
+  });
+  t.true(state.wakeTimes(100, 0).includes(4000));
   state.expire(3999);
-  t.true(state.isHolding);
+  t.true(state.hasResults);
   state.expire(4000);
-  t.false(state.isHolding);
+  t.false(state.hasResults);
 });
 
 test("an endpoint rests for longer with each failure, until a call succeeds", (t) => {
   const state = stateOf();
   const failAt = (now: number) => {
-    state.begin(pieces(1), 100);
-    state.fail(pieces(1), { now });
+    state.startCall(pieces(1), 100);
+    state.failCall(pieces(1), { now });
   };
   failAt(0);
   t.false(state.isUsable(299));
@@ -63,8 +73,8 @@
   failAt(1000);
   t.false(state.isUsable(1599));
   t.true(state.isUsable(1600));
-  state.begin(pieces(1), 100);
-  state.finish(pieces(1), { results: [], until: 0, ratio: 1, now: 0 });
+  state.startCall(pieces(1), 100);
+  state.completeCall(pieces(1), { results: [], until: 0, ratio: 1, now: 0 });
   failAt(3000);
   t.true(state.isUsable(3300));
   t.is(state.calls, 0);
@@ -72,16 +82,16 @@
 
 test("an endpoint that was full is not punished for it", (t) => {
   const state = stateOf();
-  state.begin(pieces(1), 100);
-  state.fail(pieces(1), { now: 0, pause: 120 });
+  state.startCall(pieces(1), 100);
+  state.failCall(pieces(1), { now: 0, pause: 120 });
   t.true(state.isUsable(120));
-  state.begin(pieces(1), 100);
-  state.fail(pieces(1), { now: 1000 });
+  state.startCall(pieces(1), 100);
+  state.failCall(pieces(1), { now: 1000 });
   t.true(state.isUsable(1300));
 });
 
 /** A call of twelve pieces of 100 bytes, of which some found no room. */
-function full(rejected: number, room = 1000): workerStates.FullCall {
+function full(rejected: number, room = 1000): workerStates.MemoryRejection {
   const made = 100 * (12 - rejected);
   return { rejected, pieces: 12, bytes: 100, made, room };
 }
@@ -91,33 +101,43 @@
   const pauses: number[] = [];
   let now = 0;
   for (let call = 0; call < 5; call++) {
-    t.true(state.noteFull(full(6), now));
+    t.true(state.recordMemoryRejection(full(6), now));
     const from = now;
     while (!state.isUsable(now)) now += 10;
     pauses.push(now - from);
   }
   t.deepEqual(pauses, [60, 120, 240, 480, 480]);
-  t.false(state.noteFull(full(1), now));
+  t.false(state.recordMemoryRejection(full(1), now));
   t.true(state.isUsable(now + 60));
 });
 
 test("room that others hold is not filled, and is believed to come free", (t) => {
   const state = stateOf();
-  state.begin(pieces(12), 100);
-  state.finish(pieces(12), { results: RESULTS, until: 4000, ratio: 1, now: 0 });
+  state.startCall(pieces(12), 100);
+  state.completeCall(pieces(12), {
+    results: RESULTS,
+    until: 4000,
+    ratio: 1,
+    now: 0,
+  });
   // Two of twelve were made: others hold 750 of 1,000, within half a piece.
-  state.noteFull(full(10), 500);
-  t.is(state.foreign(500), 750);
-  t.is(state.free(1000, 500), 970 - 200 - 750);
-  t.is(state.foreign(1500), 375);
-  t.is(state.foreign(2500), 0);
-  t.is(state.free(1000, 2500), 770);
+  state.recordMemoryRejection(full(10), 500);
+  t.is(state.foreignBytes(500), 750);
+  t.is(state.freeBytes(1000, 500), 970 - 200 - 750);
+  t.is(state.foreignBytes(1500), 375);
+  t.is(state.foreignBytes(2500), 0);
+  t.is(state.freeBytes(1000, 2500), 770);
 });
 
 test("an endpoint that only its own batcher fills is not thought to be others'", (t) => {
   const state = stateOf();
-  state.begin(pieces(12), 100);
-  state.finish(pieces(12), { results: RESULTS, until: 4000, ratio: 1, now: 0 });
-  state.noteFull(full(2), 500);
-  t.is(state.foreign(500), 0);
+  state.startCall(pieces(12), 100);
+  state.completeCall(pieces(12), {
+    results: RESULTS,
+    until: 4000,
+    ratio: 1,
+    now: 0,
+  });
+  state.recordMemoryRejection(full(2), 500);
+  t.is(state.foreignBytes(500), 0);
 });
--- a/src/configuration/catalogue.ts
+++ b/src/configuration/catalogue.ts
@@ -8,7 +8,7 @@
 export class Catalogue {
   readonly configuration: configurations.Configuration;
   /** Names of the services that make pieces. */
-  readonly makers: readonly string[];
+  readonly batchServices: readonly string[];
   readonly #routes = new Map<string, configurations.Route>();
   readonly #accounts = new Map<string, configurations.Account>();
   readonly #services = new Map<string, configurations.Service>();
@@ -27,7 +27,9 @@
     for (const service of configuration.services) {
       this.#services.set(service.name, service);
     }
-    this.makers = configuration.services.filter(({ pieces }) => pieces)
+    this.batchServices = configuration.services.filter(({ batching: pieces }) =>
+      pieces
+    )
       .map(({ name }) => name);
   }
 
--- a/src/configuration/packed.ts
+++ b/src/configuration/compression.ts
@@ -15,12 +15,12 @@
 }
 
 /** Packs the text of a document. */
-export function pack(text: string): string {
+export function compress(text: string): string {
   return zlib.deflateRawSync(text, { level: LEVEL }).toString("base64");
 }
 
 /** The text that was packed. Throws `PackingError`. */
-export function unpack(packed: string): string {
+export function decompress(packed: string): string {
   const bytes = Buffer.from(packed, "base64");
   try {
     return zlib.inflateRawSync(bytes, { maxOutputLength: MOST_BYTES })
--- a/src/configuration/packed_test.ts
+++ b/src/configuration/compression_test.ts
@@ -5,7 +5,7 @@
 
 test("what is packed comes back", (t) => {
   const text = JSON.stringify({ routes: ["r-ng\u1ef1a", "r-2"] });
-  t.is(configurations.unpack(configurations.pack(text)), text);
+  t.is(configurations.decompress(configurations.compress(text)), text);
 });
 
 test("a thousand routes take a fifth of their text at most", (t) => {
@@ -17,11 +17,11 @@
     stages: [{ service: "desk", after: [], bytes: 3_000_000 }],
   });
   const text = JSON.stringify(Array.from({ length: 1000 }, route));
-  t.true(configurations.pack(text).length < text.length / 5);
+  t.true(configurations.compress(text).length < text.length / 5);
 });
 
 test("other bytes are not taken for a document", (t) => {
-  t.throws(() => configurations.unpack("AAAA"), {
+  t.throws(() => configurations.decompress("AAAA"), {
     name: "PackingError",
   });
 });
--- a/src/configuration/configuration.ts
+++ b/src/configuration/configuration.ts
@@ -59,7 +59,7 @@
 }
 
 /** Figures of one endpoint of a service that makes pieces. */
-export interface PieceTraits {
+export interface BatchTraits {
   /** Calls in progress at once. */
   readonly slots: number;
   /** Calls that may wait. */
@@ -67,7 +67,7 @@
   /** Most pieces in a call. */
   readonly batch: number;
   readonly callTime: number;
-  readonly pieceTime: number;
+  readonly itemTime: number;
   /** Bytes of results that it can hold. */
   readonly room: number;
   /** How long a result is kept after its call. */
@@ -88,7 +88,7 @@
   /** Connections that one endpoint takes from all hosts together. */
   readonly connections: number;
   readonly engine?: EngineTraits;
-  readonly pieces?: PieceTraits;
+  readonly batching?: BatchTraits;
   /** Absent where they are never cold. */
   readonly cold?: ColdTraits;
 }
@@ -126,6 +126,6 @@
 
 /** Whether what a client has left behind is stopped at its endpoint: work that
  * may be repeated, and streams, which nobody reads to their end any more. */
-export function isStoppable({ kind }: Route): boolean {
+export function isCancellable({ kind }: Route): boolean {
   return kind !== "unsafe";
 }
--- a/src/configuration/configuration_test.ts
+++ b/src/configuration/configuration_test.ts
@@ -6,7 +6,7 @@
 
 function faultOf(change: Partial<configurations.Configuration>) {
   const configuration = fixture.configuration(change);
-  return configurations.faultOf(configuration)?.kind;
+  return configurations.findViolation(configuration)?.kind;
 }
 
 test("a whole configuration has no fault", (t) => {
--- a/src/configuration/fixture.ts
+++ b/src/configuration/fixture.ts
@@ -26,15 +26,15 @@
 }
 
 /** Figures of a service that makes pieces. */
-export function pieceTraits(
-  change: Partial<configurations.PieceTraits> = {},
-): configurations.PieceTraits {
+export function batchTraits(
+  change: Partial<configurations.BatchTraits> = {},
+): configurations.BatchTraits {
   return {
     slots: 1,
     queue: 2,
     batch: 4,
     callTime: 100,
-    pieceTime: 10,
+    itemTime: 10,
     room: 1000,
     keepTime: 4000,
     ...change,
--- a/src/configuration/mod.ts
+++ b/src/configuration/mod.ts
@@ -4,5 +4,5 @@
 
 export * from "./catalogue.ts";
 export * from "./configuration.ts";
-export * from "./fault.ts";
-export * from "./packed.ts";
+export * from "./validation.ts";
+export * from "./compression.ts";
--- a/src/configuration/fault.ts
+++ b/src/configuration/validation.ts
@@ -4,7 +4,7 @@
 import type * as configurations from "./configuration.ts";
 
 /** Why a configuration is invalid. */
-export type FaultKind =
+export type ViolationKind =
   | "unknown-service"
   | "same-place"
   | "no-weight"
@@ -15,15 +15,15 @@
   | "same-name";
 
 /** A fault, and where it is. */
-export interface Fault {
-  readonly kind: FaultKind;
+export interface Violation {
+  readonly kind: ViolationKind;
   readonly detail: string;
 }
 
 /** The first fault of a configuration; undefined when it is valid. */
-export function faultOf(
+export function findViolation(
   configuration: configurations.Configuration,
-): Fault | undefined {
+): Violation | undefined {
   const services = new Set(configuration.services.map(({ name }) => name));
   if (services.size < configuration.services.length) {
     return { kind: "same-name", detail: "two services share a name" };
@@ -38,7 +38,7 @@
 function faultOfRoute(
   route: configurations.Route,
   services: ReadonlySet<string>,
-): Fault | undefined {
+): Violation | undefined {
   const { name, targets, stages, timeout, prefix } = route;
   const named = [...targets, ...stages].map(({ service }) => service);
   const unknown = named.find((service) => !services.has(service));
@@ -66,7 +66,7 @@
 
 function sharedPlace(
   routes: readonly configurations.Route[],
-): Fault | undefined {
+): Violation | undefined {
   const places = new Map<string, string>();
   for (const { name, hostname, prefix } of routes) {
     const place = `${hostname.toLowerCase()} ${prefix}`;
@@ -82,7 +82,7 @@
 
 function sharedKey(
   accounts: readonly configurations.Account[],
-): Fault | undefined {
+): Violation | undefined {
   const holders = new Map<string, string>();
   for (const { name, keys } of accounts) {
     for (const key of keys) {
--- a/src/control/host/command_client.ts
+++ b/src/control/host/command_client.ts
@@ -28,14 +28,14 @@
 /** Proposes commands from any host. */
 export class CommandClient {
   readonly #options: CommandClientOptions;
-  readonly #alarm: runtime.Alarm;
+  readonly #alarm: runtime.Timer;
   readonly #waiters = new Map<string, Waiter>();
   #forwarder: watch.Forwarder;
 
   private constructor(options: CommandClientOptions) {
     this.#options = options;
     this.#forwarder = watch.Forwarder.create(options.voters);
-    this.#alarm = runtime.Alarm.create(
+    this.#alarm = runtime.Timer.create(
       options.clock,
       () => this.#step({ type: "tick" }),
     );
--- a/src/control/host/follower.ts
+++ b/src/control/host/follower.ts
@@ -39,7 +39,7 @@
 /** Follows the table. */
 export class Follower {
   readonly #options: FollowerOptions;
-  readonly #alarm: runtime.Alarm;
+  readonly #alarm: runtime.Timer;
   #watcher: watch.Watcher | watch.Observer;
 
   private constructor(options: FollowerOptions) {
@@ -48,7 +48,7 @@
     this.#watcher = observer
       ? watch.Observer.create(publishers)
       : watch.Watcher.create(publishers);
-    this.#alarm = runtime.Alarm.create(
+    this.#alarm = runtime.Timer.create(
       options.clock,
       () => this.#step({ type: "tick" }),
     );
--- a/src/control/host/voter.ts
+++ b/src/control/host/voter.ts
@@ -37,8 +37,8 @@
 export class Voter {
   readonly #options: VoterOptions;
   readonly #commands: watch.CommandServer;
-  readonly #alarm: runtime.Alarm;
-  readonly #look: runtime.Alarm;
+  readonly #alarm: runtime.Timer;
+  readonly #look: runtime.Timer;
   #runner!: log.Runner<table.State, table.Reply>;
   #publisher = watch.Publisher.create(table.Table.create());
   #editions: table.Table[] = [];
@@ -55,11 +55,11 @@
       stamp: () => this.#timekeeper.at(clock.now()),
       send: (to, body) => this.#send("control", to, body),
     });
-    this.#alarm = runtime.Alarm.create(
+    this.#alarm = runtime.Timer.create(
       clock,
       () => this.#publish({ type: "tick" }),
     );
-    this.#look = runtime.Alarm.create(clock, () => this.#lookAround());
+    this.#look = runtime.Timer.create(clock, () => this.#lookAround());
   }
 
   /** Reads the disk and takes part from then on. */
--- a/src/control/orders/reconciler.ts
+++ b/src/control/orders/reconciler.ts
@@ -30,8 +30,8 @@
 export class Reconciler {
   readonly #options: ReconcilerOptions;
   readonly #caller: callers.Caller;
-  readonly #alarm: runtime.Alarm;
-  readonly #look: runtime.Alarm;
+  readonly #alarm: runtime.Timer;
+  readonly #look: runtime.Timer;
   #orders: orders.Orders;
   #table: table.Table | undefined;
   #token: number | undefined;
@@ -46,8 +46,8 @@
       holds: (token) => this.#held()?.token === token,
     });
     const tick = () => this.#step({ type: "tick" });
-    this.#alarm = runtime.Alarm.create(clock, tick);
-    this.#look = runtime.Alarm.create(clock, () => this.#lookAtLease());
+    this.#alarm = runtime.Timer.create(clock, tick);
+    this.#look = runtime.Timer.create(clock, () => this.#lookAtLease());
   }
 
   /** A reconciler that does nothing before `start`. */
--- a/src/control/versions/configuration_store.ts
+++ b/src/control/versions/configuration_store.ts
@@ -6,12 +6,12 @@
 import type * as schema from "../../schema/fleet_types.ts";
 import type * as telemetry from "../../telemetry/mod.ts";
 import * as log from "../log/mod.ts";
-import * as editions from "./edition.ts";
+import * as editions from "./configuration_version.ts";
 import * as errors from "./errors.ts";
 import * as evacuations from "./evacuations.ts";
-import * as leaderCalls from "./leader_calls.ts";
-import * as leaderBeliefs from "./leader_belief.ts";
-import * as machines from "./machine.ts";
+import * as leaderCalls from "./leader_client.ts";
+import * as leaderBeliefs from "./leader_hint.ts";
+import * as machines from "./state_machine.ts";
 import * as replicaStatuses from "./replica_status.ts";
 
 /** Milliseconds after which a replica whose disk failed is started anew. */
@@ -39,17 +39,17 @@
 export interface ConfigurationStoreOptions {
   self: string;
   /** Hosts that may found the log. */
-  founders: readonly string[];
+  initialVoters: readonly string[];
   /** Whether this host may found it. */
-  founds: boolean;
+  isBootstrap: boolean;
   clock: runtime.Clock;
   random: runtime.Random;
   transport: runtime.Transport;
-  open: OpenStorage;
-  ask: leaderCalls.Ask;
+  openStorage: OpenStorage;
+  callHost: leaderCalls.HostCall;
   logger: telemetry.Logger;
   /** This host has come to lead. */
-  onLeading?(): void;
+  onElected?(): void;
 }
 
 /** Questions that a host sends to the one that leads. */
@@ -61,17 +61,17 @@
 /** How an evacuation is ordered. */
 export interface EvacuateOptions {
   /** Milliseconds in which it should be acknowledged. */
-  readonly patience: number;
+  readonly timeout: number;
   /** Whether nobody waits for the acknowledgement any more. */
   isAbandoned(): boolean;
 }
 
-type Runner = log.Runner<machines.ControlState, machines.Reply>;
+type Runner = log.Runner<machines.ControlState, machines.CommandReply>;
 
 /** The replica of this host, and the way to its leader. */
 export class ConfigurationStore {
   readonly #options: ConfigurationStoreOptions;
-  readonly #calls: leaderCalls.LeaderCalls;
+  readonly #calls: leaderCalls.LeaderClient;
   #runner?: Runner;
   #hosts: readonly string[];
   #contacts: readonly string[] = [];
@@ -79,9 +79,9 @@
   #stopped = false;
   #waiting: { index: number; resolve(): void }[] = [];
   #members?: unknown;
-  #told = leaderBeliefs.LeaderBelief.NONE;
+  #told = leaderBeliefs.LeaderHint.NONE;
   /** Newest version that a leader elsewhere has told. */
-  #fetched: editions.Edition = editions.NONE;
+  #fetched: editions.ConfigurationVersion = editions.NO_VERSION;
   /** Orders of evacuations that leaders elsewhere have told. */
   #fetchedEvacuations = evacuations.Evacuations.NONE;
   /** When a replica of each host was heard last. */
@@ -89,11 +89,11 @@
 
   private constructor(options: ConfigurationStoreOptions) {
     this.#options = options;
-    this.#hosts = options.founders;
-    this.#calls = leaderCalls.LeaderCalls.create({
+    this.#hosts = options.initialVoters;
+    this.#calls = leaderCalls.LeaderClient.create({
       ...options,
       leader: () => this.leader,
-      refute: (leader) => this.#told = this.#told.refute(leader),
+      onNotLeader: (leader) => this.#told = this.#told.invalidate(leader),
     });
   }
 
@@ -116,9 +116,9 @@
   }
 
   /** Notes who leads, as a member tells. */
-  learnLeadership(told: schema.Leadership): void {
-    this.#told = this.#told.learn(told, this.#options.clock.now());
-    this.#calls.noteLeader();
+  updateLeaderHint(told: schema.Leadership): void {
+    this.#told = this.#told.update(told, this.#options.clock.now());
+    this.#calls.handleLeaderChange();
   }
 
   /** Hosts of the voters as this host knows them. */
@@ -136,8 +136,8 @@
   }
 
   /** The newest version known here, which may not be the newest of all. */
-  get edition(): editions.Edition {
-    const applied = this.#runner?.state.edition ?? editions.NONE;
+  get configuration(): editions.ConfigurationVersion {
+    const applied = this.#runner?.state.configuration ?? editions.NO_VERSION;
     return applied.version >= this.#fetched.version ? applied : this.#fetched;
   }
 
@@ -148,7 +148,7 @@
   }
 
   /** Names the hosts that should be voters. */
-  setHosts(hosts: readonly string[]): void {
+  setDesiredVoters(hosts: readonly string[]): void {
     if (hosts.join() !== this.#hosts.join()) {
       this.#hosts = hosts;
       this.#runner?.setHosts(hosts);
@@ -157,7 +157,7 @@
   }
 
   /** Names the hosts with disks that are known, whoever named them. */
-  setContacts(hosts: readonly string[]): void {
+  setKnownHosts(hosts: readonly string[]): void {
     if (hosts.join() === this.#contacts.join()) return;
     this.#contacts = hosts;
     this.#runner?.setContacts(hosts);
@@ -172,12 +172,12 @@
   /** Orders a version; resolves once a majority has it on disk. Rejects with
    * `VersionError` when that is not known after `patience` milliseconds. */
   async replace(
-    order: editions.Edition,
+    order: editions.ConfigurationVersion,
     patience: number,
   ): Promise<schema.ReplacedReply> {
-    const reply = await this.#calls.ask(patience, {
+    const reply = await this.#calls.call(patience, {
       question: { type: "replace", ...order },
-      here: () => this.#replaceHere(order),
+      handleLocally: () => this.#replaceHere(order),
     });
     return reply as schema.ReplacedReply;
   }
@@ -188,19 +188,19 @@
    * host that was frozen may take it long after another one was
    * acknowledged. Rejects with `VersionError`. */
   async evacuate(
-    wanted: Pick<evacuations.EvacuationOrder, "dataCentre" | "active">,
-    { patience, isAbandoned }: EvacuateOptions,
+    wanted: Pick<evacuations.EvacuationCommand, "dataCentre" | "active">,
+    { timeout: patience, isAbandoned }: EvacuateOptions,
   ): Promise<schema.EvacuatedReply> {
     const { clock } = this.#options;
     const until = clock.now() + patience;
     for (;;) {
       await this.read(until - clock.now());
-      if (isAbandoned()) throw new errors.VersionError("abandoned");
+      if (isAbandoned()) throw new errors.StoreError("abandoned");
       const after = this.evacuations.revisionOf(wanted.dataCentre);
       const order = { ...wanted, after, orderedAt: clock.wall() };
-      const reply = await this.#calls.ask(until - clock.now(), {
+      const reply = await this.#calls.call(until - clock.now(), {
         question: { type: "evacuate", ...order },
-        here: () => this.#evacuateHere(order),
+        handleLocally: () => this.#evacuateHere(order),
       }) as schema.EvacuatedReply;
       if (reply.verdict !== "outdated") return reply;
     }
@@ -209,18 +209,18 @@
   /** The newest version of all at some moment after the call, confirmed by a
    * majority, and the evacuations of that moment are known then. Rejects with
    * `VersionError`. */
-  async read(patience: number): Promise<editions.Edition> {
-    const { version } = this.edition;
-    const reply = await this.#calls.ask(patience, {
+  async read(patience: number): Promise<editions.ConfigurationVersion> {
+    const { version } = this.configuration;
+    const reply = await this.#calls.call(patience, {
       question: { type: "confirm", version },
-      here: () => this.#confirmHere(version),
+      handleLocally: () => this.#confirmHere(version),
     });
     await this.#take(reply as schema.ConfirmedReply, patience);
-    return this.edition;
+    return this.configuration;
   }
 
   /** Answers a question that another host has sent to the leader. */
-  answer(
+  handle(
     question: LeaderQuestion,
   ): Promise<schema.Reply> {
     switch (question.type) {
@@ -234,7 +234,7 @@
   }
 
   /** Hands leadership over, before a stop. */
-  drain(): void {
+  transferLeadership(): void {
     this.#runner?.drain();
   }
 
@@ -259,7 +259,7 @@
     if (this.#runner === undefined) return { runs: false };
     const { index, counters, replica, state } = this.#runner;
     const now = this.#options.clock.now();
-    const { version, digest } = state.edition;
+    const { version, digest } = state.configuration;
     return {
       ...log.dump(replica, now) as object,
       index,
@@ -271,19 +271,20 @@
   }
 
   async #start(): Promise<void> {
-    const { self, founds, clock, random, transport, logger } = this.#options;
+    const { self, isBootstrap: founds, clock, random, transport, logger } =
+      this.#options;
     let storage: Storage | undefined;
     try {
-      storage = await this.#options.open();
+      storage = await this.#options.openStorage();
       const opened = storage;
       this.#runner = await log.Runner.start<
         machines.ControlState,
-        machines.Reply
+        machines.CommandReply
       >({
         host: self,
         hosts: this.#hosts,
         founds,
-        machine: machines.machine,
+        machine: machines.stateMachine,
         clock,
         random,
         transport,
@@ -294,7 +295,7 @@
         onRole: (role, term, { leader }) => {
           logger.info({ role, term, leader }, "Role in the log changed");
           // The step that has led to it is not over yet.
-          queueMicrotask(() => this.#calls.noteLeader());
+          queueMicrotask(() => this.#calls.handleLeaderChange());
           if (role === "leader") queueMicrotask(() => this.#lead());
         },
         onFailure: (failure) => void this.#restart(failure, opened),
@@ -305,7 +306,7 @@
     }
     this.#runner.setContacts(this.#contacts);
     const { id, term, index, state } = this.#runner;
-    const { version } = state.edition;
+    const { version } = state.configuration;
     logger.info({ id, term, index, version }, "Replica of the log started");
   }
 
@@ -328,8 +329,8 @@
   #lead(): void {
     if (!this.isLeader) return;
     const voters = this.#ownVoters;
-    if (voters.length > 0) this.setHosts(voters);
-    this.#options.onLeading?.();
+    if (voters.length > 0) this.setDesiredVoters(voters);
+    this.#options.onElected?.();
   }
 
   /** Starts the replica anew from what its disk holds. */
@@ -398,7 +399,7 @@
     return new Promise((resolve, reject) => {
       const cancel = this.#options.clock.after(patience, () => {
         this.#waiting = this.#waiting.filter((each) => each !== entry);
-        reject(new errors.VersionError("no-leader"));
+        reject(new errors.StoreError("no-leader"));
       });
       const entry = {
         index,
@@ -420,7 +421,7 @@
     this.#fetchedEvacuations = this.#fetchedEvacuations.merge(evacuations);
     if (version === undefined) return await this.#reach(index, patience);
     if (document === undefined || digest === undefined) return;
-    if (version <= this.edition.version) return;
+    if (version <= this.configuration.version) return;
     this.#fetched = { version, document, digest };
   }
 
@@ -430,7 +431,7 @@
     if (runner === undefined) return { type: "failed", reason: "stopped" };
     try {
       const index = await runner.confirm();
-      const { edition, evacuations: { list } } = runner.state;
+      const { configuration: edition, evacuations: { list } } = runner.state;
       const { version } = edition;
       const confirmed = {
         type: "confirmed" as const,
@@ -447,17 +448,17 @@
   }
 
   #replaceHere(
-    { version, document, digest }: editions.Edition,
+    { version, document, digest }: editions.ConfigurationVersion,
   ): Promise<schema.Reply> {
     const edition = { version, document, digest };
-    return this.#propose((id) => machines.replacement(id, edition));
+    return this.#propose((id) => machines.replaceCommand(id, edition));
   }
 
   #evacuateHere(
-    { dataCentre, active, after, orderedAt }: evacuations.EvacuationOrder,
+    { dataCentre, active, after, orderedAt }: evacuations.EvacuationCommand,
   ): Promise<schema.Reply> {
     const order = { dataCentre, active, after, orderedAt };
-    return this.#propose((id) => machines.evacuation(id, order));
+    return this.#propose((id) => machines.evacuateCommand(id, order));
   }
 
   async #propose(
--- a/src/control/versions/configuration_store_test.ts
+++ b/src/control/versions/configuration_store_test.ts
@@ -11,7 +11,7 @@
 
 import test from "ava";
 import * as telemetry from "../../telemetry/mod.ts";
-import * as fakes from "./fake_stores.ts";
+import * as fakes from "./fake_cluster.ts";
 
 const NAMES = ["a", "b", "c", "d", "e"];
 const SEEDS = ["a", "b", "c"];
@@ -23,7 +23,7 @@
 
 /** Five hosts, of which the settings name three; a host of `leaders` leads. */
 async function createFleet(leaders: readonly string[]) {
-  const fleet = new fakes.FakeStores(NAMES, SEEDS);
+  const fleet = new fakes.FakeCluster(NAMES, SEEDS);
   await fleet.start(NAMES, { founds: true });
   await fleet.run(6000);
   await fleet.moveLeader(leaders);
@@ -31,9 +31,9 @@
 }
 
 /** Takes a host's power and disk; it is back after a second. */
-async function loseDisk(fleet: fakes.FakeStores, name: string) {
-  fleet.cut([name]);
-  fleet.wipe(name);
+async function loseDisk(fleet: fakes.FakeCluster, name: string) {
+  fleet.crash([name]);
+  fleet.wipeDisk(name);
   await fleet.run(1000);
   await fleet.start([name]);
 }
@@ -45,7 +45,7 @@
   const lost = NAMES.find((name) => name !== fleet.leader)!;
   await loseDisk(fleet, lost);
   await fleet.run(JOINED);
-  const { id, voters } = fleet.at(lost).status!;
+  const { id, voters } = fleet.storeOf(lost).status!;
   return { hasJoined: voters.includes(id), voters: voters.length };
 }
 
@@ -68,8 +68,8 @@
     await fleet.run(4000);
   }
   await fleet.replace(fleet.leader!, VERSION);
-  fleet.cut(NAMES);
-  fleet.wipe(others[2]);
+  fleet.crash(NAMES);
+  fleet.wipeDisk(others[2]);
   await fleet.run(1000);
   await fleet.start(NAMES);
   await fleet.run(5000);
@@ -85,7 +85,7 @@
 });
 
 test("a host without a leader says whom it asks and whom it hears", async (t) => {
-  const fleet = new fakes.FakeStores(NAMES, SEEDS);
+  const fleet = new fakes.FakeCluster(NAMES, SEEDS);
   const lines: object[] = [];
   const note = (fields: object, msg: string) => {
     if (msg === "Log without a leader") lines.push(fields);
--- a/src/control/versions/edition.ts
+++ b/src/control/versions/configuration_version.ts
@@ -5,7 +5,7 @@
 import * as configurations from "../../configuration/mod.ts";
 
 /** One version; `version` is 0 before the first. */
-export interface Edition {
+export interface ConfigurationVersion {
   readonly version: number;
   /** The whole configuration as it was sent, packed. */
   readonly document: string;
@@ -16,14 +16,21 @@
 /** What became of an order: a version is accepted, or the same content was
  * there already, or a later one is in force; or other content holds the same
  * version, which is a conflict. */
-export type Verdict = "accepted" | "known" | "older" | "conflict";
+export type ReplaceVerdict = "accepted" | "known" | "older" | "conflict";
 
 /** Before the first order. */
-export const NONE: Edition = { version: 0, document: "", digest: "" };
+export const NO_VERSION: ConfigurationVersion = {
+  version: 0,
+  document: "",
+  digest: "",
+};
 
 /** A version out of the text that an operator sent. */
-export function editionOf(version: number, text: string): Edition {
-  const document = configurations.pack(text);
+export function packVersion(
+  version: number,
+  text: string,
+): ConfigurationVersion {
+  const document = configurations.compress(text);
   const digest = crypto.createHash("sha256").update(text).digest("base64url")
     .slice(0, DIGEST_LENGTH);
   return { version, document, digest };
@@ -33,10 +40,10 @@
 const DIGEST_LENGTH = 22;
 
 /** What an order would lead to. */
-export function judge(
-  state: Edition,
-  { version, digest }: Pick<Edition, "version" | "digest">,
-): Verdict {
+export function replaceVerdict(
+  state: ConfigurationVersion,
+  { version, digest }: Pick<ConfigurationVersion, "version" | "digest">,
+): ReplaceVerdict {
   if (version > state.version) return "accepted";
   if (version < state.version) return "older";
   return digest === state.digest ? "known" : "conflict";
--- a/src/control/versions/errors.ts
+++ b/src/control/versions/errors.ts
@@ -2,20 +2,20 @@
  * @module */
 
 /** Why there is no answer. Only `unknown` may have taken effect. */
-export type VersionFault = "no-leader" | "unknown" | "stopped" | "abandoned";
+export type StoreFault = "no-leader" | "unknown" | "stopped" | "abandoned";
 
 /** An order or a read of the configuration was not answered. */
-export class VersionError extends Error {
+export class StoreError extends Error {
   override readonly name = "VersionError";
-  readonly kind: VersionFault;
+  readonly kind: StoreFault;
 
-  constructor(kind: VersionFault, options: { cause?: unknown } = {}) {
+  constructor(kind: StoreFault, options: { cause?: unknown } = {}) {
     super(MESSAGES[kind], options);
     this.kind = kind;
   }
 }
 
-const MESSAGES: Record<VersionFault, string> = {
+const MESSAGES: Record<StoreFault, string> = {
   "no-leader": "no leader of the log answers",
   unknown: "the order may or may not be in force",
   stopped: "the log does not run on this host",
--- a/src/control/versions/evacuation_test.ts
+++ b/src/control/versions/evacuation_test.ts
@@ -3,7 +3,7 @@
 import test from "ava";
 import * as runtime from "../../runtime/mod.ts";
 import type * as schema from "../../schema/fleet_types.ts";
-import * as fakes from "./fake_stores.ts";
+import * as fakes from "./fake_cluster.ts";
 import * as versions from "./mod.ts";
 
 const NAMES = ["a", "b", "c", "d", "e", "f", "g", "h", "i"];
@@ -13,10 +13,10 @@
 
 /** Nine hosts, five of them voters. */
 async function createFleet() {
-  const fleet = new fakes.FakeStores(NAMES, SEEDS, { voters: VOTERS });
+  const fleet = new fakes.FakeCluster(NAMES, SEEDS, { voters: VOTERS });
   await fleet.start(NAMES, { founds: true });
   await fleet.run(8000);
-  const { voters } = fleet.at(fleet.leader!);
+  const { voters } = fleet.storeOf(fleet.leader!);
   const voteless = NAMES.find((name) => !voters.includes(name))!;
   return { fleet, voters, voteless };
 }
@@ -25,7 +25,7 @@
   const { fleet, voteless } = await createFleet();
   t.is(await fleet.evacuate(voteless, PLACE), "accepted");
   for (const name of NAMES) {
-    t.deepEqual(await fleet.evacuated(name), [PLACE], name);
+    t.deepEqual(await fleet.readEvacuated(name), [PLACE], name);
   }
 });
 
@@ -34,7 +34,7 @@
   await fleet.evacuate(fleet.leader!, PLACE);
   t.is(await fleet.evacuate(voteless, PLACE), "known");
   t.is(await fleet.evacuate(voteless, PLACE, { active: false }), "accepted");
-  t.deepEqual(await fleet.evacuated(fleet.leader!), []);
+  t.deepEqual(await fleet.readEvacuated(fleet.leader!), []);
 });
 
 test("versions of the configuration leave evacuations as they are", async (t) => {
@@ -42,19 +42,19 @@
   await fleet.replace(voteless, 4);
   await fleet.evacuate(voteless, PLACE);
   await fleet.replace(voteless, 5);
-  t.deepEqual(await fleet.evacuated(voteless), [PLACE]);
+  t.deepEqual(await fleet.readEvacuated(voteless), [PLACE]);
   t.is(await fleet.read(voteless), 5);
 });
 
 test("an evacuation is kept when all hosts lose power and two their disks", async (t) => {
   const { fleet, voters } = await createFleet();
   await fleet.evacuate(fleet.leader!, PLACE);
-  fleet.cut(NAMES);
-  voters.slice(0, 2).forEach((name) => fleet.wipe(name));
+  fleet.crash(NAMES);
+  voters.slice(0, 2).forEach((name) => fleet.wipeDisk(name));
   await fleet.start(NAMES);
   await fleet.run(6000);
   for (const name of NAMES) {
-    t.deepEqual(await fleet.evacuated(name), [PLACE], name);
+    t.deepEqual(await fleet.readEvacuated(name), [PLACE], name);
   }
 });
 
@@ -64,7 +64,7 @@
   await fleet.evacuate(fleet.leader!, PLACE, { active: false });
   const isAbandoned = () => true;
   t.is(await fleet.evacuate(voteless, PLACE, { isAbandoned }), undefined);
-  t.deepEqual(await fleet.evacuated(voteless), []);
+  t.deepEqual(await fleet.readEvacuated(voteless), []);
 });
 
 test("of orders that come in any order the newest is known", (t) => {
--- a/src/control/versions/evacuations.ts
+++ b/src/control/versions/evacuations.ts
@@ -10,7 +10,7 @@
 export type EvacuationVerdict = schema.EvacuatedReply["verdict"];
 
 /** An order to begin or to end an evacuation. */
-export type EvacuationOrder = Omit<schema.EvacuateQuestion, "type">;
+export type EvacuationCommand = Omit<schema.EvacuateQuestion, "type">;
 
 /** The last order about each data centre; immutable. What two hosts know is
  * merged in any order to the same. */
@@ -36,7 +36,7 @@
 
   /** Orders that had effect, in all: of two hosts the one with more knows
    * more. */
-  get orders(): number {
+  get totalRevision(): number {
     return this.list.reduce((sum, { revision }) => sum + revision, 0);
   }
 
@@ -63,7 +63,7 @@
 
   /** Applies an order. */
   apply(
-    { dataCentre, active, after, orderedAt }: EvacuationOrder,
+    { dataCentre, active, after, orderedAt }: EvacuationCommand,
   ): { verdict: EvacuationVerdict; next: Evacuations } {
     const revision = this.revisionOf(dataCentre);
     if (this.isActive(dataCentre) === active) {
--- a/src/control/versions/fake_stores.ts
+++ b/src/control/versions/fake_cluster.ts
@@ -5,8 +5,8 @@
 import * as storage from "../../storage/mod.ts";
 import * as telemetry from "../../telemetry/mod.ts";
 import * as configurationStores from "./configuration_store.ts";
-import type * as leaderCalls from "./leader_calls.ts";
-import * as editions from "./edition.ts";
+import type * as leaderCalls from "./leader_client.ts";
+import * as editions from "./configuration_version.ts";
 
 /** Milliseconds that one step of a run lasts. */
 const STEP = 1;
@@ -14,8 +14,8 @@
 const GREETING = 400;
 
 /** A version with some content. */
-export function editionOf(version: number): editions.Edition {
-  return editions.editionOf(version, JSON.stringify({ version }));
+export function versionOf(version: number): editions.ConfigurationVersion {
+  return editions.packVersion(version, JSON.stringify({ version }));
 }
 
 /** A host of a fake fleet. */
@@ -31,26 +31,26 @@
 
 /** Deliberate faults, to show that checks notice them: nobody tells who leads;
  * hosts that ask are told that what they hold is in force. */
-export type Breakage = "untold" | "unconfirmed";
+export type InjectedFault = "untold" | "unconfirmed";
 
 /** What a fake fleet is made of. */
-export interface FakeStoresOptions {
+export interface FakeClusterOptions {
   /** Most voters; all hosts when absent. */
   readonly voters?: number;
   readonly seed?: number;
   /** Milliseconds from host to host; 1 when absent. */
   readonly delay?: number;
-  readonly breakage?: Breakage;
+  readonly fault?: InjectedFault;
 }
 
 /** Hosts that keep the configuration together. */
-export class FakeStores {
+export class FakeCluster {
   readonly clock = new runtime.FakeClock();
   readonly #hosts: readonly Host[];
   readonly #random: runtime.Random;
   readonly #mostVoters: number;
   readonly #delay: number;
-  readonly #breakage?: Breakage;
+  readonly #breakage?: InjectedFault;
   /** Hosts that leaders want as voters, where a test says so; none for no
    * word of theirs. */
   #chosen?: readonly string[];
@@ -61,8 +61,8 @@
   constructor(
     names: readonly string[],
     seeds: readonly string[],
-    { voters = names.length, seed = 5, delay = 1, breakage }:
-      FakeStoresOptions = {},
+    { voters = names.length, seed = 5, delay = 1, fault: breakage }:
+      FakeClusterOptions = {},
   ) {
     this.#breakage = breakage;
     this.#mostVoters = voters;
@@ -77,7 +77,7 @@
   }
 
   /** The store of a host that runs. */
-  at(name: string): configurationStores.ConfigurationStore {
+  storeOf(name: string): configurationStores.ConfigurationStore {
     return this.#host(name).store!;
   }
 
@@ -93,7 +93,7 @@
 
   /** Host that leads, if any does. */
   get leader(): string | undefined {
-    return this.running.find((name) => this.at(name).isLeader);
+    return this.running.find((name) => this.storeOf(name).isLeader);
   }
 
   /** Starts hosts; `founds` at the very first start of all, `seeds` where their
@@ -113,8 +113,8 @@
       const runs = () => host.life === life;
       host.store = await configurationStores.ConfigurationStore.start({
         self: name,
-        founders: host.seeds,
-        founds: founds && host.seeds.includes(name),
+        initialVoters: host.seeds,
+        isBootstrap: founds && host.seeds.includes(name),
         clock: {
           now: () => this.clock.now(),
           wall: () => this.clock.now(),
@@ -129,8 +129,8 @@
             if (runs()) this.#send(envelope);
           },
         },
-        open: () => Promise.resolve(host.disk),
-        ask: (to, question, { timeout }) =>
+        openStorage: () => Promise.resolve(host.disk),
+        callHost: (to, question, { timeout }) =>
           this.#ask({ from: name, to, timeout }, question),
         logger: logger ?? telemetry.noLogger,
       });
@@ -138,7 +138,7 @@
   }
 
   /** Takes hosts' power; their disks keep what was synced. */
-  cut(names: readonly string[]): void {
+  crash(names: readonly string[]): void {
     for (const name of names) {
       const host = this.#host(name);
       host.life++;
@@ -149,12 +149,12 @@
   }
 
   /** Gives a host that is down an empty disk. */
-  wipe(name: string): void {
+  wipeDisk(name: string): void {
     this.#host(name).disk = storage.MemoryStorage.create();
   }
 
   /** Cuts hosts off from all others, in both directions. */
-  cutOff(names: readonly string[]): void {
+  isolate(names: readonly string[]): void {
     for (const inside of names) {
       for (const outside of this.names) {
         if (names.includes(outside)) continue;
@@ -165,12 +165,12 @@
   }
 
   /** Has leaders want these hosts as voters; with none they name nobody. */
-  choose(names: readonly string[]): void {
+  setDesiredVoters(names: readonly string[]): void {
     this.#chosen = names;
   }
 
   /** Makes all links whole. */
-  join(): void {
+  heal(): void {
     this.#cutLinks.clear();
   }
 
@@ -186,7 +186,7 @@
 
   /** Orders a version at a host; undefined when it is not answered. */
   async replace(name: string, version: number): Promise<string | undefined> {
-    const answer = this.at(name).replace(editionOf(version), PATIENCE);
+    const answer = this.storeOf(name).replace(versionOf(version), PATIENCE);
     return await this.#settled(answer.then(({ verdict }) => verdict));
   }
 
@@ -200,22 +200,22 @@
       isAbandoned?: () => boolean;
     } = {},
   ): Promise<string | undefined> {
-    const options = { patience: PATIENCE, isAbandoned };
-    const answer = this.at(name).evacuate({ dataCentre, active }, options);
+    const options = { timeout: PATIENCE, isAbandoned };
+    const answer = this.storeOf(name).evacuate({ dataCentre, active }, options);
     return await this.#settled(answer.then(({ verdict }) => verdict));
   }
 
   /** Data centres that are evacuated as a host reads it; undefined when it is
    * not answered. */
-  async evacuated(name: string): Promise<string[] | undefined> {
-    const store = this.at(name);
+  async readEvacuated(name: string): Promise<string[] | undefined> {
+    const store = this.storeOf(name);
     const answer = store.read(PATIENCE).then(() => store.evacuations.active);
     return (await this.#settled(answer))?.map(({ dataCentre }) => dataCentre);
   }
 
   /** Version that a host reads; undefined when it is not answered. */
   async read(name: string): Promise<number | undefined> {
-    const answer = this.at(name).read(PATIENCE);
+    const answer = this.storeOf(name).read(PATIENCE);
     return await this.#settled(answer.then(({ version }) => version));
   }
 
@@ -225,7 +225,7 @@
       const { leader } = this;
       if (leader !== undefined && names.includes(leader)) return;
       if (leader !== undefined) {
-        this.cut([leader]);
+        this.crash([leader]);
         await this.run(ELECTED);
         await this.start([leader]);
       }
@@ -236,20 +236,20 @@
 
   #greet(): void {
     for (const name of this.running) {
-      const store = this.at(name);
-      store.setContacts(this.names);
+      const store = this.storeOf(name);
+      store.setKnownHosts(this.names);
       const wanted = this.#chosen ?? this.#wanted(name);
-      if (store.isLeader && wanted.length > 0) store.setHosts(wanted);
+      if (store.isLeader && wanted.length > 0) store.setDesiredVoters(wanted);
       this.#tellLeadership(name);
     }
   }
 
   #tellLeadership(from: string): void {
-    const { leadership } = this.at(from);
+    const { leadership } = this.storeOf(from);
     if (leadership === undefined || this.#breakage === "untold") return;
     for (const to of this.running) {
       if (to !== from && this.#carries(from, to)) {
-        this.at(to).learnLeadership(leadership);
+        this.storeOf(to).updateLeaderHint(leadership);
       }
     }
   }
@@ -257,7 +257,7 @@
   /** Hosts that should be voters: who leads, those that are and run, then others
    * that run, those that don't last. */
   #wanted(leader: string): string[] {
-    const { voters } = this.at(leader);
+    const { voters } = this.storeOf(leader);
     const rank = (name: string) => {
       if (name === leader) return -1;
       const isReached = this.running.includes(name) &&
@@ -293,8 +293,8 @@
 
   async #ask(
     { from, to, timeout }: { from: string; to: string; timeout: number },
-    question: Parameters<leaderCalls.Ask>[1],
-  ): ReturnType<leaderCalls.Ask> {
+    question: Parameters<leaderCalls.HostCall>[1],
+  ): ReturnType<leaderCalls.HostCall> {
     await this.#pass(this.#delay);
     if (this.#breakage === "unconfirmed" && question.type === "confirm") {
       return { type: "confirmed", index: 0, version: question.version };
@@ -304,8 +304,8 @@
       await this.#pass(timeout);
       throw new Error(`${to} is silent`);
     }
-    const reply = await store.answer(
-      question as Parameters<typeof store.answer>[0],
+    const reply = await store.handle(
+      question as Parameters<typeof store.handle>[0],
     );
     if (this.#carries(to, from)) return reply;
     await this.#pass(timeout);
--- a/src/control/versions/leader_change_test.ts
+++ b/src/control/versions/leader_change_test.ts
@@ -8,7 +8,7 @@
  * @module */
 
 import test from "ava";
-import * as fakes from "./fake_stores.ts";
+import * as fakes from "./fake_cluster.ts";
 
 const NAMES = ["a", "b", "c", "d", "e"];
 const SEEDS = ["a", "b", "c"];
@@ -19,9 +19,9 @@
 const ANSWERED = 150;
 
 /** Asks a host again and again; resolves with when it first answered. */
-async function firstRead(fleet: fakes.FakeStores, name: string) {
+async function firstRead(fleet: fakes.FakeCluster, name: string) {
   for (;;) {
-    const isRead = await fleet.at(name).read(PATIENCE)
+    const isRead = await fleet.storeOf(name).read(PATIENCE)
       .then(() => true, () => false);
     if (isRead) return fleet.clock.now();
   }
@@ -29,11 +29,11 @@
 
 test("reads go on as soon as another host leads", async (t) => {
   for (let run = 1; run <= 8; run++) {
-    const fleet = new fakes.FakeStores(NAMES, SEEDS, { seed: run * 7919 });
+    const fleet = new fakes.FakeCluster(NAMES, SEEDS, { seed: run * 7919 });
     await fleet.start(NAMES, { founds: true });
     await fleet.run(7000 + 37 * run);
     const lost = fleet.leader!;
-    fleet.cut([lost]);
+    fleet.crash([lost]);
     const others = NAMES.filter((name) => name !== lost);
     let answered: number[] | undefined;
     const reads = others.map((name) => firstRead(fleet, name));
--- a/src/control/versions/leader_calls.ts
+++ b/src/control/versions/leader_client.ts
@@ -14,43 +14,43 @@
 const ANSWER = 1000;
 
 /** Asks another host. */
-export type Ask = (
+export type HostCall = (
   to: string,
   question: schema.Question,
   options: { timeout: number },
 ) => Promise<schema.Reply>;
 
 /** What calls need of their host. */
-export interface LeaderCallsOptions {
+export interface LeaderClientOptions {
   readonly self: string;
   readonly clock: runtime.Clock;
   readonly logger: telemetry.Logger;
-  readonly ask: Ask;
+  readonly callHost: HostCall;
   /** Host that leads, as far as this one knows. */
   leader(): string | undefined;
   /** A host says that it does not lead. */
-  refute(leader: string): void;
+  onNotLeader(leader: string): void;
 }
 
 /** A question, and how this host answers it where it leads itself. */
-export interface LeaderQuestion {
+export interface LeaderCall {
   readonly question: schema.Question;
-  here(): Promise<schema.Reply>;
+  handleLocally(): Promise<schema.Reply>;
 }
 
 /** Calls of one host to leaders; changed in place. */
-export class LeaderCalls {
-  readonly #options: LeaderCallsOptions;
+export class LeaderClient {
+  readonly #options: LeaderClientOptions;
   /** Questions to leaders that are not answered yet. */
   #tries: { leader: string; end(): void }[] = [];
   #isStopped = false;
 
-  private constructor(options: LeaderCallsOptions) {
+  private constructor(options: LeaderClientOptions) {
     this.#options = options;
   }
 
-  static create(options: LeaderCallsOptions): LeaderCalls {
-    return new LeaderCalls(options);
+  static create(options: LeaderClientOptions): LeaderClient {
+    return new LeaderClient(options);
   }
 
   stop(): void {
@@ -59,7 +59,7 @@
 
   /** Ends tries that wait for a host which leads no more: while others still tell
    * of it, it may be believed for longer than an election takes. */
-  noteLeader(): void {
+  handleLeaderChange(): void {
     const leader = this.#options.leader();
     if (leader === undefined) return;
     const over = this.#tries.filter((each) => each.leader !== leader);
@@ -69,16 +69,16 @@
 
   /** Asks the leader, here or elsewhere, until it answers. Rejects with
    * `VersionError` after `patience` milliseconds. */
-  async ask(
+  async call(
     patience: number,
-    asked: LeaderQuestion,
+    asked: LeaderCall,
   ): Promise<schema.Reply> {
     const { clock } = this.#options;
     const until = clock.now() + patience;
     let isOpen = false;
     for (;;) {
       const left = until - clock.now();
-      if (this.#isStopped) throw new errors.VersionError("stopped");
+      if (this.#isStopped) throw new errors.StoreError("stopped");
       if (left <= 0) throw givenUp(isOpen);
       const leader = this.#options.leader();
       const reply = await this.#once(asked, left);
@@ -95,10 +95,10 @@
 
   /** One try; undefined when the leader did not answer. */
   async #once(
-    { question, here }: LeaderQuestion,
+    { question, handleLocally: here }: LeaderCall,
     left: number,
   ): Promise<schema.Reply | undefined> {
-    const { self, ask, logger, refute } = this.#options;
+    const { self, callHost: ask, logger, onNotLeader: refute } = this.#options;
     const leader = this.#options.leader();
     if (leader === undefined) return { type: "failed", reason: "not-leader" };
     if (leader === self) return here();
@@ -134,6 +134,6 @@
   }
 }
 
-function givenUp(isOpen: boolean): errors.VersionError {
-  return new errors.VersionError(isOpen ? "unknown" : "no-leader");
+function givenUp(isOpen: boolean): errors.StoreError {
+  return new errors.StoreError(isOpen ? "unknown" : "no-leader");
 }
--- a/src/control/versions/leader_belief.ts
+++ b/src/control/versions/leader_hint.ts
@@ -8,9 +8,9 @@
 const BELIEVED = 1500;
 
 /** What a host was told of the leader; immutable. */
-export class LeaderBelief {
+export class LeaderHint {
   /** Nothing was told. */
-  static readonly NONE = new LeaderBelief();
+  static readonly NONE = new LeaderHint();
 
   readonly #told?: schema.Leadership;
   readonly #heard: number;
@@ -21,16 +21,16 @@
   }
 
   /** Takes what a member says; the highest term wins. */
-  learn(told: schema.Leadership, now: number): LeaderBelief {
+  update(told: schema.Leadership, now: number): LeaderHint {
     const known = this.at(now);
     if (known !== undefined && told.term < known.term) return this;
-    return new LeaderBelief(told, now);
+    return new LeaderHint(told, now);
   }
 
   /** Notes that a host says that it does not lead. */
-  refute(leader: string): LeaderBelief {
+  invalidate(leader: string): LeaderHint {
     const isTold = this.#told?.leader === leader;
-    return isTold ? new LeaderBelief(this.#told) : this;
+    return isTold ? new LeaderHint(this.#told) : this;
   }
 
   /** Voters as they were told last: they seldom change, and a majority of them
--- a/src/control/versions/mod.ts
+++ b/src/control/versions/mod.ts
@@ -3,7 +3,7 @@
  * @module */
 
 export * from "./errors.ts";
-export * from "./edition.ts";
+export * from "./configuration_version.ts";
 export * from "./evacuations.ts";
 export * from "./configuration_store.ts";
-export * from "./machine.ts";
+export * from "./state_machine.ts";
--- a/src/control/versions/voteless_test.ts
+++ b/src/control/versions/nonvoter_test.ts
@@ -8,7 +8,7 @@
  * @module */
 
 import test from "ava";
-import * as fakes from "./fake_stores.ts";
+import * as fakes from "./fake_cluster.ts";
 
 const NAMES = ["a", "b", "c", "d", "e", "f", "g", "h", "i"];
 const SEEDS = ["a", "b", "c"];
@@ -18,24 +18,24 @@
 
 /** Nine hosts, five of them voters, that hold a version. */
 async function createFleet() {
-  const fleet = new fakes.FakeStores(NAMES, SEEDS, { voters: VOTERS });
+  const fleet = new fakes.FakeCluster(NAMES, SEEDS, { voters: VOTERS });
   await fleet.start(NAMES, { founds: true });
   await fleet.run(8000);
   await fleet.replace(fleet.leader!, FIRST);
   return fleet;
 }
 
-function votersOf(fleet: fakes.FakeStores) {
-  return fleet.at(fleet.leader!).voters;
+function votersOf(fleet: fakes.FakeCluster) {
+  return fleet.storeOf(fleet.leader!).voters;
 }
 
-function voteless(fleet: fakes.FakeStores) {
+function voteless(fleet: fakes.FakeCluster) {
   const voters = votersOf(fleet);
   return NAMES.filter((name) => !voters.includes(name));
 }
 
 /** What each of some hosts reads. */
-async function readAll(fleet: fakes.FakeStores, names: readonly string[]) {
+async function readAll(fleet: fakes.FakeCluster, names: readonly string[]) {
   const read = [];
   for (const name of names) read.push(await fleet.read(name));
   return read;
@@ -58,7 +58,7 @@
 test("hosts without a vote follow another leader", async (t) => {
   const fleet = await createFleet();
   const former = fleet.leader!;
-  fleet.cut([former]);
+  fleet.crash([former]);
   await fleet.run(4000);
   await fleet.replace(fleet.leader!, LATER);
   const others = NAMES.filter((name) => name !== former);
@@ -68,7 +68,7 @@
 test("a host that lost its vote while it was down reads and takes changes", async (t) => {
   const fleet = await createFleet();
   const away = votersOf(fleet).find((name) => name !== fleet.leader)!;
-  fleet.cut([away]);
+  fleet.crash([away]);
   await fleet.run(6000);
   t.false(votersOf(fleet).includes(away));
   await fleet.start([away]);
@@ -82,10 +82,10 @@
   const fleet = await createFleet();
   const [off] = voteless(fleet);
   t.is(await fleet.read(off), FIRST);
-  fleet.cutOff([off]);
+  fleet.isolate([off]);
   await fleet.replace(fleet.leader!, LATER);
   t.is(await fleet.read(off), undefined);
-  fleet.join();
+  fleet.heal();
   await fleet.run(1000);
   t.is(await fleet.read(off), LATER);
 });
@@ -94,14 +94,14 @@
   const fleet = await createFleet();
   const former = fleet.leader!;
   const beside = voteless(fleet).slice(0, 2);
-  fleet.cutOff([former, ...beside]);
+  fleet.isolate([former, ...beside]);
   await fleet.run(4000);
   const now = fleet.running.find((name) =>
-    name !== former && fleet.at(name).isLeader
+    name !== former && fleet.storeOf(name).isLeader
   )!;
   t.is(await fleet.replace(now, LATER), "accepted");
   t.deepEqual(await readAll(fleet, beside), [undefined, undefined]);
-  fleet.join();
+  fleet.heal();
   await fleet.run(3000);
   t.deepEqual(await readAll(fleet, NAMES), NAMES.map(() => LATER));
 });
@@ -109,8 +109,8 @@
 test("a host that lost its disk reads as soon as it hears of the leader", async (t) => {
   const fleet = await createFleet();
   const [lost] = voteless(fleet);
-  fleet.cut([lost]);
-  fleet.wipe(lost);
+  fleet.crash([lost]);
+  fleet.wipeDisk(lost);
   await fleet.start([lost]);
   await fleet.run(500);
   t.is(await fleet.read(lost), FIRST);
--- a/src/control/versions/replica_status.ts
+++ b/src/control/versions/replica_status.ts
@@ -28,7 +28,7 @@
 >;
 
 /** What its host knows beside a replica. */
-export interface Surroundings {
+export interface HostView {
   /** When each host was heard. */
   readonly heard: ReadonlyMap<string, number>;
   readonly told?: schema.Leadership;
@@ -38,7 +38,7 @@
 /** Describes a replica. */
 export function statusOf(
   replica: log.Replica,
-  { heard, told, now }: Surroundings,
+  { heard, told, now }: HostView,
 ): ReplicaStatus {
   const { members, ...dump } = log.dump(replica, now);
   const { id, role, term, leader, commit, last } = dump;
--- a/src/control/versions/split_election_test.ts
+++ b/src/control/versions/split_vote_test.ts
@@ -9,7 +9,7 @@
  * @module */
 
 import test from "ava";
-import * as fakes from "./fake_stores.ts";
+import * as fakes from "./fake_cluster.ts";
 
 const NAMES = ["a", "b", "c", "d", "e", "f", "g", "h", "i"];
 const SEEDS = ["a", "b", "c"];
@@ -27,14 +27,14 @@
  * disks, to a leader. */
 async function electionOf(seed: number): Promise<number> {
   const options = { voters: VOTERS, seed, delay: DELAY };
-  const fleet = new fakes.FakeStores(NAMES, SEEDS, options);
+  const fleet = new fakes.FakeCluster(NAMES, SEEDS, options);
   await fleet.start(NAMES, { founds: true });
   await fleet.run(9000);
-  const others = fleet.at(fleet.leader!).voters.filter((name) =>
+  const others = fleet.storeOf(fleet.leader!).voters.filter((name) =>
     name !== fleet.leader
   );
-  fleet.cut(NAMES);
-  others.slice(0, 2).forEach((name) => fleet.wipe(name));
+  fleet.crash(NAMES);
+  others.slice(0, 2).forEach((name) => fleet.wipeDisk(name));
   await fleet.run(500);
   await fleet.start(NAMES);
   const started = fleet.clock.now();
--- a/src/control/versions/machine_test.ts
+++ b/src/control/versions/state_machine_test.ts
@@ -4,7 +4,7 @@
 import * as configurations from "../../configuration/mod.ts";
 import * as versions from "./mod.ts";
 
-function verdictOf(reply: versions.Reply) {
+function verdictOf(reply: versions.CommandReply) {
   return "verdict" in reply ? reply.verdict : reply.reason;
 }
 
@@ -12,18 +12,18 @@
 
 /** Verdicts on orders, one after the other, and what is in force then. */
 function play(orders: readonly Order[]) {
-  let state = versions.machine.empty;
+  let state = versions.stateMachine.empty;
   const verdicts = orders.map(([version, text], pos) => {
-    const edition = versions.editionOf(version, text);
-    const command = versions.replacement(`${pos}`, edition);
-    const outcome = versions.machine.apply(state, command, pos + 1);
+    const edition = versions.packVersion(version, text);
+    const command = versions.replaceCommand(`${pos}`, edition);
+    const outcome = versions.stateMachine.apply(state, command, pos + 1);
     state = outcome.state;
     return verdictOf(outcome.reply);
   });
   return {
     verdicts,
     state,
-    text: configurations.unpack(state.edition.document),
+    text: configurations.decompress(state.configuration.document),
   };
 }
 
@@ -46,19 +46,19 @@
 
 test("a snapshot gives back the same state", (t) => {
   const { state } = play([[2, "b"]]);
-  const json = JSON.parse(JSON.stringify(versions.machine.toJSON(state)));
-  t.deepEqual(versions.machine.fromJSON(json), state);
+  const json = JSON.parse(JSON.stringify(versions.stateMachine.toJSON(state)));
+  t.deepEqual(versions.stateMachine.fromJSON(json), state);
 });
 
 type Step = [active: boolean, after: number];
 
 /** Verdicts on orders about one data centre, and the state they lead to. */
-function evacuate(steps: readonly Step[], from = versions.machine.empty) {
+function evacuate(steps: readonly Step[], from = versions.stateMachine.empty) {
   let state = from;
   const verdicts = steps.map(([active, after], pos) => {
     const order = { dataCentre: "north", active, after, orderedAt: pos };
-    const command = versions.evacuation(`e${pos}`, order);
-    const outcome = versions.machine.apply(state, command, pos + 1);
+    const command = versions.evacuateCommand(`e${pos}`, order);
+    const outcome = versions.stateMachine.apply(state, command, pos + 1);
     state = outcome.state;
     return verdictOf(outcome.reply);
   });
@@ -87,33 +87,33 @@
 
 test("versions and evacuations leave each other alone", (t) => {
   const { state } = evacuate([[true, 0]], play([[2, "b"]]).state);
-  t.is(state.edition.version, 2);
-  const edition = versions.editionOf(3, "c");
-  const command = versions.replacement("r", edition);
-  const next = versions.machine.apply(state, command, 9).state;
-  t.is(next.edition.version, 3);
+  t.is(state.configuration.version, 2);
+  const edition = versions.packVersion(3, "c");
+  const command = versions.replaceCommand("r", edition);
+  const next = versions.stateMachine.apply(state, command, 9).state;
+  t.is(next.configuration.version, 3);
   t.true(next.evacuations.isActive("north"));
 });
 
 test("a snapshot gives back evacuations", (t) => {
   const { state } = evacuate([[true, 0]], play([[2, "b"]]).state);
-  const json = JSON.parse(JSON.stringify(versions.machine.toJSON(state)));
-  const read = versions.machine.fromJSON(json);
-  t.deepEqual(read.edition, state.edition);
+  const json = JSON.parse(JSON.stringify(versions.stateMachine.toJSON(state)));
+  const read = versions.stateMachine.fromJSON(json);
+  t.deepEqual(read.configuration, state.configuration);
   t.deepEqual(read.evacuations.list, state.evacuations.list);
 });
 
 test("a snapshot of a machine that knew editions alone is read", (t) => {
-  const edition = versions.editionOf(4, "d");
-  const read = versions.machine.fromJSON({ ...edition });
-  t.deepEqual(read.edition, edition);
+  const edition = versions.packVersion(4, "d");
+  const read = versions.stateMachine.fromJSON({ ...edition });
+  t.deepEqual(read.configuration, edition);
   t.deepEqual(read.evacuations.list, []);
 });
 
 test("a command of a later release has no effect", (t) => {
   const { state } = play([[2, "b"]]);
   const command = { id: "x", type: "later" };
-  const outcome = versions.machine.apply(state, command, 9);
+  const outcome = versions.stateMachine.apply(state, command, 9);
   t.is(outcome.state, state);
   t.is(outcome.reply.type, "failed");
 });
--- a/src/control/versions/voters_test.ts
+++ b/src/control/versions/voters_test.ts
@@ -8,21 +8,21 @@
  * @module */
 
 import test from "ava";
-import * as fakes from "./fake_stores.ts";
+import * as fakes from "./fake_cluster.ts";
 
 const NAMES = ["a", "b", "c", "d", "e", "f", "g"];
 const SEEDS = ["a", "b", "c"];
 const VOTERS = 5;
 
 async function createFleet() {
-  const fleet = new fakes.FakeStores(NAMES, SEEDS, { voters: VOTERS });
+  const fleet = new fakes.FakeCluster(NAMES, SEEDS, { voters: VOTERS });
   await fleet.start(NAMES, { founds: true });
   await fleet.run(8000);
   return fleet;
 }
 
-function votersOf(fleet: fakes.FakeStores) {
-  return [...fleet.at(fleet.leader!).voters].sort();
+function votersOf(fleet: fakes.FakeCluster) {
+  return [...fleet.storeOf(fleet.leader!).voters].sort();
 }
 
 test("a voter too many loses its vote once all others vote", async (t) => {
@@ -31,7 +31,7 @@
   const { leader } = fleet;
   const added = NAMES.find((name) => !before.includes(name))!;
   const kept = before.filter((name) => name !== leader).slice(1);
-  fleet.choose([leader!, ...kept, added]);
+  fleet.setDesiredVoters([leader!, ...kept, added]);
   await fleet.run(4000);
   t.deepEqual(votersOf(fleet), [leader!, ...kept, added].sort());
 });
@@ -40,8 +40,8 @@
   const fleet = await createFleet();
   const before = votersOf(fleet);
   const seeds = NAMES.filter((name) => !before.includes(name));
-  fleet.choose([]);
-  fleet.cut(NAMES);
+  fleet.setDesiredVoters([]);
+  fleet.crash(NAMES);
   await fleet.run(500);
   await fleet.start(NAMES, { seeds });
   await fleet.run(4000);
--- a/src/endpoints/announce.ts
+++ b/src/endpoints/announce.ts
@@ -23,18 +23,18 @@
     return;
   }
   const next = known === undefined ? stated : follow(step, known, stated);
-  if (next !== known) merges.adopt(step, next, step.state.options.host);
+  if (next !== known) merges.replace(step, next, step.state.options.host);
   leases.renew(step, next);
   step.effects.push({
     type: "accept",
     id,
-    lease: states.leaseOf(step.state),
+    lease: states.leaseDuration(step.state),
   });
 }
 
 /** Takes the farewell of an endpoint, unless it is from an earlier run. One
  * that names a run which this host has not heard of ends that run. */
-export function depart(
+export function leave(
   step: states.Step,
   id: string,
   incarnation: number | undefined,
@@ -44,7 +44,7 @@
     ? unheard(step, id, incarnation)
     : leftOf(known, incarnation);
   if (left === undefined) return;
-  merges.adopt(step, left, step.state.options.host);
+  merges.replace(step, left, step.state.options.host);
 }
 
 /** An endpoint that left before this host heard of it. */
@@ -53,7 +53,7 @@
   id: string,
   incarnation: number | undefined,
 ): entries.Entry | undefined {
-  const full = state.turned.size >= states.GONE_LIMIT;
+  const full = state.notReadySince.size >= states.MAX_TOMBSTONES;
   if (incarnation === undefined || full) return undefined;
   const generation = incarnation;
   return { id, generation, phase: "left", sequence: 0, declared: incarnation };
@@ -123,10 +123,11 @@
     const generation = Math.max(known.generation + 1, stated.generation);
     return { ...stated, generation };
   }
-  const back = entries.PHASE[stated.phase] < entries.PHASE[known.phase];
+  const back =
+    entries.PHASE_ORDER[stated.phase] < entries.PHASE_ORDER[known.phase];
   const phase = back ? known.phase : stated.phase;
   const same = phase === known.phase && known.expired === undefined &&
-    entries.contentOf(stated) === entries.contentOf(known);
+    entries.contentKey(stated) === entries.contentKey(known);
   if (same) return known;
   const { generation, sequence } = known;
   return { ...stated, generation, phase, sequence: sequence + 1 };
@@ -140,12 +141,14 @@
   stated: entries.Entry,
 ): boolean {
   if (startedBefore(known, stated)) return true;
-  if (entries.PHASE[stated.phase] >= entries.PHASE[known.phase]) return false;
-  const turnedAt = state.turned.get(known.id) ?? now;
+  if (entries.PHASE_ORDER[stated.phase] >= entries.PHASE_ORDER[known.phase]) {
+    return false;
+  }
+  const turnedAt = state.notReadySince.get(known.id) ?? now;
   const declared = stated.declared !== undefined;
   if (declared && known.phase !== "left") return false;
   return now - turnedAt >=
-    (declared ? states.RETURN_DELAY : states.TURN_DELAY);
+    (declared ? states.REJOIN_DELAY_MS : states.REVERT_DELAY_MS);
 }
 
 function startedBefore(left: entries.Entry, right: entries.Entry): boolean {
--- a/src/endpoints/announce_test.ts
+++ b/src/endpoints/announce_test.ts
@@ -70,7 +70,7 @@
   const host = new fakeHost.FakeHost({ ...options, seeds: ["h1"], lease: 500 });
   host.wake(0);
   host.announce("e1", announcementOf(1), 10);
-  t.is(host.endpoints.serving.length, 1);
+  t.is(host.registry.serving.length, 1);
   for (let now = 100; now < 5000; now += 100) host.wake(now);
-  t.is(host.endpoints.serving.length, 0);
+  t.is(host.registry.serving.length, 0);
 });
--- a/src/endpoints/expiry.ts
+++ b/src/endpoints/compact_expiry.ts
@@ -8,12 +8,12 @@
 const RADIX = 36;
 
 /** Id, hash of the version, and the host that let the lease run out. */
-export function write(entry: entries.Entry): string {
+export function encode(entry: entries.Entry): string {
   return [entry.id, versionOf(entry), entry.expired].join(" ");
 }
 
 /** The whole entry; undefined where that version is not known here. */
-export function read(
+export function decode(
   known: entries.Entries,
   text: string,
 ): entries.Entry | undefined {
--- a/src/endpoints/fake_host.ts
+++ b/src/endpoints/fake_host.ts
@@ -25,8 +25,8 @@
 /** Membership and registry wired as a node wires them. */
 export class FakeHost implements fakeFleet.Program {
   readonly id: string;
-  view: membership.Membership;
-  endpoints: registry.Registry;
+  membership: membership.Membership;
+  registry: registry.Registry;
   /** Changes of hosts and of endpoints, in order. */
   readonly changes: (membership.Change | states.Change)[] = [];
   /** Answers to endpoints, in order. */
@@ -39,12 +39,12 @@
     const random = runtime.createRandom(seed);
     const address = { address: "127.0.0.1", port: 1 };
     this.id = id;
-    this.view = membership.Membership.create({
+    this.membership = membership.Membership.create({
       self: { id, ...self, ...address },
       seeds,
       random,
     });
-    this.endpoints = registry.Registry.create({ host: id, lease, random });
+    this.registry = registry.Registry.create({ host: id, lease, random });
   }
 
   get wakeAt(): number {
@@ -54,31 +54,34 @@
   receive({ from, channel, body }: runtime.Envelope, now: number) {
     if (channel === "membership") {
       const message = body as members.MembershipMessage;
-      return this.member({ type: "message", from, body: message }, now);
+      return this.stepMembership({ type: "message", from, body: message }, now);
     }
     const message = body as schema.RegistryMessage;
-    return this.registry({ type: "message", from, body: message }, now);
+    return this.stepRegistry({ type: "message", from, body: message }, now);
   }
 
-  wake(now: number): fakeFleet.Outgoing[] {
-    const outgoing: fakeFleet.Outgoing[] = [];
+  wake(now: number): fakeFleet.OutgoingMessage[] {
+    const outgoing: fakeFleet.OutgoingMessage[] = [];
     // A host that is alone never hears of a change.
     if (!this.#started) outgoing.push(...this.#takeHosts(now));
     this.#started = true;
     if (now >= this.#memberAt) {
-      outgoing.push(...this.member({ type: "wake" }, now));
+      outgoing.push(...this.stepMembership({ type: "wake" }, now));
     }
     if (now >= this.#registryAt) {
-      outgoing.push(...this.registry({ type: "wake" }, now));
+      outgoing.push(...this.stepRegistry({ type: "wake" }, now));
     }
     return outgoing;
   }
 
   /** Gives an event to membership. */
-  member(event: membership.Event, now: number): fakeFleet.Outgoing[] {
-    const { state, effects } = this.view.step(event, now);
-    this.view = state;
-    const outgoing: fakeFleet.Outgoing[] = [];
+  stepMembership(
+    event: membership.Event,
+    now: number,
+  ): fakeFleet.OutgoingMessage[] {
+    const { state, effects } = this.membership.step(event, now);
+    this.membership = state;
+    const outgoing: fakeFleet.OutgoingMessage[] = [];
     let changed = false;
     for (const effect of effects) {
       if (effect.type === "wake") this.#memberAt = effect.at;
@@ -94,10 +97,10 @@
   }
 
   /** Gives an event to the registry. */
-  registry(event: states.Event, now: number): fakeFleet.Outgoing[] {
-    const { state, effects } = this.endpoints.step(event, now);
-    this.endpoints = state;
-    const outgoing: fakeFleet.Outgoing[] = [];
+  stepRegistry(event: states.Event, now: number): fakeFleet.OutgoingMessage[] {
+    const { state, effects } = this.registry.step(event, now);
+    this.registry = state;
+    const outgoing: fakeFleet.OutgoingMessage[] = [];
     for (const effect of effects) {
       if (effect.type === "wake") this.#registryAt = effect.at;
       else if (effect.type === "notify") this.changes.push(effect.change);
@@ -112,15 +115,15 @@
     id: string,
     announcement: announcements.Announcement,
     now: number,
-  ): fakeFleet.Outgoing[] {
-    return this.registry({ type: "announce", id, announcement }, now);
+  ): fakeFleet.OutgoingMessage[] {
+    return this.stepRegistry({ type: "announce", id, announcement }, now);
   }
 
-  #takeHosts(now: number): fakeFleet.Outgoing[] {
-    const { live, neighbours } = this.view;
+  #takeHosts(now: number): fakeFleet.OutgoingMessage[] {
+    const { live, neighbours } = this.membership;
     const hosts = live.map(({ id, dataCentre, drain }) => {
       return { id, dataCentre, draining: drain !== undefined };
     });
-    return this.registry({ type: "hosts", hosts, neighbours }, now);
+    return this.stepRegistry({ type: "hosts", hosts, neighbours }, now);
   }
 }
--- a/src/endpoints/fixture.ts
+++ b/src/endpoints/fixture.ts
@@ -4,9 +4,9 @@
 import type * as roster from "./roster.ts";
 
 /** A ready endpoint of the service `desk`. */
-export function sighting(
-  change: Partial<roster.Sighting> = {},
-): roster.Sighting {
+export function endpointStatus(
+  change: Partial<roster.EndpointStatus> = {},
+): roster.EndpointStatus {
   return {
     id: "i-1",
     service: "desk",
@@ -25,9 +25,9 @@
   change: Partial<roster.RosterEntry> = {},
 ): roster.RosterEntry {
   return {
-    ...sighting(),
-    heard: 0,
-    since: 0,
+    ...endpointStatus(),
+    heardAt: 0,
+    firstHeardAt: 0,
     coldUntil: 0,
     revision: 1,
     isSilent: false,
--- a/src/endpoints/spread.ts
+++ b/src/endpoints/gossip.ts
@@ -4,43 +4,48 @@
 import * as membership from "../membership/mod.ts";
 import type * as schema from "../schema/registry_types.ts";
 import * as entries from "./entry.ts";
-import * as expiries from "./expiry.ts";
+import * as expiries from "./compact_expiry.ts";
 import * as merges from "./merge.ts";
 import * as states from "./state.ts";
 
-const ORDER: membership.exchange.Order<entries.Entry> = {
+const ORDER: membership.exchange.SyncOptions<entries.Entry> = {
   compare: entries.compare,
   isLive: entries.isServing,
-  limit: states.NEWS_LIMIT,
+  maxEntries: states.MAX_UPDATES_PER_MESSAGE,
 };
 
 /** Bytes of an entry in a message, about. */
 const ENTRY_BYTES = 300;
 const EXPIRY_BYTES = 40;
 
-const SENDING: Omit<membership.outbox.Sending<states.News>, "neighbours"> = {
-  cost: ({ entry }) => isExpiry(entry) ? EXPIRY_BYTES : ENTRY_BYTES,
+const SENDING: Omit<
+  membership.outbox.SendOptions<states.Update>,
+  "neighbours"
+> = {
+  sizeOf: ({ entry }) => isExpiry(entry) ? EXPIRY_BYTES : ENTRY_BYTES,
   isUrgent: ({ entry }) => !isExpiry(entry),
-  limit: states.NEWS_LIMIT,
+  maxEntries: states.MAX_UPDATES_PER_MESSAGE,
 };
 
 /** Sends up to one message of news to each neighbour, as far as the bound on
  * bytes allows; the rest follows. */
-export function sendNews(step: states.Step): void {
+export function sendUpdates(step: states.Step): void {
   const { state, now } = step;
   const { neighbours } = state;
   const sending = { ...SENDING, neighbours };
-  const { outbox, parcels } = membership.outbox.take(
-    state.outbox,
+  const { outbox, parcels } = membership.outbox.dequeue(
+    state.gossipQueue,
     now,
     sending,
   );
-  const nextNews = outbox.items.size > 0 ? now + states.NEWS_DELAY : Infinity;
-  step.state = { ...state, outbox, nextNews };
+  const nextNews = outbox.items.size > 0
+    ? now + states.UPDATE_DELAY_MS
+    : Infinity;
+  step.state = { ...state, gossipQueue: outbox, nextGossip: nextNews };
   for (const parcel of parcels) {
     const list = parcel.entries.map(({ entry }) => entry);
     const news = aged(step, list.filter((entry) => !isExpiry(entry)));
-    const expired = list.filter(isExpiry).map(expiries.write);
+    const expired = list.filter(isExpiry).map(expiries.encode);
     const body: schema.RegistryNews = { type: "news", news };
     if (expired.length > 0) body.expired = expired;
     step.effects.push({ type: "send", to: parcel.to, body });
@@ -52,40 +57,40 @@
 }
 
 /** Tells a neighbour the root, and forgets endpoints that are long gone. */
-export function sendRoot(step: states.Step): void {
+export function sendRootHash(step: states.Step): void {
   forget(step);
   const { state, now } = step;
   const { neighbours, options } = state;
-  const wait = states.ROOT_INTERVAL * (0.5 + options.random.next());
-  step.state = { ...state, nextRoot: now + wait };
+  const wait = states.ROOT_HASH_INTERVAL_MS * (0.5 + options.random.next());
+  step.state = { ...state, nextRootHash: now + wait };
   if (neighbours.length === 0) return;
   const to = neighbours[options.random.below(neighbours.length)];
-  const root = state.entries.root();
+  const root = state.entries.rootHash();
   step.effects.push({ type: "send", to, body: { type: "root", root } });
 }
 
 /** Compares copies with a neighbour whose root differs. */
-export function compareRoot(
+export function compareRootHash(
   step: states.Step,
   from: string,
   root: string,
 ): void {
   const { state, now } = step;
-  if (root === state.entries.root()) {
-    if (!state.agreed) step.state = { ...state, agreed: true };
+  if (root === state.entries.rootHash()) {
+    if (!state.hasSynced) step.state = { ...state, hasSynced: true };
     return;
   }
-  const quiet = now - state.changedAt >= states.QUIET &&
-    state.outbox.items.size === 0;
-  const waited = now >= state.nextSync + states.SYNC_INTERVAL;
+  const quiet = now - state.changedAt >= states.SETTLE_TIME_MS &&
+    state.gossipQueue.items.size === 0;
+  const waited = now >= state.nextSync + states.SYNC_INTERVAL_MS;
   if (now < state.nextSync || (!quiet && !waited)) return;
-  step.state = { ...state, nextSync: now + states.QUIET };
-  const body = membership.exchange.open(state.entries);
+  step.state = { ...state, nextSync: now + states.SETTLE_TIME_MS };
+  const body = membership.exchange.firstMessage(state.entries);
   step.effects.push({ type: "send", to: from, body });
 }
 
 /** Answers hashes: with finer ones of groups that differ, then with entries. */
-export function compare(
+export function answerHashes(
   step: states.Step,
   from: string,
   message: schema.RegistryCompare,
@@ -98,22 +103,22 @@
 }
 
 /** Takes entries of some buckets; sends back what is newer here. */
-export function receive(
+export function receiveEntries(
   step: states.Step,
   from: string,
   message: schema.RegistryEntries,
 ): void {
   const { exchange } = membership;
-  const newer = exchange.newer(step.state.entries, message, ORDER);
+  const newer = exchange.newerEntries(step.state.entries, message, ORDER);
   merges.mergeAll(step, message.news, from);
   if (!message.reply) return;
-  for (const part of exchange.parts(newer, states.NEWS_LIMIT)) {
+  for (const part of exchange.chunk(newer, states.MAX_UPDATES_PER_MESSAGE)) {
     send(step, from, part);
   }
 }
 
 /** Answers a host that lacks entries. */
-export function supply(
+export function sendEntries(
   step: states.Step,
   to: string,
   ids: readonly string[],
@@ -135,26 +140,26 @@
   return list.map((entry) => {
     if (entries.isServing(entry)) return entry;
     const { endpoint: _, ...rest } = entry;
-    const age = Math.round(now - (state.turned.get(entry.id) ?? now));
+    const age = Math.round(now - (state.notReadySince.get(entry.id) ?? now));
     return { ...rest, age: Math.max(0, age) };
   });
 }
 
 function forget(step: states.Step): void {
   const { state, now } = step;
-  const gone = [...state.turned].filter(([id]) => {
+  const gone = [...state.notReadySince].filter(([id]) => {
     return !entries.isServing(state.entries.get(id)!);
   });
-  const excess = gone.length - states.GONE_LIMIT;
+  const excess = gone.length - states.MAX_TOMBSTONES;
   const old = gone.filter(([, at], pos) =>
-    pos < excess || now - at >= states.GONE_KEPT
+    pos < excess || now - at >= states.TOMBSTONE_RETENTION_MS
   );
   if (old.length === 0) return;
-  const turned = new Map(state.turned);
+  const turned = new Map(state.notReadySince);
   let kept = state.entries;
   for (const [id] of old) {
     turned.delete(id);
     kept = kept.delete(id);
   }
-  step.state = { ...state, turned, entries: kept };
+  step.state = { ...state, notReadySince: turned, entries: kept };
 }
--- a/src/endpoints/incarnation_test.ts
+++ b/src/endpoints/incarnation_test.ts
@@ -4,9 +4,9 @@
 import * as fixture from "./fixture.ts";
 import * as endpoints from "./mod.ts";
 
-const TIMES = { silence: 4000, memory: 60_000 };
+const TIMES = { silenceTimeoutMs: 4000, retentionMs: 60_000 };
 
-type Change = Partial<endpoints.Sighting>;
+type Change = Partial<endpoints.EndpointStatus>;
 
 function rosterOf(...changes: Change[]) {
   const roster = endpoints.Roster.create(TIMES);
@@ -15,7 +15,10 @@
 }
 
 function tell(roster: endpoints.Roster, change: Change, heard: number) {
-  return roster.take({ sighting: fixture.sighting(change), heard });
+  return roster.merge({
+    status: fixture.endpointStatus(change),
+    heardAt: heard,
+  });
 }
 
 test("an endpoint that starts again under its id replaces the former whole", (t) => {
@@ -33,7 +36,7 @@
 
 test("an endpoint that has left and starts again is used", (t) => {
   const roster = rosterOf({ born: 100, sequence: 90 });
-  roster.leave({ id: "i-1", born: 100 }, 10);
+  roster.recordLeave({ id: "i-1", born: 100 }, 10);
   t.true(tell(roster, { born: 200, sequence: 1 }, 20));
   t.is(roster.get("i-1")?.state, "ready");
 });
@@ -64,14 +67,14 @@
 
 test("a word of another host that a former incarnation is silent changes nothing", (t) => {
   const roster = rosterOf({ born: 200 });
-  const sighting = fixture.sighting({ born: 100 });
-  roster.take({ sighting, heard: 50, isSilent: true });
+  const sighting = fixture.endpointStatus({ born: 100 });
+  roster.merge({ status: sighting, heardAt: 50, isSilent: true });
   t.false(roster.get("i-1")!.isSilent);
 });
 
 test("a leave that does not say of which incarnation ends the one known", (t) => {
   const roster = rosterOf({ born: 100 });
-  roster.leave({ id: "i-1" }, 10);
+  roster.recordLeave({ id: "i-1" }, 10);
   t.like(roster.get("i-1"), { born: 100, state: "gone" });
   tell(roster, { born: 200, sequence: 1 }, 20);
   t.is(roster.get("i-1")?.state, "ready");
--- a/src/endpoints/lease.ts
+++ b/src/endpoints/lease.ts
@@ -3,7 +3,7 @@
 
 import type * as schema from "../schema/registry_types.ts";
 import * as entries from "./entry.ts";
-import * as holders from "./holder.ts";
+import * as holders from "./lease_holder.ts";
 import * as merges from "./merge.ts";
 import * as states from "./state.ts";
 
@@ -13,19 +13,19 @@
   { id, generation, endpoint }: entries.Entry,
 ): void {
   const { state, now } = step;
-  const holder = endpoint && state.holders.of(id, endpoint.dataCentre);
+  const holder = endpoint && state.leaseHolders.of(id, endpoint.dataCentre);
   if (holder === undefined) return;
-  if (holder === state.options.host) return merges.lease(step, id);
+  if (holder === state.options.host) return merges.startLease(step, id);
   const queued = new Map(state.renewals.get(holder)).set(id, generation);
   step.state = {
     ...state,
     renewals: new Map(state.renewals).set(holder, queued),
-    nextRenew: Math.min(state.nextRenew, now + states.RENEW_DELAY),
+    nextRenewal: Math.min(state.nextRenewal, now + states.RENEWAL_DELAY_MS),
   };
 }
 
 /** Takes renewals that another host heard. */
-export function receive(
+export function receiveRenewals(
   step: states.Step,
   from: string,
   { renewals, forwarded }: schema.Renew,
@@ -59,7 +59,7 @@
 /** Sends renewals on to the holders. */
 export function sendRenewals(step: states.Step): void {
   const { state } = step;
-  step.state = { ...state, renewals: new Map(), nextRenew: Infinity };
+  step.state = { ...state, renewals: new Map(), nextRenewal: Infinity };
   for (const [to, queued] of state.renewals) {
     const renewals = [...queued].map(([id, generation]) => ({
       id,
@@ -77,7 +77,7 @@
     const { generation, phase, sequence, declared, endpoint } = step.state
       .entries.get(id)!;
     const expired = options.host;
-    merges.adopt(
+    merges.replace(
       step,
       { id, generation, phase, sequence, expired, declared, endpoint },
       options.host,
@@ -92,18 +92,18 @@
 }
 
 /** Takes over the leases that fall to this host, and gives up others. */
-export function takeHosts(
+export function updateHosts(
   step: states.Step,
   hosts: readonly holders.Host[],
   neighbours: readonly string[],
 ): void {
   step.state = {
     ...step.state,
-    holders: holders.Holders.create(hosts),
+    leaseHolders: holders.LeaseHolders.create(hosts),
     neighbours,
   };
   for (const entry of step.state.entries.values()) {
-    merges.keepLease(step, entry);
+    merges.updateLease(step, entry);
   }
 }
 
@@ -127,9 +127,9 @@
   if (known.expired !== undefined) {
     const { expired: _, ...rest } = known;
     const sequence = known.sequence + 1;
-    merges.adopt(step, { ...rest, sequence }, state.options.host);
+    merges.replace(step, { ...rest, sequence }, state.options.host);
   }
-  merges.lease(step, known.id);
+  merges.startLease(step, known.id);
 }
 
 function forward(
--- a/src/endpoints/holder.ts
+++ b/src/endpoints/lease_holder.ts
@@ -19,7 +19,7 @@
 }
 
 /** The hosts that can hold leases; equal wherever views of hosts agree. */
-export class Holders {
+export class LeaseHolders {
   readonly size: number;
   readonly #all: readonly Candidate[];
   readonly #dataCentres: ReadonlyMap<string, readonly Candidate[]>;
@@ -38,8 +38,8 @@
     this.#all = [...dataCentres.values()].flat();
   }
 
-  static create(hosts: readonly Host[]): Holders {
-    return new Holders(hosts);
+  static create(hosts: readonly Host[]): LeaseHolders {
+    return new LeaseHolders(hosts);
   }
 
   /** The holder of an endpoint's lease; undefined when there is no host. */
--- a/src/endpoints/merge.ts
+++ b/src/endpoints/merge.ts
@@ -3,7 +3,7 @@
 
 import * as membership from "../membership/mod.ts";
 import * as entries from "./entry.ts";
-import * as expiries from "./expiry.ts";
+import * as expiries from "./compact_expiry.ts";
 import * as states from "./state.ts";
 
 /** Takes in what `from` says about endpoints. */
@@ -23,7 +23,7 @@
   from: string,
 ): void {
   for (const text of texts) {
-    const entry = expiries.read(step.state.entries, text);
+    const entry = expiries.decode(step.state.entries, text);
     if (entry !== undefined) merge(step, entry, from);
   }
 }
@@ -34,22 +34,22 @@
   const newer = known && entries.compare(entry, known);
   if (newer === 0) hear(step, entry.id, from);
   if (newer !== undefined && newer <= 0) return;
-  if (entry.expired === undefined) return adopt(step, entry, from);
+  if (entry.expired === undefined) return replace(step, entry, from);
   if (known === undefined) return;
   mergeExpiry(step, { known, entry, from });
 }
 
 function hear(step: states.Step, id: string, from: string): void {
-  const outbox = membership.outbox.hear(step.state.outbox, id, from);
-  step.state = { ...step.state, outbox };
+  const outbox = membership.outbox.markKnown(step.state.gossipQueue, id, from);
+  step.state = { ...step.state, gossipQueue: outbox };
 }
 
 /** What left long ago is not learnt anew, or hosts would remind each other of
  * it for ever. */
 function isWorthLearning(step: states.Step, entry: entries.Entry): boolean {
   if (entry.phase !== "left") return entry.expired === undefined;
-  return (entry.age ?? 0) < states.GONE_KEPT &&
-    step.state.turned.size < states.GONE_LIMIT;
+  return (entry.age ?? 0) < states.TOMBSTONE_RETENTION_MS &&
+    step.state.notReadySince.size < states.MAX_TOMBSTONES;
 }
 
 /** Only the host that holds the lease can tell that it ran out: one that was
@@ -65,11 +65,11 @@
   const { state } = step;
   const holder = holderOf(state, known);
   if (holder === entry.expired || holder === from) {
-    return adopt(step, { ...entry, endpoint: known.endpoint }, from);
+    return replace(step, { ...entry, endpoint: known.endpoint }, from);
   }
   if (state.leases.has(entry.id)) {
     const sequence = entry.sequence + 1;
-    return adopt(step, { ...known, sequence }, state.options.host);
+    return replace(step, { ...known, sequence }, state.options.host);
   }
   if (holder !== undefined) askHolder(step, holder, entry);
 }
@@ -89,7 +89,7 @@
 
 /** Host that holds the lease of the endpoint, as this host sees it. */
 export function holderOf(
-  { holders }: states.State,
+  { leaseHolders: holders }: states.State,
   { id, endpoint }: entries.Entry,
 ): string | undefined {
   return endpoint && holders.of(id, endpoint.dataCentre);
@@ -97,7 +97,7 @@
 
 /** Replaces what is known of an endpoint, tells the other parts and spreads
  * it. */
-export function adopt(
+export function replace(
   step: states.Step,
   entry: entries.Entry,
   from: string,
@@ -105,41 +105,42 @@
   const { state, now } = step;
   const known = state.entries.get(entry.id);
   const { age, ...kept } = entry;
-  const turned = new Map(state.turned);
+  const turned = new Map(state.notReadySince);
   turned.delete(entry.id);
   if (entry.phase !== "ready" || entry.expired !== undefined) {
     turned.set(entry.id, now - (age ?? 0));
   }
   const news = { id: entry.id, entry: kept };
-  const outbox = membership.outbox.put(state.outbox, news, from);
+  const outbox = membership.outbox.enqueue(state.gossipQueue, news, from);
   step.state = {
     ...state,
     entries: state.entries.set(kept),
-    turned,
-    outbox,
-    nextNews: Math.min(state.nextNews, now + states.NEWS_DELAY),
+    notReadySince: turned,
+    gossipQueue: outbox,
+    nextGossip: Math.min(state.nextGossip, now + states.UPDATE_DELAY_MS),
     changedAt: now,
   };
-  keepLease(step, kept);
+  updateLease(step, kept);
   notify(step, known, kept);
 }
 
 /** Holds a lease while this host should, with grace for a new holder. */
-export function keepLease(step: states.Step, entry: entries.Entry): void {
+export function updateLease(step: states.Step, entry: entries.Entry): void {
   const { state } = step;
   const own = entries.isServing(entry) &&
     holderOf(state, entry) === state.options.host;
   if (own === state.leases.has(entry.id)) return;
-  if (own) return lease(step, entry.id, states.TAKEOVER_GRACE);
+  if (own) return startLease(step, entry.id, states.TAKEOVER_GRACE_MS);
   const leases = new Map(state.leases);
   leases.delete(entry.id);
   step.state = { ...state, leases };
 }
 
 /** Starts the lease of an endpoint anew. */
-export function lease(step: states.Step, id: string, grace = 0): void {
+export function startLease(step: states.Step, id: string, grace = 0): void {
   const { state, now } = step;
-  const end = now + states.leaseOf(state) + states.FORWARD_SLACK + grace;
+  const end = now + states.leaseDuration(state) + states.FORWARD_SLACK_MS +
+    grace;
   const leases = new Map(state.leases).set(id, end);
   const nextExpiry = Math.min(state.nextExpiry, end);
   step.state = { ...state, leases, nextExpiry };
--- a/src/endpoints/mod.ts
+++ b/src/endpoints/mod.ts
@@ -1,8 +1,8 @@
 /** Endpoints that announce themselves: leases, drains, departures.
  * @module */
 
-export type { Entry, Serving } from "./entry.ts";
-export * from "./holder.ts";
+export type { Entry, ServingEntry as Serving } from "./entry.ts";
+export * from "./lease_holder.ts";
 export * as incarnations from "./incarnation.ts";
 export * from "./registry.ts";
 export * from "./roster.ts";
--- a/src/endpoints/registry.ts
+++ b/src/endpoints/registry.ts
@@ -5,10 +5,10 @@
 import type * as schema from "../schema/registry_types.ts";
 import * as announces from "./announce.ts";
 import * as entries from "./entry.ts";
-import * as holders from "./holder.ts";
+import * as holders from "./lease_holder.ts";
 import * as leases from "./lease.ts";
 import * as merges from "./merge.ts";
-import * as spreads from "./spread.ts";
+import * as spreads from "./gossip.ts";
 import * as states from "./state.ts";
 
 /** Outcome of a step. */
@@ -40,19 +40,19 @@
     return new Registry({
       options,
       entries: entries.createMap(),
-      holders: holders.Holders.create([]),
+      leaseHolders: holders.LeaseHolders.create([]),
       neighbours: [],
       leases: new Map(),
       nextExpiry: Infinity,
-      turned: new Map(),
+      notReadySince: new Map(),
       renewals: new Map(),
-      nextRenew: Infinity,
-      outbox: membership.outbox.create(),
-      nextNews: Infinity,
-      nextRoot: 0,
+      nextRenewal: Infinity,
+      gossipQueue: membership.outbox.create(),
+      nextGossip: Infinity,
+      nextRootHash: 0,
       nextSync: 0,
       changedAt: -Infinity,
-      agreed: false,
+      hasSynced: false,
       wakeAt: Infinity,
     });
   }
@@ -76,32 +76,33 @@
   }
 
   /** Endpoints that serve, draining ones included. */
-  get serving(): entries.Serving[] {
+  get serving(): entries.ServingEntry[] {
     return [...this.#state.entries.values()].filter(entries.isServing);
   }
 
   /** Whether this copy has once equalled that of another host. */
-  get agreed(): boolean {
-    return this.#state.agreed;
+  get hasSynced(): boolean {
+    return this.#state.hasSynced;
   }
 
   /** Hash of the serving endpoints; equal where views agree. */
-  get root(): string {
-    return this.#state.entries.root();
+  get rootHash(): string {
+    return this.#state.entries.rootHash();
   }
 
   /** Ids of the endpoints whose leases this host holds. */
-  get held(): string[] {
+  get heldLeases(): string[] {
     return [...this.#state.leases.keys()];
   }
 
   /** For the state dump. */
   toJSON(): object {
-    const { entries, leases, outbox, agreed } = this.#state;
+    const { entries, leases, gossipQueue: outbox, hasSynced: agreed } =
+      this.#state;
     return {
       entries: [...entries.values()],
       leases: Object.fromEntries(leases),
-      lease: states.leaseOf(this.#state),
+      lease: states.leaseDuration(this.#state),
       pendingNews: outbox.items.size,
       agreed,
     };
@@ -109,7 +110,12 @@
 }
 
 function due(state: states.State): number {
-  const { nextExpiry, nextRenew, nextNews, nextRoot } = state;
+  const {
+    nextExpiry,
+    nextRenewal: nextRenew,
+    nextGossip: nextNews,
+    nextRootHash: nextRoot,
+  } = state;
   return Math.min(nextExpiry, nextRenew, nextNews, nextRoot);
 }
 
@@ -117,33 +123,33 @@
   wake: (step) => {
     const { now } = step;
     if (now >= step.state.nextExpiry) leases.expire(step);
-    if (now >= step.state.nextRenew) leases.sendRenewals(step);
-    if (now >= step.state.nextNews) spreads.sendNews(step);
-    if (now >= step.state.nextRoot) spreads.sendRoot(step);
+    if (now >= step.state.nextRenewal) leases.sendRenewals(step);
+    if (now >= step.state.nextGossip) spreads.sendUpdates(step);
+    if (now >= step.state.nextRootHash) spreads.sendRootHash(step);
   },
   message: (step, { from, body }) => {
     const handler = messages[body.type] as Handler;
     handler(step, body, from);
   },
   hosts: (step, { hosts, neighbours }) => {
-    leases.takeHosts(step, hosts, neighbours);
+    leases.updateHosts(step, hosts, neighbours);
   },
   announce: (step, { id, announcement }) => {
     announces.announce(step, id, announcement);
   },
   depart: (step, { id, incarnation }) => {
-    announces.depart(step, id, incarnation);
+    announces.leave(step, id, incarnation);
   },
 };
 
 const messages: Handlers<schema.RegistryMessage> = {
-  renew: (step, body, from) => leases.receive(step, from, body),
-  want: (step, { ids }, from) => spreads.supply(step, from, ids),
-  root: (step, { root }, from) => spreads.compareRoot(step, from, root),
+  renew: (step, body, from) => leases.receiveRenewals(step, from, body),
+  want: (step, { ids }, from) => spreads.sendEntries(step, from, ids),
+  root: (step, { root }, from) => spreads.compareRootHash(step, from, root),
   news: (step, { news, expired = [] }, from) => {
     merges.mergeAll(step, news, from);
     merges.mergeExpiries(step, expired, from);
   },
-  compare: (step, body, from) => spreads.compare(step, from, body),
-  entries: (step, body, from) => spreads.receive(step, from, body),
+  compare: (step, body, from) => spreads.answerHashes(step, from, body),
+  entries: (step, body, from) => spreads.receiveEntries(step, from, body),
 };
--- a/src/endpoints/registry_test.ts
+++ b/src/endpoints/registry_test.ts
@@ -59,7 +59,7 @@
     const { dataCentre, incarnation } = this.#endpoints.get(id)!;
     this.kill(id);
     this.fleet.call(this.#pick(dataCentre), (program, now) => {
-      return program.registry({ type: "depart", id, incarnation }, now);
+      return program.stepRegistry({ type: "depart", id, incarnation }, now);
     });
   }
 
@@ -75,7 +75,7 @@
   }
 
   knownAt(id: string): string {
-    const { serving } = this.fleet.get(id).endpoints;
+    const { serving } = this.fleet.get(id).registry;
     return serving
       .map(({ id, phase }) => phase === "ready" ? id : `${id}:${phase}`)
       .sort()
@@ -84,7 +84,7 @@
 
   holderOf(endpoint: string): string {
     return this.fleet.ids.find((id) => {
-      return this.fleet.get(id).endpoints.held.includes(endpoint);
+      return this.fleet.get(id).registry.heldLeases.includes(endpoint);
     })!;
   }
 
@@ -240,7 +240,7 @@
   world.start("h5", 2);
   world.run(10_000);
   t.is(world.known(), before);
-  t.true(world.fleet.get("h5").endpoints.agreed);
+  t.true(world.fleet.get("h5").registry.hasSynced);
 });
 
 test("a host that missed news heals by comparing copies", (t) => {
@@ -261,7 +261,7 @@
   const hosts = ["a", "b"].map((id) => {
     return { id, dataCentre: "west", draining: false };
   });
-  const holders = endpoints.Holders.create(hosts);
+  const holders = endpoints.LeaseHolders.create(hosts);
   const ids = ["w1", "w2", "w3", "w4", "w5", "w6"];
   const id = ids.find((id) => holders.of(id, "west") === "b")!;
   const { incarnation, ...endpoint } = announcementOf(id);
--- a/src/endpoints/roster.ts
+++ b/src/endpoints/roster.ts
@@ -11,10 +11,10 @@
 import * as incarnations from "./incarnation.ts";
 
 /** What an endpoint says of itself; `gone` once it has left. */
-export type SightingState = "ready" | "draining" | "gone";
+export type EndpointState = "ready" | "draining" | "gone";
 
 /** One report about an endpoint. */
-export interface Sighting extends incarnations.Incarnation {
+export interface EndpointStatus extends incarnations.Incarnation {
   readonly service: string;
   /** IP number and port. */
   readonly address: string;
@@ -22,37 +22,37 @@
   /** Version of its software. */
   readonly version: string;
   readonly slots: number;
-  readonly state: SightingState;
+  readonly state: EndpointState;
   /** Grows with each report of the endpoint; -1 where it is not known. */
   readonly sequence: number;
 }
 
 /** An endpoint as a roster holds it. */
-export interface RosterEntry extends Sighting {
+export interface RosterEntry extends EndpointStatus {
   /** When it was last heard, by the clock of this host. */
-  readonly heard: number;
+  readonly heardAt: number;
   /** Until when it is cold: slow, and able to bear few requests. */
   readonly coldUntil: number;
   /** Revision of the roster at which others should hear of it again. */
   readonly revision: number;
   readonly isSilent: boolean;
   /** When this host first heard of this incarnation. */
-  readonly since: number;
+  readonly firstHeardAt: number;
 }
 
 /** Times in milliseconds. */
-export interface RosterTimes {
+export interface RosterOptions {
   /** Without a heartbeat for so long, an endpoint counts as silent. */
-  readonly silence: number;
+  readonly silenceTimeoutMs: number;
   /** A silent endpoint is forgotten after so long, one that is gone too. */
-  readonly memory: number;
+  readonly retentionMs: number;
 }
 
 /** A report that has come to this host. */
-export interface Report {
-  readonly sighting: Sighting;
+export interface StatusReport {
+  readonly status: EndpointStatus;
   /** When the endpoint was heard, by the clock of this host. */
-  readonly heard: number;
+  readonly heardAt: number;
   readonly coldUntil?: number;
   /** Whether a host that hears all heartbeats holds it for silent; absent when
    * the report is a heartbeat itself. */
@@ -61,16 +61,16 @@
 
 /** Endpoints by id; changed in place. */
 export class Roster {
-  readonly #times: RosterTimes;
+  readonly #times: RosterOptions;
   readonly #entries = new Map<string, RosterEntry>();
   #revision = 0;
 
-  private constructor(times: RosterTimes) {
+  private constructor(times: RosterOptions) {
     this.#times = times;
   }
 
   /** An empty roster. */
-  static create(times: RosterTimes): Roster {
+  static create(times: RosterOptions): Roster {
     return new Roster(times);
   }
 
@@ -97,12 +97,14 @@
   }
 
   /** Takes a report; returns whether others should hear of it at once. */
-  take({ sighting, heard, coldUntil = 0, isSilent }: Report): boolean {
+  merge(
+    { status: sighting, heardAt: heard, coldUntil = 0, isSilent }: StatusReport,
+  ): boolean {
     const known = this.#entries.get(sighting.id);
     const order = known === undefined ? 1 : orderOf(sighting, known, heard);
     if (known === undefined || order > 0) {
       const told = { coldUntil, isSilent: isSilent ?? false };
-      this.#put({ ...sighting, ...told, heard, since: heard });
+      this.#put({ ...sighting, ...told, heardAt: heard, firstHeardAt: heard });
       return true;
     }
     if (order < 0 || known.state === "gone") return false;
@@ -112,9 +114,9 @@
       ...known,
       ...(isOlder ? {} : { ...sighting, born: known.born }),
       state: sighting.state,
-      heard: Math.max(heard, known.heard),
+      heardAt: Math.max(heard, known.heardAt),
       coldUntil: isOlder ? known.coldUntil : coldUntil,
-      isSilent: isSilent ?? (known.isSilent && heard <= known.heard),
+      isSilent: isSilent ?? (known.isSilent && heard <= known.heardAt),
     };
     const isNews = isDifferent(known, next);
     if (isNews) this.#put(next);
@@ -124,15 +126,15 @@
 
   /** Notes that an endpoint has left, also one that was never heard. Without a
    * `born` it is the incarnation that is known. */
-  leave(left: incarnations.Incarnation, now: number): boolean {
-    return this.take({ sighting: departureOf(left), heard: now });
+  recordLeave(left: incarnations.Incarnation, now: number): boolean {
+    return this.merge({ status: departureOf(left), heardAt: now });
   }
 
   /** Marks what is silent and forgets what has been so for long. */
   expire(now: number): void {
-    const { silence, memory } = this.#times;
+    const { silenceTimeoutMs: silence, retentionMs: memory } = this.#times;
     for (const entry of [...this.#entries.values()]) {
-      const age = now - entry.heard;
+      const age = now - entry.heardAt;
       const isOver = entry.isSilent || entry.state === "gone";
       if (isOver && age > memory) this.#entries.delete(entry.id);
       else if (!isOver && age > silence) {
@@ -142,7 +144,7 @@
   }
 
   /** What has changed after a revision. */
-  since(revision: number): RosterEntry[] {
+  changedSince(revision: number): RosterEntry[] {
     return [...this.#entries.values()].filter((entry) =>
       entry.revision > revision
     );
@@ -155,30 +157,34 @@
 
 /** Whether a word is of a later incarnation than the known one (above 0), of an
  * earlier one (below 0), or of the same. */
-function orderOf(word: Sighting, known: RosterEntry, heard: number): number {
+function orderOf(
+  word: EndpointStatus,
+  known: RosterEntry,
+  heard: number,
+): number {
   const order = incarnations.compare(word, known);
   const isVague = word.state === "gone" && word.born === undefined;
   if (order >= 0 || !isVague) return order;
   // A leave may come without its incarnation: it is of the one known then, and
   // of none that was heard of since.
-  return heard >= known.since ? 0 : order;
+  return heard >= known.firstHeardAt ? 0 : order;
 }
 
 /** Whether a word of the same incarnation is the older one. Of different words
  * with one sequence, which another writer may send, all hosts take the same. */
-function isOlderWord(word: Sighting, known: RosterEntry): boolean {
+function isOlderWord(word: EndpointStatus, known: RosterEntry): boolean {
   if (word.sequence !== known.sequence) return word.sequence < known.sequence;
   return textOf(word) < textOf(known);
 }
 
 /** Text that orders words of one sequence: a drain goes before readiness. */
-function textOf(word: Sighting): string {
+function textOf(word: EndpointStatus): string {
   const { state, service, address, dataCentre, version, slots } = word;
   const first = state === "ready" ? 0 : 1;
   return JSON.stringify([first, service, address, dataCentre, version, slots]);
 }
 
-function departureOf({ id, born }: incarnations.Incarnation): Sighting {
+function departureOf({ id, born }: incarnations.Incarnation): EndpointStatus {
   return {
     id,
     born,
@@ -208,7 +214,7 @@
 
 /** Whether an endpoint is cold for longer than was known. */
 function isColdAnew(one: RosterEntry, other: RosterEntry): boolean {
-  const known = Math.max(one.coldUntil, other.heard);
+  const known = Math.max(one.coldUntil, other.heardAt);
   return other.coldUntil > known + COLD_TOLERANCE;
 }
 
--- a/src/endpoints/state.ts
+++ b/src/endpoints/state.ts
@@ -6,39 +6,39 @@
 import type * as announcements from "../schema/endpoint_types.ts";
 import type * as schema from "../schema/registry_types.ts";
 import type * as entries from "./entry.ts";
-import type * as holders from "./holder.ts";
+import type * as holders from "./lease_holder.ts";
 
 /** News waits so long for more news before it is sent on. */
-export const NEWS_DELAY = 100;
+export const UPDATE_DELAY_MS = 100;
 /** Most entries in one message. */
-export const NEWS_LIMIT = 32;
+export const MAX_UPDATES_PER_MESSAGE = 32;
 /** Renewals for one holder are gathered for so long. */
-export const RENEW_DELAY = 100;
+export const RENEWAL_DELAY_MS = 100;
 /** Time that a renewal may take on its way to the holder. */
-export const FORWARD_SLACK = 2 * RENEW_DELAY;
+export const FORWARD_SLACK_MS = 2 * RENEWAL_DELAY_MS;
 /** Between two comparisons of roots with a neighbour. */
-export const ROOT_INTERVAL = 2000;
+export const ROOT_HASH_INTERVAL_MS = 2000;
 /** A copy that has not changed for so long should equal that of others. */
-export const QUIET = 1000;
+export const SETTLE_TIME_MS = 1000;
 /** Copies are compared after so long even while they change. */
-export const SYNC_INTERVAL = 10_000;
+export const SYNC_INTERVAL_MS = 10_000;
 /** Renewals that a host forwards in a second, at most; leases of a fleet with
  * more endpoints per host are longer. */
-export const FORWARDS_PER_SECOND = 6;
+export const MAX_FORWARDS_PER_SECOND = 6;
 /** Renewals that an endpoint sends within one lease. */
 export const RENEWALS_PER_LEASE = 3;
 /** Added to the first lease of a new holder: others may not know it yet. */
-export const TAKEOVER_GRACE = 2000;
+export const TAKEOVER_GRACE_MS = 2000;
 /** An endpoint that gives no incarnation may turn back from draining, or come
  * back after it left, this long after it did. */
-export const TURN_DELAY = 5000;
+export const REVERT_DELAY_MS = 5000;
 /** As above for one that gives its incarnation: longer than any renewal that
  * was sent before it left is under way. */
-export const RETURN_DELAY = 30_000;
+export const REJOIN_DELAY_MS = 30_000;
 /** An endpoint that left or expired is remembered for so long. */
-export const GONE_KEPT = 600_000;
+export const TOMBSTONE_RETENTION_MS = 600_000;
 /** Most of these remembered; the oldest are forgotten first. */
-export const GONE_LIMIT = 4096;
+export const MAX_TOMBSTONES = 4096;
 
 /** What the registry of a host needs. */
 export interface Options {
@@ -78,13 +78,13 @@
 
 /** A change of the endpoints that serve. */
 export type Change =
-  | { type: "joined"; entry: entries.Serving }
-  | { type: "changed"; entry: entries.Serving }
+  | { type: "joined"; entry: entries.ServingEntry }
+  | { type: "changed"; entry: entries.ServingEntry }
   | { type: "left"; id: string }
   | { type: "expired"; id: string };
 
 /** A change on its way to the neighbours. */
-export interface News {
+export interface Update {
   id: string;
   entry: entries.Entry;
 }
@@ -93,24 +93,24 @@
 export interface State {
   readonly options: Options;
   readonly entries: entries.Entries;
-  readonly holders: holders.Holders;
+  readonly leaseHolders: holders.LeaseHolders;
   readonly neighbours: readonly string[];
   /** Ends of the leases that this host holds. */
   readonly leases: ReadonlyMap<string, number>;
   /** No lease ends before. */
   readonly nextExpiry: number;
   /** When each endpoint that drains, left or expired turned so. */
-  readonly turned: ReadonlyMap<string, number>;
+  readonly notReadySince: ReadonlyMap<string, number>;
   /** Renewals to be forwarded, by holder, then by endpoint. */
   readonly renewals: ReadonlyMap<string, ReadonlyMap<string, number>>;
-  readonly nextRenew: number;
-  readonly outbox: membership.outbox.Outbox<News>;
-  readonly nextNews: number;
-  readonly nextRoot: number;
+  readonly nextRenewal: number;
+  readonly gossipQueue: membership.outbox.GossipQueue<Update>;
+  readonly nextGossip: number;
+  readonly nextRootHash: number;
   readonly nextSync: number;
   readonly changedAt: number;
   /** Whether this copy has once equalled that of another host. */
-  readonly agreed: boolean;
+  readonly hasSynced: boolean;
   readonly wakeAt: number;
 }
 
@@ -123,9 +123,11 @@
 
 /** Lease given to endpoints: longer where hosts have many of them, so that
  * the cost of renewals per host stays bounded. */
-export function leaseOf({ options, entries, holders }: State): number {
+export function leaseDuration(
+  { options, entries, leaseHolders: holders }: State,
+): number {
   const perHost = entries.size / Math.max(1, holders.size);
   const renewals = RENEWALS_PER_LEASE * perHost;
-  const least = Math.ceil(renewals * 1000 / FORWARDS_PER_SECOND);
+  const least = Math.ceil(renewals * 1000 / MAX_FORWARDS_PER_SECOND);
   return Math.max(options.lease, least);
 }
--- a/src/fleet/coalescing.ts
+++ b/src/fleet/coalescer.ts
@@ -9,9 +9,9 @@
 export interface CoalescerOptions<T> {
   readonly clock: runtime.Clock;
   /** Least milliseconds from the begin of one round to that of the next. */
-  readonly distance: number;
+  readonly minInterval: number;
   /** One round. */
-  ask(): Promise<T>;
+  fetch(): Promise<T>;
 }
 
 /** Asks in rounds, one after the other. */
@@ -35,7 +35,7 @@
   }
 
   async #begin(): Promise<T> {
-    const { clock, distance, ask } = this.#options;
+    const { clock, minInterval: distance, fetch: ask } = this.#options;
     const wait = Math.max(0, this.#begun + distance - clock.now());
     await new Promise<void>((resolve) =>
       void clock.after(wait, () => resolve())
--- a/src/fleet/coalescing_test.ts
+++ b/src/fleet/coalescer_test.ts
@@ -2,7 +2,7 @@
 
 import test from "ava";
 import * as runtime from "../runtime/mod.ts";
-import * as coalescing from "./coalescing.ts";
+import * as coalescing from "./coalescer.ts";
 
 /** Rounds whose answers are their numbers, and a way to let time pass. */
 function roundsOf({ fails = false } = {}) {
@@ -10,8 +10,8 @@
   let asked = 0;
   const shared = coalescing.Coalescer.create({
     clock,
-    distance: 100,
-    ask: () => fails ? Promise.reject(new Error("no")) : tell(++asked),
+    minInterval: 100,
+    fetch: () => fails ? Promise.reject(new Error("no")) : tell(++asked),
   });
   const tell = (number: number) => Promise.resolve(number);
   const pass = async (ms: number) => {
--- a/src/fleet/core_host.ts
+++ b/src/fleet/control_host.ts
@@ -7,15 +7,15 @@
 import * as quarantine from "../quarantine/mod.ts";
 import * as rateLimits from "../rate_limits/mod.ts";
 import type * as schema from "../schema/fleet_types.ts";
-import * as bases from "./base.ts";
+import * as bases from "./host_context.ts";
 import * as controlServer from "./control_server.ts";
-import * as coreMembers from "./core_members.ts";
+import * as coreMembers from "./control_members.ts";
 import * as entryMembers from "./entry_members.ts";
-import * as followers from "./followers.ts";
+import * as followers from "./sync_sessions.ts";
 import * as protocol from "./control_protocol.ts";
-import * as operatorOrders from "./operator_orders.ts";
-import * as coalescing from "./coalescing.ts";
-import * as spread from "./spread.ts";
+import * as operatorOrders from "./operator_commands.ts";
+import * as coalescing from "./coalescer.ts";
+import * as spread from "./endpoint_replicator.ts";
 import type * as settings from "./settings.ts";
 import * as rosterCodec from "./roster_codec.ts";
 
@@ -36,9 +36,9 @@
 const VOTERS = 5;
 
 /** What a host with a disk is made from. */
-export interface CoreOptions extends bases.Base {
+export interface ControlHostOptions extends bases.HostContext {
   protocol: protocol.ControlProtocol;
-  open: versions.OpenStorage;
+  openStorage: versions.OpenStorage;
 }
 
 /** Evacuations, for people. */
@@ -54,16 +54,16 @@
 }
 
 /** A running host with a disk. */
-export class CoreHost {
-  readonly #options: CoreOptions;
+export class ControlHost {
+  readonly #options: ControlHostOptions;
   readonly #network: bases.Network;
-  readonly #members: coreMembers.CoreMembers;
+  readonly #members: coreMembers.ControlMembers;
   readonly #entries = entryMembers.EntryMembers.create();
   readonly #roster: endpoints.Roster;
-  readonly #spread: spread.Spread;
+  readonly #spread: spread.EndpointReplicator;
   readonly #coordinator: quarantine.Coordinator;
   readonly #quotas: rateLimits.QuotaServer;
-  readonly #followers = followers.Followers.create();
+  readonly #followers = followers.SyncSessions.create();
   readonly #epoch: string;
   readonly #confirmations: coalescing.Coalescer<FleetState>;
   /** Undefined until the disk is read. */
@@ -71,18 +71,18 @@
   #server?: controlServer.ControlServer;
   #stopped = false;
 
-  private constructor(options: CoreOptions) {
+  private constructor(options: ControlHostOptions) {
     const { settings, clock } = options;
-    const { host, dataCentre, seeds, heartbeat } = settings;
+    const { host, dataCentre, seeds, heartbeatInterval: heartbeat } = settings;
     this.#options = options;
     this.#epoch = `${host}/${Math.floor(clock.wall())}`;
-    this.#members = coreMembers.CoreMembers.create({ host, dataCentre }, {
+    this.#members = coreMembers.ControlMembers.create({ host, dataCentre }, {
       known: seeds,
       now: clock.now(),
     });
     this.#roster = endpoints.Roster.create({
-      silence: MISSED * heartbeat,
-      memory: MEMORY,
+      silenceTimeoutMs: MISSED * heartbeat,
+      retentionMs: MEMORY,
     });
     this.#network = bases.createNetwork(options, {
       handlers: {
@@ -92,34 +92,36 @@
         sync: (question, from) => this.#sync(question, from),
         note: (question) => this.#note(question),
         suspects: ({ suspects }) => {
-          this.#coordinator.take(suspects);
+          this.#coordinator.merge(suspects);
           return Promise.resolve({ type: "noted" });
         },
-        quota: (question) => Promise.resolve(this.#quotas.allow(question)),
-        warmup: (question) => Promise.resolve(this.#quotas.allowCold(question)),
+        quota: (question) => Promise.resolve(this.#quotas.request(question)),
+        warmup: (question) =>
+          Promise.resolve(this.#quotas.requestCold(question)),
         lease: (question, from) =>
-          Promise.resolve(this.#coordinator.allow(question, from)),
+          Promise.resolve(this.#coordinator.requestLease(question, from)),
       },
       onNotice: (notice, from) => this.#hear(notice, from),
       onLog: (envelope) => this.#store?.receive(envelope),
     });
     this.#confirmations = coalescing.Coalescer.create({
       clock,
-      distance: SYNC_DISTANCE,
-      ask: () => this.#fleetState(),
+      minInterval: SYNC_DISTANCE,
+      fetch: () => this.#fleetState(),
     });
-    this.#spread = spread.Spread.create({
+    this.#spread = spread.EndpointReplicator.create({
       clock,
       roster: this.#roster,
-      heartbeat,
+      heartbeatInterval: heartbeat,
       logger: options.logger,
       calls: this.#network.calls,
-      others: () => this.#others(),
+      peers: () => this.#others(),
     });
     this.#quotas = rateLimits.QuotaServer.create({
       ...options,
       calls: this.#network.calls,
-      others: () => [...this.#others(), ...this.#followers.live(clock.now())],
+      recipients:
+        () => [...this.#others(), ...this.#followers.live(clock.now())],
     });
     this.#coordinator = quarantine.Coordinator.create({
       ...options,
@@ -127,27 +129,27 @@
       heartbeat,
       cores: () => this.#others(),
       followers: () => this.#followers.live(clock.now()),
-      heardAt: (endpoint) => this.#heardAt(endpoint),
+      lastHeartbeatAt: (endpoint) => this.#heardAt(endpoint),
     });
   }
 
   /** Reads the disk, takes part in the log and serves callers. */
-  static async start(options: CoreOptions): Promise<CoreHost> {
-    const host = new CoreHost(options);
+  static async start(options: ControlHostOptions): Promise<ControlHost> {
+    const host = new ControlHost(options);
     await host.#start();
     return host;
   }
 
   /** Follows settings that have changed. */
   reload({ seeds }: settings.HostSettings): void {
-    this.#members.learn(seeds);
+    this.#members.addKnown(seeds);
     this.#options.logger.info({ seeds }, "Settings read again");
   }
 
   /** Hands its part in the log over and ends. */
   async stop(): Promise<void> {
     this.#stopped = true;
-    this.#store?.drain();
+    this.#store?.transferLeadership();
     await new Promise<void>((resolve) =>
       void this.#options.clock.after(FAREWELL, () => resolve())
     );
@@ -167,7 +169,7 @@
       entryHosts: this.#entries.live(now),
       endpoints: [...this.#roster.entries],
       suspects: this.#coordinator.dump(),
-      limits: this.#quotas.told,
+      limits: this.#quotas.limits,
       evacuations: this.evacuations(),
       peers: this.#network.transport.dump(),
     };
@@ -184,7 +186,7 @@
         ageMs: Math.max(0, Math.round(clock.wall() - orderedAt)),
       })),
       followers: this.#followers.live(clock.now()).length,
-      behind: this.#followers.behind(known.orders, clock.now()),
+      behind: this.#followers.behind(known.totalRevision, clock.now()),
     };
   }
 
@@ -195,26 +197,27 @@
   }
 
   async #start(): Promise<void> {
-    const { settings, logger, clock, open } = this.#options;
-    const { host, seeds, isFirstStart, control } = settings;
+    const { settings, logger, clock, openStorage: open } = this.#options;
+    const { host, seeds, isBootstrap: isFirstStart, controlAddress: control } =
+      settings;
     const founds = isFirstStart && seeds.includes(host);
     await this.#network.transport.start();
     this.#store = await versions.ConfigurationStore.start({
       ...this.#options,
       self: host,
-      founders: seeds,
-      founds,
+      initialVoters: seeds,
+      isBootstrap: founds,
       transport: this.#network.transport,
-      open,
-      ask: (to, question, options) =>
+      openStorage: open,
+      callHost: (to, question, options) =>
         this.#network.calls.ask(to, question, options),
       // Hosts without a vote hear of a leader by greetings alone.
-      onLeading: () => this.#greet(clock.now()),
+      onElected: () => this.#greet(clock.now()),
     });
     this.#tick();
     if (control !== undefined) {
       this.#server = await controlServer.ControlServer.start({
-        place: control,
+        listenAddress: control,
         logger,
         metrics: this.#options.metrics,
         clock,
@@ -237,8 +240,8 @@
     if (this.#stopped) return;
     const { clock } = this.#options;
     const now = clock.now();
-    this.#members.learn(this.#store?.voters ?? []);
-    this.#store?.setContacts(this.#members.others);
+    this.#members.addKnown(this.#store?.voters ?? []);
+    this.#store?.setKnownHosts(this.#members.others);
     this.#greet(now);
     this.#roster.expire(now);
     this.#spread.tick();
@@ -271,7 +274,7 @@
 
   /** Rate limits as messages carry them: nothing without any. */
   get #limits(): { limits?: schema.EndpointLimit[] } {
-    const { told } = this.#quotas;
+    const { limits: told } = this.#quotas;
     return told.length > 0 ? { limits: told } : {};
   }
 
@@ -279,10 +282,13 @@
     const store = this.#store;
     if (store === undefined || !store.isLeader) return;
     const { voters } = store;
-    const { host: leader, lossesBorne } = this.#options.settings;
+    const { host: leader, toleratedLosses: lossesBorne } =
+      this.#options.settings;
     const most = Math.max(VOTERS, 2 * lossesBorne + 1);
     const live = this.#members.candidates(voters, now);
-    store.setHosts(coreMembers.chooseVoters({ leader, live, voters, most }));
+    store.setDesiredVoters(
+      coreMembers.chooseVoters({ leader, live, voters, maxVoters: most }),
+    );
   }
 
   #others(): string[] {
@@ -295,11 +301,11 @@
   #hear(notice: schema.Notice, from: string): void {
     if (notice.type === "hello") this.#greeted(notice, from);
     else if (notice.type === "suspects") {
-      this.#coordinator.take(notice.suspects);
+      this.#coordinator.merge(notice.suspects);
     } else if (notice.type === "limits") {
-      this.#quotas.take(notice.limits);
+      this.#quotas.mergeLimits(notice.limits);
     } else if (notice.type === "lease-over") {
-      this.#coordinator.end(notice.fingerprint, from);
+      this.#coordinator.endLease(notice.fingerprint, from);
     }
   }
 
@@ -309,21 +315,21 @@
   ): void {
     const now = this.#options.clock.now();
     const isNew = !this.#others().includes(from);
-    this.#members.hear({ host: from, dataCentre, heard: now });
-    this.#members.learn(cores);
-    hosts.forEach((host) => this.#entries.hear(host, now));
-    if (leadership !== undefined) this.#store?.learnLeadership(leadership);
-    this.#quotas.take(limits);
+    this.#members.recordHello({ host: from, dataCentre, heard: now });
+    this.#members.addKnown(cores);
+    hosts.forEach((host) => this.#entries.record(host, now));
+    if (leadership !== undefined) this.#store?.updateLeaderHint(leadership);
+    this.#quotas.mergeLimits(limits);
     // A host that has just come knows no endpoints and no suspects.
     if (!isNew) return;
-    this.#spread.tellAll(from);
-    this.#coordinator.tellAll(from);
+    this.#spread.sendAll(from);
+    this.#coordinator.sendAll(from);
   }
 
   #heardAt(endpoint: string): number | undefined {
     const entry = this.#roster.find(endpoint);
     // One that has taken leave has ended, and did not crash.
-    return entry?.state === "gone" ? Infinity : entry?.heard;
+    return entry?.state === "gone" ? Infinity : entry?.heardAt;
   }
 
   async #sync(
@@ -331,15 +337,15 @@
     from: string,
   ): Promise<schema.Reply> {
     const { clock } = this.#options;
-    this.#entries.hear({ ...question.host, host: from }, clock.now());
+    this.#entries.record({ ...question.host, host: from }, clock.now());
     const { evacuationOrders: orders = 0 } = question;
-    this.#followers.note(from, { now: clock.now(), orders });
+    this.#followers.record(from, { now: clock.now(), orders });
     const { edition, evacuations, hosts, mark, cores } = await this
       .#confirmations.join();
     const now = clock.now();
     const isSame = question.epoch === this.#epoch;
     const since = isSame ? question.revision : 0;
-    const { version, document } = edition ?? versions.NONE;
+    const { version, document } = edition ?? versions.NO_VERSION;
     return {
       type: "synced",
       confirmed: edition !== undefined,
@@ -347,7 +353,7 @@
       ...(version > question.version && { document }),
       epoch: this.#epoch,
       revision: this.#roster.revision,
-      sightings: this.#roster.since(since).map((entry) =>
+      sightings: this.#roster.changedSince(since).map((entry) =>
         rosterCodec.encode(entry, now)
       ),
       mark,
@@ -355,7 +361,9 @@
       cores,
       evacuations,
       ...this.#limits,
-      ...this.#coordinator.since(isSame ? question.suspectRevision ?? 0 : 0),
+      ...this.#coordinator.changesSince(
+        isSame ? question.suspectRevision ?? 0 : 0,
+      ),
     };
   }
 
@@ -364,17 +372,17 @@
     const edition = await this.#confirmed();
     const now = this.#options.clock.now();
     const hosts = this.#entries.live(now);
-    const mark = entryMembers.markOf(hosts);
+    const mark = entryMembers.digestOf(hosts);
     const cores = this.#members.live(now).map(({ host }) => host);
     const evacuations = this.#store?.evacuations.list ?? [];
     return { edition, evacuations, hosts, mark, cores };
   }
 
-  async #confirmed(): Promise<versions.Edition | undefined> {
+  async #confirmed(): Promise<versions.ConfigurationVersion | undefined> {
     try {
       return await this.#store?.read(SYNC_PATIENCE);
     } catch (error) {
-      if (!(error instanceof versions.VersionError)) throw error;
+      if (!(error instanceof versions.StoreError)) throw error;
       this.#options.metrics.count("config.unconfirmed");
       return undefined;
     }
@@ -383,32 +391,36 @@
   async #answer(
     question: versions.LeaderQuestion,
   ): Promise<schema.Reply> {
-    const reply = await this.#store?.answer(question);
+    const reply = await this.#store?.handle(question);
     return reply ?? { type: "failed", reason: "stopped" };
   }
 
   #note({ sightings: told }: schema.NoteQuestion): Promise<schema.Reply> {
     const now = this.#options.clock.now();
     for (const sighting of told) {
-      this.#roster.take(rosterCodec.decode(sighting, { now, judges: true }));
+      this.#roster.merge(rosterCodec.decode(sighting, { now, judges: true }));
     }
     return Promise.resolve({ type: "noted" });
   }
 
   async #heartbeat(
     { sighting, coldFor }: Order<"heartbeat">,
-  ): Promise<protocol.ControlAnswer> {
+  ): Promise<protocol.ControlResponse> {
     const heard = this.#options.clock.now();
     const coldUntil = coldFor > 0 ? heard + coldFor : 0;
-    const isNews = this.#roster.take({ sighting, heard, coldUntil });
-    this.#spread.hear(sighting.id);
+    const isNews = this.#roster.merge({
+      status: sighting,
+      heardAt: heard,
+      coldUntil,
+    });
+    this.#spread.recordHeartbeat(sighting.id);
     if (sighting.state === "ready" && !isNews) return DONE;
     return await this.#tell(sighting.id, sighting.state);
   }
 
-  #leave({ id, born }: Order<"leave">): Promise<protocol.ControlAnswer> {
-    this.#roster.leave({ id, born }, this.#options.clock.now());
-    this.#spread.hear(id);
+  #leave({ id, born }: Order<"leave">): Promise<protocol.ControlResponse> {
+    this.#roster.recordLeave({ id, born }, this.#options.clock.now());
+    this.#spread.recordHeartbeat(id);
     return this.#tell(id, "gone");
   }
 
@@ -417,16 +429,16 @@
    * use to an entry host is in touch with one of these. */
   async #tell(
     id: string,
-    state: endpoints.SightingState,
-  ): Promise<protocol.ControlAnswer> {
+    state: endpoints.EndpointState,
+  ): Promise<protocol.ControlResponse> {
     const { logger } = this.#options;
     if (state === "ready") {
-      void this.#spread.tell(id);
+      void this.#spread.broadcast(id);
       logger.info({ endpoint: id, state }, "Endpoint changed");
       return DONE;
     }
     const { host } = this.#options.settings;
-    const told = [host, ...await this.#spread.tell(id)];
+    const told = [host, ...await this.#spread.broadcast(id)];
     const voters = this.#store?.voters ?? [];
     const isKnown = this.#members.isMajority(told, voters);
     logger.info(
@@ -444,7 +456,7 @@
 /** What a round has confirmed, and the fleet as it is then. */
 interface FleetState {
   /** Undefined where no majority has answered. */
-  readonly edition: versions.Edition | undefined;
+  readonly edition: versions.ConfigurationVersion | undefined;
   readonly evacuations: schema.Evacuation[];
   readonly hosts: schema.EntryHost[];
   readonly mark: string;
@@ -452,6 +464,6 @@
   readonly cores: string[];
 }
 
-type Order<T> = Extract<protocol.ControlOrder, { type: T }>;
+type Order<T> = Extract<protocol.ControlCommand, { type: T }>;
 
-const DONE: protocol.ControlAnswer = { status: 200, body: "{}" };
+const DONE: protocol.ControlResponse = { status: 200, body: "{}" };
--- a/src/fleet/control_hosts.ts
+++ b/src/fleet/control_host_directory.ts
@@ -9,7 +9,7 @@
 const FORGOTTEN = 60_000;
 
 /** Known control hosts; changed in place. */
-export class ControlHosts {
+export class ControlHostDirectory {
   #seeds: readonly string[];
   /** Those that the last proved answer has named. */
   #live: readonly string[] = [];
@@ -20,8 +20,8 @@
     this.#seeds = seeds;
   }
 
-  static create(seeds: readonly string[]): ControlHosts {
-    return new ControlHosts(seeds);
+  static create(seeds: readonly string[]): ControlHostDirectory {
+    return new ControlHostDirectory(seeds);
   }
 
   /** Takes seeds of settings that were read again. */
@@ -31,7 +31,7 @@
 
   /** Notes hosts that an answer names. One without a proof may come from a host
    * that is behind, but whom it names may be the only ones that are not. */
-  name(hosts: readonly string[], now: number): void {
+  addReported(hosts: readonly string[], now: number): void {
     hosts.forEach((host) => this.#namedAt.set(host, now));
     for (const [host, at] of this.#namedAt) {
       if (now - at <= FORGOTTEN) continue;
@@ -41,25 +41,28 @@
   }
 
   /** Notes hosts that a proved answer names. */
-  confirm(hosts: readonly string[], now: number): void {
-    this.name(hosts, now);
+  setConfirmed(hosts: readonly string[], now: number): void {
+    this.addReported(hosts, now);
     this.#live = hosts;
   }
 
   /** Notes that a host proved nothing. */
-  fail(host: string, now: number): void {
+  recordFailure(host: string, now: number): void {
     this.#failedAt.set(host, now);
   }
 
   /** Notes that a host has proved something. */
-  succeed(host: string): void {
+  recordSuccess(host: string): void {
     this.#failedAt.delete(host);
   }
 
   /** All that may be asked: `first`, then in any order those that are there and
    * have not failed, then those that were there once, then those that failed, the
    * last one at the end. */
-  inTurn(first: string | undefined, random: runtime.Random): string[] {
+  inOrderOfPreference(
+    first: string | undefined,
+    random: runtime.Random,
+  ): string[] {
     const rankOf = (host: string) => {
       if (host === first) return -1;
       const isThere = this.current.includes(host);
--- a/src/fleet/core_members.ts
+++ b/src/fleet/control_members.ts
@@ -6,44 +6,44 @@
 const LOST = 1500;
 
 /** A host with a disk that was heard. */
-export interface CoreHost {
+export interface ControlMember {
   readonly host: string;
   readonly dataCentre: string;
   readonly heard: number;
 }
 
 /** Hosts with disks as one of them knows them; changed in place. */
-export class CoreMembers {
-  readonly #self: CoreHost;
+export class ControlMembers {
+  readonly #self: ControlMember;
   readonly #known = new Set<string>();
-  readonly #heard = new Map<string, CoreHost>();
+  readonly #heard = new Map<string, ControlMember>();
   readonly #started: number;
 
-  private constructor(self: CoreHost, started: number) {
+  private constructor(self: ControlMember, started: number) {
     this.#self = self;
     this.#started = started;
   }
 
   /** Only this host is known, and `known` by their addresses. */
   static create(
-    self: Pick<CoreHost, "host" | "dataCentre">,
+    self: Pick<ControlMember, "host" | "dataCentre">,
     { known, now }: { known: readonly string[]; now: number },
-  ): CoreMembers {
-    const members = new CoreMembers({ ...self, heard: Infinity }, now);
-    members.learn(known);
+  ): ControlMembers {
+    const members = new ControlMembers({ ...self, heard: Infinity }, now);
+    members.addKnown(known);
     return members;
   }
 
   /** Notes hosts that may be there. */
-  learn(hosts: readonly string[]): void {
+  addKnown(hosts: readonly string[]): void {
     for (const host of hosts) {
       if (host !== this.#self.host) this.#known.add(host);
     }
   }
 
   /** Notes a greeting. */
-  hear(host: CoreHost): void {
-    this.learn([host.host]);
+  recordHello(host: ControlMember): void {
+    this.addKnown([host.host]);
     this.#heard.set(host.host, host);
   }
 
@@ -62,7 +62,7 @@
   }
 
   /** Hosts that are there, this one among them. */
-  live(now: number): CoreHost[] {
+  live(now: number): ControlMember[] {
     const others = [...this.#heard.values()];
     return [
       this.#self,
@@ -72,7 +72,7 @@
 
   /** Hosts to choose voters from: those that are there, and voters that this
    * host has had no time to hear since its start. */
-  candidates(voters: readonly string[], now: number): CoreHost[] {
+  candidates(voters: readonly string[], now: number): ControlMember[] {
     const live = this.live(now);
     if (now - this.#started > LOST) return live;
     const unheard = voters.filter((host) =>
@@ -84,21 +84,21 @@
 }
 
 /** What a choice of voters goes by. */
-export interface Electorate {
+export interface VoterSelection {
   /** Host that leads: it stays a voter. */
   readonly leader: string;
-  readonly live: readonly Pick<CoreHost, "host" | "dataCentre">[];
+  readonly live: readonly Pick<ControlMember, "host" | "dataCentre">[];
   /** Hosts that are voters now. */
   readonly voters: readonly string[];
   /** Most voters; odd. */
-  readonly most: number;
+  readonly maxVoters: number;
 }
 
 /** Hosts that should be voters: who leads, those that are and live, then live
  * ones, from the data centres with the fewest, up to an odd number; a lost voter
  * stays until a live host can take its place. */
 export function chooseVoters(
-  { leader, live, voters, most }: Electorate,
+  { leader, live, voters, maxVoters: most }: VoterSelection,
 ): string[] {
   const known = new Set([...voters, ...live.map(({ host }) => host)]);
   const wanted = Math.min(most, oddUpTo(known.size));
@@ -123,7 +123,7 @@
   return [...chosen.map(({ host }) => host), ...kept].sort();
 }
 
-type Candidate = Pick<CoreHost, "host" | "dataCentre">;
+type Candidate = Pick<ControlMember, "host" | "dataCentre">;
 
 function compare(
   one: Candidate,
--- a/src/fleet/core_members_test.ts
+++ b/src/fleet/control_members_test.ts
@@ -1,7 +1,7 @@
 /** @module */
 
 import test from "ava";
-import * as members from "./core_members.ts";
+import * as members from "./control_members.ts";
 
 /** Hosts named by data centre and number, such as `a1`. */
 function hosts(...names: string[]) {
@@ -11,7 +11,7 @@
 /** Members as a host knows them that started at 0. */
 function createMembers(...known: string[]) {
   const self = { host: "a1", dataCentre: "a" };
-  return members.CoreMembers.create(self, { known, now: 0 });
+  return members.ControlMembers.create(self, { known, now: 0 });
 }
 
 function choose(
@@ -20,7 +20,9 @@
   most = 5,
 ): string {
   const electorate = { leader: voters[0] ?? live[0], live: hosts(...live) };
-  return members.chooseVoters({ ...electorate, voters, most }).join(" ");
+  return members.chooseVoters({ ...electorate, voters, maxVoters: most }).join(
+    " ",
+  );
 }
 
 test("voters grow to an odd number, spread over data centres", (t) => {
@@ -60,19 +62,19 @@
 
 test("a host that has just started exchanges no voter that it could not hear yet", (t) => {
   const self = { host: "a1", dataCentre: "a" };
-  const own = members.CoreMembers.create(self, { known: [], now: 1000 });
-  own.hear({ host: "c1", dataCentre: "c", heard: 1400 });
+  const own = members.ControlMembers.create(self, { known: [], now: 1000 });
+  own.recordHello({ host: "c1", dataCentre: "c", heard: 1400 });
   const voters = ["a1", "a2", "b1"];
   const chosenAt = (now: number) =>
     members.chooseVoters({
       leader: "a1",
       live: own.candidates(voters, now),
       voters,
-      most: 3,
+      maxVoters: 3,
     });
   t.deepEqual(chosenAt(1500), voters);
-  own.hear({ host: "a2", dataCentre: "a", heard: 2400 });
-  own.hear({ host: "c1", dataCentre: "c", heard: 2400 });
+  own.recordHello({ host: "a2", dataCentre: "a", heard: 2400 });
+  own.recordHello({ host: "c1", dataCentre: "c", heard: 2400 });
   t.deepEqual(chosenAt(2501), ["a1", "a2", "c1"]);
 });
 
@@ -82,7 +84,7 @@
 
 test("a host is live while it greets, and this host always", (t) => {
   const own = createMembers("a1", "b1");
-  own.hear({ host: "c1", dataCentre: "c", heard: 100 });
+  own.recordHello({ host: "c1", dataCentre: "c", heard: 100 });
   t.deepEqual(own.live(1000).map(({ host }) => host), ["a1", "c1"]);
   t.deepEqual(own.live(2000).map(({ host }) => host), ["a1"]);
   t.deepEqual(own.others, ["b1", "c1"]);
@@ -90,7 +92,7 @@
 
 test("hosts that were heard just now are no majority of the voters", (t) => {
   const own = createMembers();
-  own.learn(["a2", "b1", "b2", "c1"]);
+  own.addKnown(["a2", "b1", "b2", "c1"]);
   t.true(own.isMajority(["a1", "a2", "b1"], ["a1", "a2", "c1"]));
   t.false(own.isMajority(["a1", "b1", "b2"], ["a1", "a2", "c1"]));
   t.false(own.isMajority(["a1", "a2"], ["a1", "a2", "b1", "c1"]));
@@ -98,7 +100,7 @@
 
 test("without known voters a majority is of all hosts ever known", (t) => {
   const own = createMembers();
-  own.learn(["a2", "b1"]);
+  own.addKnown(["a2", "b1"]);
   t.true(own.isMajority(["a1", "b1"], []));
   t.false(own.isMajority(["a1"], []));
 });
--- a/src/fleet/control_protocol.ts
+++ b/src/fleet/control_protocol.ts
@@ -6,7 +6,7 @@
 import type * as endpoints from "../endpoints/mod.ts";
 
 /** A call that was read. */
-export interface ControlCall {
+export interface ControlRequest {
   readonly method: string;
   /** Path with query. */
   readonly target: string;
@@ -14,7 +14,7 @@
 }
 
 /** What a call asks for. */
-export type ControlOrder =
+export type ControlCommand =
   | {
     type: "replace";
     document: string;
@@ -23,20 +23,20 @@
   | { type: "read" }
   /** Begins the evacuation of a data centre, or ends it. */
   | { type: "evacuate"; dataCentre: string; active: boolean }
-  | { type: "heartbeat"; sighting: endpoints.Sighting; coldFor: number }
+  | { type: "heartbeat"; sighting: endpoints.EndpointStatus; coldFor: number }
   | { type: "leave"; id: string; born?: number }
   /** A call that there is, with content that cannot be read. */
   | { type: "malformed"; detail: string; fault: string }
   | { type: "unknown" };
 
 /** Who has sent an order. */
-export interface Caller {
+export interface ControlConnection {
   /** Whether the call's connection has ended. */
-  hasLeft(): boolean;
+  isClosed(): boolean;
 }
 
 /** Answer to a call. */
-export interface ControlAnswer {
+export interface ControlResponse {
   readonly status: number;
   /** JSON text. */
   readonly body: string;
@@ -44,10 +44,10 @@
 
 /** Decodes calls to control hosts. */
 export interface ControlProtocol {
-  decode(call: ControlCall): ControlOrder;
+  decode(call: ControlRequest): ControlCommand;
 }
 
 /** An answer that says what is wrong. */
-export function problem(status: number, detail: string): ControlAnswer {
+export function problem(status: number, detail: string): ControlResponse {
   return { status, body: JSON.stringify({ detail }) };
 }
--- a/src/fleet/control_server.ts
+++ b/src/fleet/control_server.ts
@@ -13,25 +13,25 @@
 /** Characters of a target in a line: what others send is not bounded. */
 const MOST_SHOWN = 300;
 
-type Order<T> = Extract<protocol.ControlOrder, { type: T }>;
+type Order<T> = Extract<protocol.ControlCommand, { type: T }>;
 type Served = "replace" | "read" | "evacuate" | "heartbeat" | "leave";
 
 /** Answers orders by their types. */
-export type Handlers = {
+export type CommandHandlers = {
   [T in Served]: (
     order: Order<T>,
-    caller: protocol.Caller,
-  ) => Promise<protocol.ControlAnswer>;
+    caller: protocol.ControlConnection,
+  ) => Promise<protocol.ControlResponse>;
 };
 
 /** What the server needs of its host. */
 export interface ControlServerOptions {
-  place: httpListener.Place;
+  listenAddress: httpListener.ListenAddress;
   logger: telemetry.Logger;
   metrics: telemetry.Metrics;
   clock: runtime.Clock;
   protocol: protocol.ControlProtocol;
-  handlers: Handlers;
+  handlers: CommandHandlers;
 }
 
 /** A listening server. */
@@ -47,7 +47,7 @@
   static async start(options: ControlServerOptions): Promise<ControlServer> {
     const control = new ControlServer(options);
     control.#server = await httpListener.listen(
-      options.place,
+      options.listenAddress,
       (request, response) => void control.#serve(request, response),
     );
     return control;
@@ -64,7 +64,7 @@
   ): Promise<void> {
     const { clock, metrics, logger } = this.#options;
     const started = clock.now();
-    const caller = { hasLeft: () => response.closed };
+    const caller = { isClosed: () => response.closed };
     const { status, body } = await this.#answer(request, caller);
     const target = (request.url ?? "").slice(0, MOST_SHOWN);
     metrics.time("control.duration", clock.now() - started, {
@@ -80,8 +80,8 @@
 
   async #answer(
     request: http.IncomingMessage,
-    caller: protocol.Caller,
-  ): Promise<protocol.ControlAnswer> {
+    caller: protocol.ControlConnection,
+  ): Promise<protocol.ControlResponse> {
     const { logger } = this.#options;
     const { method = "", url: target = "" } = request;
     try {
@@ -98,9 +98,9 @@
   }
 
   #handle(
-    order: protocol.ControlOrder,
-    caller: protocol.Caller,
-  ): protocol.ControlAnswer | Promise<protocol.ControlAnswer> {
+    order: protocol.ControlCommand,
+    caller: protocol.ControlConnection,
+  ): protocol.ControlResponse | Promise<protocol.ControlResponse> {
     const { handlers, metrics } = this.#options;
     metrics.count("control.calls", 1, { type: order.type });
     if (order.type === "malformed") {
@@ -109,9 +109,9 @@
     }
     if (order.type === "unknown") return protocol.problem(404, "no such call");
     const handler = handlers[order.type] as (
-      order: protocol.ControlOrder,
-      caller: protocol.Caller,
-    ) => Promise<protocol.ControlAnswer>;
+      order: protocol.ControlCommand,
+      caller: protocol.ControlConnection,
+    ) => Promise<protocol.ControlResponse>;
     return handler(order, caller);
   }
 }
--- a/src/fleet/daemon.ts
+++ b/src/fleet/daemon.ts
@@ -6,7 +6,7 @@
 import type * as http from "node:http";
 import * as runtime from "../runtime/mod.ts";
 import * as telemetry from "../telemetry/mod.ts";
-import type * as bases from "./base.ts";
+import type * as bases from "./host_context.ts";
 import * as httpListener from "./http_listener.ts";
 import type * as settings from "./settings.ts";
 
@@ -29,7 +29,7 @@
 }
 
 /** Starts a host. */
-export type Start = (base: bases.Base) => Promise<Host>;
+export type HostStarter = (base: bases.HostContext) => Promise<Host>;
 
 /** What a process is made of. */
 export interface DaemonOptions {
@@ -37,7 +37,7 @@
   isSettingsError(error: unknown): boolean;
   /** File that is looked at for changes. */
   settingsFile?: string;
-  start: Start;
+  start: HostStarter;
 }
 
 /** Runs a host until SIGTERM or SIGINT; SIGHUP reads the settings again and
@@ -77,7 +77,7 @@
 function baseOf(
   loaded: settings.HostSettings,
   metrics: telemetry.Metrics,
-): bases.Base {
+): bases.HostContext {
   const clock = runtime.systemClock;
   const logger = telemetry.createLogger({ host: loaded.name });
   return {
@@ -96,22 +96,25 @@
   { exposition, host }: { exposition: telemetry.Exposition; host: Host },
 ): Promise<http.Server | undefined> {
   if (metrics === undefined) return undefined;
-  return await httpListener.listen(metrics.place, (request, response) => {
-    const { method, url = "" } = request;
-    if (url === metrics.path) {
-      void exposition.text().then((text) => response.end(text));
-      return;
-    }
-    if (url === EVACUATIONS && host.evacuations !== undefined) {
-      response.setHeader("content-type", "application/json");
-      response.end(JSON.stringify(host.evacuations()));
-      return;
-    }
-    const fingerprint = RELEASE.exec(url)?.[1];
-    const isReleased = method === "POST" && fingerprint !== undefined &&
-      host.release?.(fingerprint);
-    response.writeHead(isReleased ? 204 : 404).end();
-  });
+  return await httpListener.listen(
+    metrics.listenAddress,
+    (request, response) => {
+      const { method, url = "" } = request;
+      if (url === metrics.path) {
+        void exposition.text().then((text) => response.end(text));
+        return;
+      }
+      if (url === EVACUATIONS && host.evacuations !== undefined) {
+        response.setHeader("content-type", "application/json");
+        response.end(JSON.stringify(host.evacuations()));
+        return;
+      }
+      const fingerprint = RELEASE.exec(url)?.[1];
+      const isReleased = method === "POST" && fingerprint !== undefined &&
+        host.release?.(fingerprint);
+      response.writeHead(isReleased ? 204 : 404).end();
+    },
+  );
 }
 
 /** Target of the question for evacuations. */
--- a/src/fleet/freshness.ts
+++ b/src/fleet/elapsed_time.ts
@@ -5,17 +5,17 @@
 
 /** A moment on both clocks: the steady one may stand still while a machine is
  * suspended, and the wall clock may be set. */
-export interface Moment {
+export interface Instant {
   readonly now: number;
   readonly wall: number;
 }
 
 /** This moment. */
-export function moment(clock: runtime.Clock): Moment {
+export function instant(clock: runtime.Clock): Instant {
   return { now: clock.now(), wall: clock.wall() };
 }
 
 /** Milliseconds since a moment, by the clock that says more. */
-export function ageOf(since: Moment, clock: runtime.Clock): number {
+export function elapsedSince(since: Instant, clock: runtime.Clock): number {
   return Math.max(clock.now() - since.now, clock.wall() - since.wall);
 }
--- a/src/fleet/spread.ts
+++ b/src/fleet/endpoint_replicator.ts
@@ -17,21 +17,21 @@
 const ALL = 5000;
 
 /** What spreading needs of its host. */
-export interface SpreadOptions {
+export interface EndpointReplicatorOptions {
   clock: runtime.Clock;
   roster: endpoints.Roster;
   /** Milliseconds between heartbeats of an endpoint, and between tellings of
    * what was only heard again: silence is judged from several of them. */
-  heartbeat: number;
-  calls: Pick<peers.Calls, "ask">;
+  heartbeatInterval: number;
+  calls: Pick<peers.Rpc, "ask">;
   logger: telemetry.Logger;
   /** The other hosts with disks that are there. */
-  others(): readonly string[];
+  peers(): readonly string[];
 }
 
 /** Spreads one host's roster. */
-export class Spread {
-  readonly #options: SpreadOptions;
+export class EndpointReplicator {
+  readonly #options: EndpointReplicatorOptions;
   /** Endpoints heard here since the last tick. */
   #heard = new Set<string>();
   /** When endpoints last changed here. */
@@ -39,23 +39,23 @@
   #allAt: number;
   #heardAt = -Infinity;
 
-  private constructor(options: SpreadOptions) {
+  private constructor(options: EndpointReplicatorOptions) {
     this.#options = options;
     this.#allAt = options.clock.now() + ALL;
   }
 
-  static create(options: SpreadOptions): Spread {
-    return new Spread(options);
+  static create(options: EndpointReplicatorOptions): EndpointReplicator {
+    return new EndpointReplicator(options);
   }
 
   /** Notes that an endpoint was heard here. */
-  hear(id: string): void {
+  recordHeartbeat(id: string): void {
     this.#heard.add(id);
   }
 
   /** Tells of one endpoint; resolves with the other hosts that know it then. */
-  async tell(id: string): Promise<string[]> {
-    const { clock, others } = this.#options;
+  async broadcast(id: string): Promise<string[]> {
+    const { clock, peers: others } = this.#options;
     this.#changed.set(id, clock.now());
     const hosts = others();
     const isNoted = await Promise.all(
@@ -65,18 +65,19 @@
   }
 
   /** Tells one host of everything. */
-  tellAll(host: string): void {
+  sendAll(host: string): void {
     const ids = [...this.#options.roster.entries].map(({ id }) => id);
     void this.#send(host, ids);
   }
 
   /** Tells of what was heard, now and then, and again of what has changed. */
   tick(): void {
-    const { clock, others, heartbeat } = this.#options;
+    const { clock, peers: others, heartbeatInterval: heartbeat } =
+      this.#options;
     const now = clock.now();
     if (now >= this.#allAt) {
       this.#allAt = now + ALL;
-      others().forEach((host) => this.tellAll(host));
+      others().forEach((host) => this.sendAll(host));
     }
     for (const [id, at] of this.#changed) {
       if (now - at > AGAIN) this.#changed.delete(id);
--- a/src/fleet/spread_test.ts
+++ b/src/fleet/endpoint_replicator_test.ts
@@ -6,7 +6,7 @@
 import * as runtime from "../runtime/mod.ts";
 import type * as schema from "../schema/fleet_types.ts";
 import * as telemetry from "../telemetry/mod.ts";
-import * as spreads from "./spread.ts";
+import * as spreads from "./endpoint_replicator.ts";
 
 /** Milliseconds between ticks, as the host has them. */
 const TICK = 400;
@@ -21,15 +21,18 @@
   } = {},
 ) {
   const clock = new runtime.FakeClock();
-  const roster = endpoints.Roster.create({ silence: 4200, memory: 60_000 });
+  const roster = endpoints.Roster.create({
+    silenceTimeoutMs: 4200,
+    retentionMs: 60_000,
+  });
   const told: { to: string; at: number; ids: string[] }[] = [];
-  roster.take({ sighting: fixture.sighting(), heard: 0 });
-  const spread = spreads.Spread.create({
+  roster.merge({ status: fixture.endpointStatus(), heardAt: 0 });
+  const spread = spreads.EndpointReplicator.create({
     clock,
     roster,
-    heartbeat,
+    heartbeatInterval: heartbeat,
     logger: telemetry.noLogger,
-    others: () => others,
+    peers: () => others,
     calls: {
       ask(to, question): Promise<schema.Reply> {
         const { sightings } = question as schema.NoteQuestion;
@@ -51,13 +54,13 @@
 
 test("a change is told at once, and who knows it is said", async (t) => {
   const { spread, told } = spreadOf(["a", "b", "c"], { silent: ["c"] });
-  t.deepEqual(await spread.tell("i-1"), ["a", "b"]);
+  t.deepEqual(await spread.broadcast("i-1"), ["a", "b"]);
   t.is(told.length, 3);
 });
 
 test("a change is told again for some seconds", async (t) => {
   const { spread, told, tick } = spreadOf(["a"]);
-  await spread.tell("i-1");
+  await spread.broadcast("i-1");
   tick(7);
   t.is(told.length, 8);
   tick(4);
@@ -67,7 +70,7 @@
 test("what was only heard is told once in a heartbeat", (t) => {
   const { spread, told, tick } = spreadOf(["a"]);
   for (let number = 0; number < 6; number++) {
-    spread.hear("i-1");
+    spread.recordHeartbeat("i-1");
     tick(1);
   }
   t.deepEqual(told.map(({ at }) => at), [400, 1600]);
@@ -76,7 +79,7 @@
 test("shorter heartbeats are told as often as they come", (t) => {
   const { spread, told, tick } = spreadOf(["a"], { heartbeat: 400 });
   for (let number = 0; number < 3; number++) {
-    spread.hear("i-1");
+    spread.recordHeartbeat("i-1");
     tick(1);
   }
   t.deepEqual(told.map(({ at }) => at), [400, 800, 1200]);
--- a/src/fleet/entry_host.ts
+++ b/src/fleet/entry_host.ts
@@ -7,13 +7,13 @@
 import * as connections from "../endpoint_calls/connections.ts";
 import * as connector from "../endpoint_calls/connector.ts";
 import * as gateway from "../gateway/mod.ts";
-import * as pieces from "../pieces/mod.ts";
+import * as pieces from "../batching/mod.ts";
 import * as quarantine from "../quarantine/mod.ts";
 import * as rateLimits from "../rate_limits/mod.ts";
 import type * as schema from "../schema/fleet_types.ts";
-import * as bases from "./base.ts";
+import * as bases from "./host_context.ts";
 import * as errors from "./errors.ts";
-import * as followers from "./follower.ts";
+import * as followers from "./sync_client.ts";
 import type * as settings from "./settings.ts";
 
 /** Part of the time in which a key must stop to serve that a host may go
@@ -43,19 +43,19 @@
 ) => configurations.Configuration;
 
 /** What a host that takes requests is made from. */
-export interface EntryOptions extends bases.Base {
+export interface EntryHostOptions extends bases.HostContext {
   protocol: gateway.GatewayProtocol;
-  decode: DecodeConfiguration;
+  decodeConfiguration: DecodeConfiguration;
 }
 
 /** A running host that takes requests. */
 export class EntryHost {
-  readonly #options: EntryOptions;
+  readonly #options: EntryHostOptions;
   readonly #network: bases.Network;
-  readonly #follower: followers.Follower;
-  readonly #pool = gateway.Pool.create();
+  readonly #follower: followers.SyncClient;
+  readonly #pool = gateway.EndpointPool.create();
   readonly #batcher: pieces.Batcher;
-  readonly #maker: pieces.Maker;
+  readonly #maker: pieces.BatcherClient;
   readonly #placement: gateway.Placement;
   readonly #guard: quarantine.Guard;
   readonly #quotas: rateLimits.QuotaClient;
@@ -73,7 +73,7 @@
   #isDraining = false;
   #isEnding = false;
 
-  private constructor(options: EntryOptions) {
+  private constructor(options: EntryHostOptions) {
     const { settings, clock, logger } = options;
     const { host: self, dataCentre, seeds } = settings;
     this.#options = options;
@@ -92,7 +92,7 @@
       },
       onNotice: (notice, from) => this.#hear(notice, from),
     });
-    this.#follower = followers.Follower.create({
+    this.#follower = followers.SyncClient.create({
       ...options,
       self,
       dataCentre,
@@ -101,20 +101,20 @@
       isReady: () => this.#isReady,
       onVersion: (_, document) => this.#takeVersion(document),
       onChange: () => this.#follow(),
-      onSource: (core) => void this.#guard.tellAll(core),
-      onSuspects: (suspects) => this.#guard.take(suspects),
-      onLimits: (limits) => this.#quotas.follow(limits),
+      onNewSource: (core) => void this.#guard.sendAll(core),
+      onSuspects: (suspects) => this.#guard.merge(suspects),
+      onLimits: (limits) => this.#quotas.mergeLimits(limits),
     });
     this.#guard = quarantine.Guard.create({
       ...options,
       calls: this.#network.calls,
-      cores: () => this.#follower.cores,
+      cores: () => this.#follower.controlHosts,
     });
     this.#quotas = rateLimits.QuotaClient.create({
       ...options,
       calls: this.#network.calls,
-      cores: () => this.#follower.cores,
-      hosts: () => this.#follower.hosts.length,
+      cores: () => this.#follower.controlHosts,
+      entryHostCount: () => this.#follower.hosts.length,
       coldRate: (id) => this.#pool.get(id)?.coldRate(clock.now()),
     });
     this.#batcher = pieces.Batcher.create({
@@ -123,21 +123,23 @@
       dispatcher: this.#connections,
       service: (name) => this.#catalogue?.service(name),
       workers: (cell) => this.#workers(cell),
-      isClosed: (cell) => this.#isClosed(cell),
-      isOpen: (id) => this.#pool.get(id)?.isOpen ?? false,
-      noteAnswer: (id) => this.#pool.get(id)?.judge("good", clock.now()),
+      isEvacuated: (cell) => this.#isClosed(cell),
+      acceptsCalls: (id) => this.#pool.get(id)?.isAccepting ?? false,
+      recordResponse: (id) =>
+        this.#pool.get(id)?.recordHealth("good", clock.now()),
     });
-    this.#maker = pieces.Maker.create({
+    this.#maker = pieces.BatcherClient.create({
       self,
       clock,
       logger,
       calls: this.#network.calls,
       batcher: this.#batcher,
-      basis: () => this.#basis,
-      hosts: () => this.#readyHosts,
-      services: () => this.#catalogue?.makers ?? [],
+      dependencies: () => this.#basis,
+      entryHosts: () => this.#readyHosts,
+      services: () => this.#catalogue?.batchServices ?? [],
       workers: (service) => this.#known(service),
-      isSound: ({ id }) => this.#pool.get(id)?.isSound(clock.now()) ?? false,
+      isAvailable: ({ id }) =>
+        this.#pool.get(id)?.isHealthy(clock.now()) ?? false,
     });
     this.#placement = gateway.Placement.create({
       ...options,
@@ -145,15 +147,15 @@
       dataCentre,
       calls: this.#network.calls,
       pool: this.#pool,
-      basis: () => this.#basis,
+      dependencies: () => this.#basis,
       hosts: () => this.#readyHosts,
-      busyAt: (place) => this.#maker.ownersAt(place),
+      busyHosts: (place) => this.#maker.partitionOwnersIn(place),
     });
   }
 
   /** Listens and begins to follow; it is ready once it knows what is in
    * force. */
-  static async start(options: EntryOptions): Promise<EntryHost> {
+  static async start(options: EntryHostOptions): Promise<EntryHost> {
     const host = new EntryHost(options);
     await host.#start();
     return host;
@@ -176,7 +178,7 @@
       void clock.after(TAKING, () => resolve())
     );
     this.#isEnding = true;
-    const left = bounds.grace - END_RESERVE - (clock.now() - started);
+    const left = bounds.shutdownGrace - END_RESERVE - (clock.now() - started);
     await this.#server.finish(left);
     await this.#server.stop();
     this.#follower.stop();
@@ -203,7 +205,7 @@
 
   async #start(): Promise<void> {
     const { settings, logger } = this.#options;
-    const { callers, readiness } = settings;
+    const { callerAddress: callers, readinessAddress: readiness } = settings;
     if (callers === undefined) {
       throw new errors.FleetError("The settings name no address for callers");
     }
@@ -219,12 +221,12 @@
   }
 
   get #greatestAge(): number {
-    return FRESH * this.#options.settings.bounds.revoke;
+    return FRESH * this.#options.settings.bounds.keyRevocation;
   }
 
   get #isReady(): boolean {
     return !this.#isDraining && this.#catalogue !== undefined &&
-      this.#follower.age <= this.#greatestAge;
+      this.#follower.proofAge <= this.#greatestAge;
   }
 
   #context(): gateway.Context {
@@ -237,23 +239,23 @@
       placement: this.#placement,
       guard: this.#guard,
       quotas: this.#quotas,
-      started: this.#options.clock.now(),
-      greatestAge: this.#greatestAge,
+      startedAt: this.#options.clock.now(),
+      maxConfigurationAge: this.#greatestAge,
       calibration: gateway.Calibration.create(),
-      patience: gateway.Patience.create(),
-      inputHold: gateway.InputHold.create(),
-      loadGossip: gateway.LoadGossip.create({
+      priorWait: gateway.PriorWait.create(),
+      inputRetention: gateway.InputRetention.create(),
+      loadUpdates: gateway.LoadUpdates.create({
         clock: this.#options.clock,
-        tell: (uses) => this.#placement.tell(uses),
+        send: (uses) => this.#placement.sendLoad(uses),
       }),
-      knowledge: {
+      fleetView: {
         catalogue: () => this.#catalogue,
-        age: () => this.#follower.age,
-        hosts: () => Math.max(1, this.#follower.hosts.length),
+        configurationAge: () => this.#follower.proofAge,
+        hostCount: () => Math.max(1, this.#follower.hosts.length),
       },
-      budget: (service) => this.#budget(service),
+      retryBudget: (service) => this.#budget(service),
       isDraining: () => this.#isDraining,
-      isEnding: () => this.#isEnding,
+      isStopping: () => this.#isEnding,
     };
   }
 
@@ -271,10 +273,10 @@
   }
 
   #takeVersion(document: string): void {
-    const text = configurations.unpack(document);
-    const configuration = this.#options.decode(text);
+    const text = configurations.decompress(document);
+    const configuration = this.#options.decodeConfiguration(text);
     this.#catalogue = configurations.Catalogue.create(configuration);
-    this.#server.limit(configuration.limits);
+    this.#server.setTimeouts(configuration.limits);
     this.#options.metrics.gauge("config.version", configuration.version);
   }
 
@@ -286,7 +288,7 @@
     this.#followEvacuations();
     ended.forEach((one) => void this.#end(one));
     this.#batcher.update();
-    this.#options.metrics.gauge("config.proof_age", this.#follower.age);
+    this.#options.metrics.gauge("config.proof_age", this.#follower.proofAge);
   }
 
   #followEvacuations(): void {
@@ -301,7 +303,7 @@
       "evacuation.active",
       evacuations.active.length,
     );
-    this.#pool.evacuate(
+    this.#pool.setEvacuated(
       evacuations.active.map(({ dataCentre }) => dataCentre),
       {
         returned: returned.map(({ dataCentre }) => dataCentre),
@@ -311,7 +313,9 @@
   }
 
   /** Leaves the connections to an endpoint that has ended. */
-  async #end({ identity, isReborn }: gateway.Ended): Promise<void> {
+  async #end(
+    { identity, isRestarted: isReborn }: gateway.EndedEndpoint,
+  ): Promise<void> {
     const { id, service, address } = identity;
     const { logger } = this.#options;
     logger.info({ endpoint: id, service, address, isReborn }, "Endpoint ended");
@@ -338,34 +342,37 @@
   }
 
   #known(service: string): pieces.Worker[] {
-    return this.#pool.of(service).map(({ identity }) => identity);
+    return this.#pool.endpointsOf(service).map(({ identity }) => identity);
   }
 
   /** Endpoints of a cell that take calls. */
-  #workers(cell: pieces.cells.CellName): pieces.Worker[] {
+  #workers(cell: pieces.partitions.PartitionName): pieces.Worker[] {
     const now = this.#options.clock.now();
     return gateway.usableOf(this.#members(cell), now)
       .map(({ identity }) => identity);
   }
 
-  #isClosed(cell: pieces.cells.CellName): boolean {
+  #isClosed(cell: pieces.partitions.PartitionName): boolean {
     const members = this.#members(cell);
     return members.length > 0 &&
       members.every(({ isEvacuated }) => isEvacuated);
   }
 
-  #members({ service, cell }: pieces.cells.CellName) {
-    return pieces.cells.workersOf(cell, this.#known(service))
+  #members({ service, cell }: pieces.partitions.PartitionName) {
+    return pieces.partitions.workersOf(cell, this.#known(service))
       .flatMap(({ id }) => this.#pool.get(id) ?? []);
   }
 
   async #make(question: schema.MakeQuestion): Promise<schema.Reply> {
     if (this.#isDraining) return { type: "failed", reason: "stopped" };
-    return { type: "made", results: await this.#batcher.make(question) };
+    return { type: "made", results: await this.#batcher.compute(question) };
   }
 
   #book(question: schema.BookQuestion): Promise<schema.Reply> {
-    return Promise.resolve({ type: "booked", ...this.#batcher.book(question) });
+    return Promise.resolve({
+      type: "booked",
+      ...this.#batcher.reserve(question),
+    });
   }
 
   #hear(notice: schema.Notice, from: string): void {
@@ -373,13 +380,13 @@
     if (type === "release") {
       this.#batcher.release(notice, notice.handles);
     } else if (type === "drop") {
-      this.#batcher.drop(notice, notice.request);
+      this.#batcher.cancel(notice, notice.request);
     } else if (type === "use") {
-      this.#pool.noteUse(from, notice.uses, this.#options.clock.now());
+      this.#pool.recordRemoteLoad(from, notice.uses, this.#options.clock.now());
     } else if (type === "limits") {
-      this.#quotas.follow(notice.limits);
+      this.#quotas.mergeLimits(notice.limits);
     } else if (type === "suspects") {
-      this.#guard.take(notice.suspects);
+      this.#guard.merge(notice.suspects);
     }
   }
 }
--- a/src/fleet/entry_members.ts
+++ b/src/fleet/entry_members.ts
@@ -17,7 +17,7 @@
   }
 
   /** Notes what a host says of itself, or what another has heard. */
-  hear(host: schema.EntryHost, now: number): void {
+  record(host: schema.EntryHost, now: number): void {
     const at = now - host.age;
     const known = this.#heard.get(host.host);
     if (known !== undefined && known.at >= at) return;
@@ -38,10 +38,10 @@
 
 /** Short mark of some hosts and of which are ready: the same wherever the same
  * are known. */
-export function markOf(hosts: readonly schema.EntryHost[]): string {
+export function digestOf(hosts: readonly schema.EntryHost[]): string {
   const names = hosts.map(({ host, ready }) => `${host} ${ready}`).sort();
   const text = names.join();
-  return `${names.length}.${hash.text(text)}.${hash.text(text, SEED)}`;
+  return `${names.length}.${hash.ofString(text)}.${hash.ofString(text, SEED)}`;
 }
 
 /** Of the second hash of a mark: 64 bits in all, which no two lists share. */
--- a/src/fleet/base.ts
+++ b/src/fleet/host_context.ts
@@ -11,7 +11,7 @@
 import type * as settings from "./settings.ts";
 
 /** What a host stands on. */
-export interface Base {
+export interface HostContext {
   settings: settings.HostSettings;
   clock: runtime.Clock;
   random: runtime.Random;
@@ -22,11 +22,11 @@
 /** Transport and questions of a host. */
 export interface Network {
   transport: peers.Peers;
-  calls: peers.Calls;
+  calls: peers.Rpc;
 }
 
 /** Takes what comes from other hosts. */
-export interface Receivers {
+export interface MessageHandlers {
   handlers: peers.Handlers;
   onNotice(notice: schema.Notice, from: string): void;
   onLog?(envelope: runtime.Envelope): void;
@@ -34,8 +34,8 @@
 
 /** The way to the other hosts; it does not listen yet. */
 export function createNetwork(
-  { settings: { host, peerPort }, clock, logger, metrics }: Base,
-  { handlers, onNotice, onLog }: Receivers,
+  { settings: { host, peerPort }, clock, logger, metrics }: HostContext,
+  { handlers, onNotice, onLog }: MessageHandlers,
 ): Network {
   const transport = peers.Peers.create({
     self: host,
@@ -56,13 +56,13 @@
       calls.receive(envelope.from, envelope.body as schema.FleetMessage);
     },
   });
-  const calls = peers.Calls.create({
+  const calls = peers.Rpc.create({
     self: host,
     clock,
     transport,
     handlers,
     onNotice,
-    onFault: (error, { type }) =>
+    onHandlerError: (error, { type }) =>
       logger.error({ err: error, type }, "Question not answered"),
   });
   return { transport, calls };
--- a/src/fleet/http_listener.ts
+++ b/src/fleet/http_listener.ts
@@ -5,21 +5,21 @@
 import * as errors from "./errors.ts";
 
 /** Where a server listens. */
-export interface Place {
+export interface ListenAddress {
   readonly address: string;
   readonly port: number;
 }
 
 /** Handles one request. */
-export type Handle = (
+export type RequestHandler = (
   request: http.IncomingMessage,
   response: http.ServerResponse,
 ) => void;
 
 /** Listens; resolves once connections are taken. */
 export async function listen(
-  place: Place,
-  handle: Handle,
+  place: ListenAddress,
+  handle: RequestHandler,
   options: http.ServerOptions = {},
 ): Promise<http.Server> {
   const server = http.createServer(options, handle);
--- a/src/fleet/mod.ts
+++ b/src/fleet/mod.ts
@@ -2,7 +2,7 @@
  * configuration and hear endpoints, the others take requests.
  * @module */
 
-export * from "./base.ts";
+export * from "./host_context.ts";
 export * from "./control_protocol.ts";
 export * from "./errors.ts";
 export type * from "./settings.ts";
--- a/src/fleet/operator_orders.ts
+++ b/src/fleet/operator_commands.ts
@@ -14,7 +14,7 @@
 const READ_PATIENCE = 800;
 
 /** What orders need of their host. */
-export interface OperatorOrdersOptions {
+export interface OperatorCommandsOptions {
   readonly store: Pick<
     versions.ConfigurationStore,
     "replace" | "read" | "evacuate" | "status"
@@ -24,12 +24,12 @@
   readonly dataCentres: readonly string[];
 }
 
-type Order<T> = Extract<protocol.ControlOrder, { type: T }>;
+type Order<T> = Extract<protocol.ControlCommand, { type: T }>;
 
 /** Handlers of operators' calls. */
 export function handlers(
-  options: OperatorOrdersOptions,
-): Pick<controlServer.Handlers, "replace" | "read" | "evacuate"> {
+  options: OperatorCommandsOptions,
+): Pick<controlServer.CommandHandlers, "replace" | "read" | "evacuate"> {
   return {
     replace: (order) => replace(order, options),
     read: () => read(options),
@@ -39,17 +39,17 @@
 
 async function replace(
   { document, configuration }: Order<"replace">,
-  options: OperatorOrdersOptions,
-): Promise<protocol.ControlAnswer> {
+  options: OperatorCommandsOptions,
+): Promise<protocol.ControlResponse> {
   const { store, logger } = options;
   const { version } = configuration;
-  const fault = configurations.faultOf(configuration);
+  const fault = configurations.findViolation(configuration);
   if (fault !== undefined) {
     logger.info({ version, ...fault }, "Configuration refused as invalid");
     return protocol.problem(400, fault.detail);
   }
   try {
-    const order = versions.editionOf(version, document);
+    const order = versions.packVersion(version, document);
     const reply = await store.replace(order, ORDER_PATIENCE);
     logger.info({ asked: version, ...reply }, "Configuration ordered");
     return reply.verdict === "conflict"
@@ -64,14 +64,14 @@
 }
 
 async function read(
-  options: OperatorOrdersOptions,
-): Promise<protocol.ControlAnswer> {
+  options: OperatorCommandsOptions,
+): Promise<protocol.ControlResponse> {
   try {
     const edition = await options.store.read(READ_PATIENCE);
     if (edition.version === 0) {
       return protocol.problem(503, "no configuration has been accepted yet");
     }
-    const body = configurations.unpack(edition.document);
+    const body = configurations.decompress(edition.document);
     return { status: 200, body };
   } catch (error) {
     return unanswered(error, { ...options, about: { read: true } });
@@ -80,16 +80,18 @@
 
 async function evacuate(
   { dataCentre, active }: Order<"evacuate">,
-  options: OperatorOrdersOptions & { readonly caller: protocol.Caller },
-): Promise<protocol.ControlAnswer> {
+  options: OperatorCommandsOptions & {
+    readonly caller: protocol.ControlConnection;
+  },
+): Promise<protocol.ControlResponse> {
   const { store, logger, dataCentres, caller } = options;
   if (!dataCentres.includes(dataCentre)) {
     return protocol.problem(404, `there is no data centre ${dataCentre}`);
   }
   try {
     const reply = await store.evacuate({ dataCentre, active }, {
-      patience: ORDER_PATIENCE,
-      isAbandoned: () => caller.hasLeft(),
+      timeout: ORDER_PATIENCE,
+      isAbandoned: () => caller.isClosed(),
     });
     logger.info({ dataCentre, active, ...reply }, "Evacuation ordered");
     const { revision } = reply;
@@ -101,9 +103,11 @@
 
 function unanswered(
   error: unknown,
-  { store, logger, about }: OperatorOrdersOptions & { readonly about: object },
-): protocol.ControlAnswer {
-  if (!(error instanceof versions.VersionError)) throw error;
+  { store, logger, about }: OperatorCommandsOptions & {
+    readonly about: object;
+  },
+): protocol.ControlResponse {
+  if (!(error instanceof versions.StoreError)) throw error;
   const { kind, message } = error;
   logger.info({ ...about, kind, ...store.status }, "Operator not answered");
   return protocol.problem(503, message);
--- a/src/fleet/roster_codec.ts
+++ b/src/fleet/roster_codec.ts
@@ -10,7 +10,7 @@
   now: number,
 ): schema.Sighting {
   const { id, born, service, address, dataCentre, version, slots } = entry;
-  const { state, sequence, heard, coldUntil, isSilent } = entry;
+  const { state, sequence, heardAt: heard, coldUntil, isSilent } = entry;
   const cold = Math.max(0, Math.round(coldUntil - now));
   return {
     id,
@@ -33,13 +33,13 @@
 export function decode(
   told: schema.Sighting,
   { now, judges }: { now: number; judges: boolean },
-): endpoints.Report {
+): endpoints.StatusReport {
   const { id, born, service, address, dataCentre, version, slots } = told;
   const { state, sequence, age, cold = 0, silent } = told;
   const place = { service, address, dataCentre };
   return {
-    sighting: { id, born, ...place, version, slots, state, sequence },
-    heard: now - age,
+    status: { id, born, ...place, version, slots, state, sequence },
+    heardAt: now - age,
     coldUntil: cold > 0 ? now + cold : 0,
     ...(judges ? {} : { isSilent: silent ?? false }),
   };
--- a/src/fleet/settings.ts
+++ b/src/fleet/settings.ts
@@ -7,11 +7,11 @@
 /** Bounds that the platform holds hosts to. */
 export interface Bounds {
   /** Within which a drain that was acknowledged is known everywhere. */
-  readonly drain: number;
+  readonly drainPropagation: number;
   /** From the signal to stop until the process is ended. */
-  readonly grace: number;
+  readonly shutdownGrace: number;
   /** After which a key that was taken away must not serve any more. */
-  readonly revoke: number;
+  readonly keyRevocation: number;
   /** Part of a service's requests that may be sent once more. */
   readonly retryRatio: number;
   /** Number of requests that may be sent once more beyond that. */
@@ -34,19 +34,19 @@
   /** Hosts with disks that are asked first. */
   readonly seeds: readonly string[];
   /** Whether the whole system starts for the first time. */
-  readonly isFirstStart: boolean;
+  readonly isBootstrap: boolean;
   /** Hosts with disks whose loss at once must be borne. */
-  readonly lossesBorne: number;
+  readonly toleratedLosses: number;
   /** Milliseconds between the heartbeats of an endpoint. */
-  readonly heartbeat: number;
+  readonly heartbeatInterval: number;
   readonly bounds: Bounds;
-  readonly callers?: httpListener.Place;
-  readonly readiness?: httpListener.Place;
-  readonly control?: httpListener.Place;
+  readonly callerAddress?: httpListener.ListenAddress;
+  readonly readinessAddress?: httpListener.ListenAddress;
+  readonly controlAddress?: httpListener.ListenAddress;
   readonly dataFolder?: string;
   /** Where counters are served as text; the port among those free. */
   readonly metrics?: {
-    readonly place: httpListener.Place;
+    readonly listenAddress: httpListener.ListenAddress;
     readonly path: string;
   };
 }
--- a/src/fleet/follower.ts
+++ b/src/fleet/sync_client.ts
@@ -8,13 +8,13 @@
 import type * as runtime from "../runtime/mod.ts";
 import type * as schema from "../schema/fleet_types.ts";
 import type * as telemetry from "../telemetry/mod.ts";
-import * as controlHosts from "./control_hosts.ts";
-import * as freshness from "./freshness.ts";
+import * as controlHosts from "./control_host_directory.ts";
+import * as freshness from "./elapsed_time.ts";
 import * as rosterCodec from "./roster_codec.ts";
 
 /** Milliseconds between questions: a drain must be known everywhere within
  * two seconds, a version too, also where one control host does not answer. */
-export const INTERVAL = 600;
+export const SYNC_INTERVAL_MS = 600;
 /** Milliseconds between questions before the first answer with a proof: a host
  * that has just started refuses all requests until then. */
 const EAGER = 150;
@@ -35,19 +35,19 @@
 const NO_REVISION = { epoch: "", revision: 0, suspectRevision: 0 };
 
 /** What a follower needs of its host. */
-export interface FollowerOptions {
+export interface SyncClientOptions {
   self: string;
   dataCentre: string;
   seeds: readonly string[];
   clock: runtime.Clock;
   random: runtime.Random;
-  calls: Pick<peers.Calls, "ask">;
+  calls: Pick<peers.Rpc, "ask">;
   logger: telemetry.Logger;
   isReady(): boolean;
   /** A newer version than any before. */
   onVersion(version: number, document: string): void;
   /** A host with a disk answers that knows nothing by this one. */
-  onSource(core: string): void;
+  onNewSource(core: string): void;
   /** Requests that may crash endpoints, as a host with a disk knows them. */
   onSuspects(suspects: readonly schema.Suspect[]): void;
   /** Rate limits that endpoints name, as a host with a disk knows them. */
@@ -57,32 +57,34 @@
 }
 
 /** Follows the hosts with disks. */
-export class Follower {
+export class SyncClient {
   readonly roster = endpoints.Roster.create({
-    silence: Infinity,
-    memory: MEMORY,
+    silenceTimeoutMs: Infinity,
+    retentionMs: MEMORY,
   });
-  readonly #options: FollowerOptions;
+  readonly #options: SyncClientOptions;
   #revision = NO_REVISION;
-  readonly #controlHosts: controlHosts.ControlHosts;
+  readonly #controlHosts: controlHosts.ControlHostDirectory;
   /** Why hosts did not prove anything in this round. */
   #failures = new Map<string, string>();
   #loggedAt = -Infinity;
   #hosts: readonly schema.EntryHost[] = [];
   #mark = "";
   #version = 0;
-  #proof?: freshness.Moment;
+  #proof?: freshness.Instant;
   #source?: string;
   #evacuations = orders.Evacuations.NONE;
   #stopped = false;
 
-  private constructor(options: FollowerOptions) {
+  private constructor(options: SyncClientOptions) {
     this.#options = options;
-    this.#controlHosts = controlHosts.ControlHosts.create(options.seeds);
+    this.#controlHosts = controlHosts.ControlHostDirectory.create(
+      options.seeds,
+    );
   }
 
-  static create(options: FollowerOptions): Follower {
-    return new Follower(options);
+  static create(options: SyncClientOptions): SyncClient {
+    return new SyncClient(options);
   }
 
   /** Begins to ask. */
@@ -101,9 +103,9 @@
 
   /** Milliseconds by which the version in force here may be too old; endless
    * before the first proof. */
-  get age(): number {
+  get proofAge(): number {
     if (this.#proof === undefined) return Infinity;
-    return freshness.ageOf(this.#proof, this.#options.clock);
+    return freshness.elapsedSince(this.#proof, this.#options.clock);
   }
 
   /** Data centres that are evacuated, as proved with the version in force. */
@@ -117,7 +119,7 @@
   }
 
   /** Hosts with disks, the one that answers first. */
-  get cores(): readonly string[] {
+  get controlHosts(): readonly string[] {
     const { current } = this.#controlHosts;
     const others = current.filter((core) => core !== this.#source);
     return this.#source === undefined ? others : [this.#source, ...others];
@@ -127,7 +129,7 @@
   dump(): unknown {
     return {
       version: this.#version,
-      proofAgeMs: Math.round(this.age),
+      proofAgeMs: Math.round(this.proofAge),
       source: this.#source,
       cores: this.#controlHosts.all,
       evacuations: this.#evacuations.list,
@@ -145,7 +147,7 @@
     if (!isProved) this.#logFailures();
     this.roster.expire(clock.now());
     const spent = clock.now() - started;
-    const interval = this.#proof === undefined ? EAGER : INTERVAL;
+    const interval = this.#proof === undefined ? EAGER : SYNC_INTERVAL_MS;
     clock.after(Math.max(20, interval - spent), () => void this.#round());
   }
 
@@ -162,7 +164,10 @@
       const next = () => {
         cancel();
         if (isDone) return;
-        const core = this.#controlHosts.inTurn(this.#source, random)
+        const core = this.#controlHosts.inOrderOfPreference(
+          this.#source,
+          random,
+        )
           .find((each) => !asked.has(each));
         if (core === undefined) {
           if (open === 0) resolve(false);
@@ -185,7 +190,7 @@
 
   async #sync(core: string): Promise<boolean> {
     const { clock, calls, self, dataCentre, isReady } = this.#options;
-    const sent = freshness.moment(clock);
+    const sent = freshness.instant(clock);
     // Another host's changes say nothing of what this one has told before.
     const known = core === this.#source ? this.#revision : NO_REVISION;
     const host = { host: self, dataCentre, ready: isReady(), age: 0 };
@@ -195,7 +200,7 @@
       ...known,
       mark: this.#mark,
       host,
-      evacuationOrders: this.#evacuations.orders,
+      evacuationOrders: this.#evacuations.totalRevision,
     };
     try {
       const reply = await calls.ask(core, question, { timeout: TIMEOUT });
@@ -211,7 +216,7 @@
 
   #noteFailure(core: string, reason: unknown): void {
     const { clock, logger } = this.#options;
-    this.#controlHosts.fail(core, clock.now());
+    this.#controlHosts.recordFailure(core, clock.now());
     this.#failures.set(core, `${reason}`);
     if (this.#source !== core) return;
     this.#source = undefined;
@@ -224,7 +229,7 @@
     if (now - this.#loggedAt < LOGGED) return;
     this.#loggedAt = now;
     const asked = Object.fromEntries(this.#failures);
-    const age = this.age;
+    const age = this.proofAge;
     const proofAgeMs = age === Infinity ? undefined : Math.round(age);
     const version = this.#version;
     logger.info({ asked, proofAgeMs, version }, "No control host proves");
@@ -233,7 +238,7 @@
   #take(
     core: string,
     reply: schema.SyncedReply,
-    sent: freshness.Moment,
+    sent: freshness.Instant,
   ): void {
     const { clock, onChange, onSuspects, onLimits } = this.#options;
     const now = clock.now();
@@ -243,24 +248,24 @@
     // holds for silent may not be.
     const judges = !reply.confirmed;
     for (const sighting of reply.sightings) {
-      this.roster.take(rosterCodec.decode(sighting, { now, judges }));
+      this.roster.merge(rosterCodec.decode(sighting, { now, judges }));
     }
     if (reply.confirmed) this.#takeProof(core, reply, sent);
-    else this.#controlHosts.name(reply.cores, now);
+    else this.#controlHosts.addReported(reply.cores, now);
     onChange();
   }
 
   #takeProof(
     core: string,
     reply: schema.SyncedReply,
-    sent: freshness.Moment,
+    sent: freshness.Instant,
   ): void {
-    const { clock, logger, onVersion, onSource } = this.#options;
+    const { clock, logger, onVersion, onNewSource: onSource } = this.#options;
     if (reply.hosts !== undefined) {
       this.#hosts = reply.hosts;
       this.#mark = reply.mark;
     }
-    this.#controlHosts.confirm(reply.cores, clock.now());
+    this.#controlHosts.setConfirmed(reply.cores, clock.now());
     if (reply.version > this.#version && reply.document !== undefined) {
       onVersion(reply.version, reply.document);
       this.#version = reply.version;
@@ -272,7 +277,7 @@
     if (this.#proof === undefined || sent.now > this.#proof.now) {
       this.#proof = sent;
     }
-    this.#controlHosts.succeed(core);
+    this.#controlHosts.recordSuccess(core);
     const { epoch, revision, suspectRevision = 0 } = reply;
     const isNew = this.#source !== core || this.#revision.epoch !== epoch;
     this.#revision = { epoch, revision, suspectRevision };
--- a/src/fleet/follower_fixture.ts
+++ b/src/fleet/sync_client_fixture.ts
@@ -5,13 +5,13 @@
 import * as runtime from "../runtime/mod.ts";
 import type * as schema from "../schema/fleet_types.ts";
 import * as telemetry from "../telemetry/mod.ts";
-import * as followers from "./follower.ts";
+import * as followers from "./sync_client.ts";
 
 /** Answers of control hosts by name; a host without one does not answer. */
-export type Answers = Record<string, Partial<schema.SyncedReply> | undefined>;
+export type Replies = Record<string, Partial<schema.SyncedReply> | undefined>;
 
 /** Milliseconds of one step of the clock. */
-export const STEP = 50;
+export const STEP_MS = 50;
 
 const BASE: schema.SyncedReply = {
   type: "synced",
@@ -30,7 +30,7 @@
 export function sighting(
   change: Partial<schema.Sighting> = {},
 ): schema.Sighting {
-  return { ...fixture.sighting(), age: 0, ...change };
+  return { ...fixture.endpointStatus(), age: 0, ...change };
 }
 
 /** What a follower is made with. */
@@ -41,14 +41,14 @@
 
 /** A follower of the hosts `a` and `b`, or of other seeds, whose answers may be
  * changed. */
-export function followerOf(
-  answers: Answers,
+export function createSyncClient(
+  answers: Replies,
   { seeds = ["a", "b"], logger = telemetry.noLogger }: FixtureOptions = {},
 ) {
   const clock = new runtime.FakeClock();
   const asked: { core: string; question: schema.SyncQuestion }[] = [];
   const versions: string[] = [];
-  const follower = followers.Follower.create({
+  const follower = followers.SyncClient.create({
     self: "me",
     dataCentre: "town",
     seeds,
@@ -58,7 +58,7 @@
     isReady: () => true,
     onVersion: (_, document) => void versions.push(document),
     onChange() {},
-    onSource() {},
+    onNewSource() {},
     onSuspects() {},
     onLimits() {},
     calls: {
@@ -72,8 +72,8 @@
     },
   });
   const run = async (ms: number) => {
-    for (let passed = 0; passed < ms; passed += STEP) {
-      clock.advance(STEP);
+    for (let passed = 0; passed < ms; passed += STEP_MS) {
+      clock.advance(STEP_MS);
       await new Promise(setImmediate);
     }
   };
--- a/src/fleet/follower_test.ts
+++ b/src/fleet/sync_client_test.ts
@@ -2,40 +2,40 @@
 
 import test from "ava";
 import * as telemetry from "../telemetry/mod.ts";
-import * as followers from "./follower.ts";
-import * as fixture from "./follower_fixture.ts";
+import * as followers from "./sync_client.ts";
+import * as fixture from "./sync_client_fixture.ts";
 
 test("a confirmed answer proves what was in force when it was asked", async (t) => {
-  const answers: fixture.Answers = { a: {} };
-  const { follower, versions, run } = fixture.followerOf(answers);
-  t.is(follower.age, Infinity);
+  const answers: fixture.Replies = { a: {} };
+  const { follower, versions, run } = fixture.createSyncClient(answers);
+  t.is(follower.proofAge, Infinity);
   await run(500);
   t.deepEqual(versions, ["three"]);
-  t.true(follower.age <= followers.INTERVAL + fixture.STEP);
+  t.true(follower.proofAge <= followers.SYNC_INTERVAL_MS + fixture.STEP_MS);
   answers.a = undefined;
   await run(2000);
-  t.true(follower.age >= 2000);
+  t.true(follower.proofAge >= 2000);
 });
 
 test("an answer without a majority proves nothing", async (t) => {
-  const { follower, versions, run } = fixture.followerOf({
+  const { follower, versions, run } = fixture.createSyncClient({
     a: { confirmed: false },
     b: { confirmed: false },
   });
   await run(1000);
-  t.is(follower.age, Infinity);
+  t.is(follower.proofAge, Infinity);
   t.deepEqual(versions, []);
 });
 
 test("another host is asked when one does not answer", async (t) => {
-  const { follower, run } = fixture.followerOf({ b: {} });
+  const { follower, run } = fixture.createSyncClient({ b: {} });
   await run(500);
-  t.true(follower.age <= followers.INTERVAL + fixture.STEP);
+  t.true(follower.proofAge <= followers.SYNC_INTERVAL_MS + fixture.STEP_MS);
 });
 
 test("no version is put in force after a later one", async (t) => {
-  const answers: fixture.Answers = { a: { version: 5, document: "five" } };
-  const { versions, run } = fixture.followerOf(answers);
+  const answers: fixture.Replies = { a: { version: 5, document: "five" } };
+  const { versions, run } = fixture.createSyncClient(answers);
   await run(500);
   answers.a = { version: 4, document: "four" };
   await run(500);
@@ -43,10 +43,10 @@
 });
 
 test("a host that is cut off tells nothing of silence", async (t) => {
-  const answers: fixture.Answers = {
+  const answers: fixture.Replies = {
     a: { sightings: [fixture.sighting()] },
   };
-  const { follower, run } = fixture.followerOf(answers);
+  const { follower, run } = fixture.createSyncClient(answers);
   await run(500);
   answers.a = {
     confirmed: false,
@@ -57,19 +57,19 @@
 });
 
 test("a host that has no proof yet asks more often", async (t) => {
-  const answers: fixture.Answers = {};
-  const { follower, asked, run } = fixture.followerOf(answers);
-  await run(followers.INTERVAL);
+  const answers: fixture.Replies = {};
+  const { follower, asked, run } = fixture.createSyncClient(answers);
+  await run(followers.SYNC_INTERVAL_MS);
   t.true(asked.length >= 6);
   answers.a = {};
   await run(250);
-  t.true(follower.age <= 250);
+  t.true(follower.proofAge <= 250);
 });
 
 test("hosts that are known already are not told again", async (t) => {
   const host = { host: "h", dataCentre: "town", ready: true, age: 0 };
-  const answers: fixture.Answers = { a: { mark: "1", hosts: [host] } };
-  const { follower, asked, run } = fixture.followerOf(answers);
+  const answers: fixture.Replies = { a: { mark: "1", hosts: [host] } };
+  const { follower, asked, run } = fixture.createSyncClient(answers);
   await run(500);
   answers.a = { mark: "1", hosts: undefined };
   await run(500);
@@ -79,8 +79,8 @@
 });
 
 test("a host that was not asked last is asked for everything", async (t) => {
-  const answers: fixture.Answers = { a: {} };
-  const { asked, run } = fixture.followerOf(answers);
+  const answers: fixture.Replies = { a: {} };
+  const { asked, run } = fixture.createSyncClient(answers);
   await run(1000);
   t.is(asked.at(-1)!.question.revision, 1);
   answers.a = undefined;
@@ -97,7 +97,9 @@
     if (msg === "No control host proves") lines.push(fields);
   };
   const logger = { ...telemetry.noLogger, info };
-  const { run } = fixture.followerOf({ b: { confirmed: false } }, { logger });
+  const { run } = fixture.createSyncClient({ b: { confirmed: false } }, {
+    logger,
+  });
   await run(3000);
   const asked = { a: "Error: silent", b: "no quorum" };
   t.like(lines[0], { asked, version: 0 });
@@ -108,8 +110,8 @@
   const order = { dataCentre: "town", orderedAt: 0 };
   const begun = [{ ...order, revision: 1, active: true }];
   const ended = [{ ...order, revision: 2, active: false }];
-  const answers: fixture.Answers = { a: { confirmed: false } };
-  const { follower, run } = fixture.followerOf(answers);
+  const answers: fixture.Replies = { a: { confirmed: false } };
+  const { follower, run } = fixture.createSyncClient(answers);
   const active = () =>
     follower.evacuations.active.map(({ dataCentre }) => dataCentre);
   answers.a = { confirmed: false, evacuations: begun };
--- a/src/fleet/followers.ts
+++ b/src/fleet/sync_sessions.ts
@@ -7,18 +7,18 @@
 const FOLLOWED = 3000;
 
 /** Followers of one host; changed in place. */
-export class Followers {
+export class SyncSessions {
   readonly #askedAt = new Map<string, number>();
   /** Orders of evacuations that each held when it asked last. */
   readonly #orders = new Map<string, number>();
 
-  static create(): Followers {
-    return new Followers();
+  static create(): SyncSessions {
+    return new SyncSessions();
   }
 
   /** Notes that a host has asked, and how many orders of evacuations it
    * holds. */
-  note(host: string, { now, orders }: { now: number; orders: number }): void {
+  record(host: string, { now, orders }: { now: number; orders: number }): void {
     this.#askedAt.set(host, now);
     this.#orders.set(host, orders);
   }
