--- a/src/gateway/passage.ts
+++ b/src/gateway/active_request.ts
@@ -7,20 +7,20 @@
 import * as admission from "./admission.ts";
 import * as attempts from "./attempt.ts";
 import * as bodies from "./body.ts";
-import * as callTerms from "./call_terms.ts";
+import * as callTerms from "./call_limits.ts";
 import type * as contexts from "./context.ts";
 import type * as endpoint from "./endpoint.ts";
 import * as endpointAdmission from "./endpoint_admission.ts";
-import type * as eventText from "./event_text.ts";
+import type * as eventText from "./event_buffer.ts";
 import type * as placements from "./placement.ts";
 import type * as protocols from "./protocol.ts";
-import * as readings from "./reading.ts";
+import * as readings from "./call_load.ts";
 import * as refusals from "./refusal.ts";
 import * as replies from "./reply.ts";
 import * as retry from "./retry.ts";
-import * as staging from "./staging.ts";
+import * as staging from "./pipeline_run.ts";
 import * as targetChoices from "./target_choice.ts";
-import * as verdicts from "./verdict.ts";
+import * as verdicts from "./health_signal.ts";
 
 /** Times that lost results are made again. */
 const REMAKES = 1;
@@ -33,20 +33,20 @@
   ms: number;
   outcome: string;
   /** Who chose the engine. */
-  placedBy?: placements.Chooser;
+  placedBy?: placements.PlacementSource;
   /** Milliseconds to the first event of a stream. */
   first?: number;
 }
 
 /** A request under way. */
-export class Passage {
+export class ActiveRequest {
   readonly #context: contexts.Context;
   readonly #request: http.IncomingMessage;
   readonly #reply: replies.Reply;
   readonly #arrival: number;
   readonly #calls: CallNote[] = [];
   #phase: Phase = "reading";
-  #ask?: protocols.Ask;
+  #ask?: protocols.IncomingRequest;
   #route?: configurations.Route;
   #account?: configurations.Account;
   #rank = 0;
@@ -62,46 +62,46 @@
   #firstMs?: number;
   #lastId?: string;
   #fallback?: { head: protocols.ReplyHead; body: Buffer };
-  #staging?: staging.Staging;
+  #staging?: staging.PipelineRun;
   #resolveOver!: () => void;
   /** Resolves when the request is answered or given up. */
-  readonly over: Promise<void>;
+  readonly finished: Promise<void>;
 
   private constructor(
     context: contexts.Context,
-    { request, response }: Pair,
+    { request, response }: HttpExchange,
   ) {
     this.#context = context;
     this.#request = request;
     const { isDraining } = context;
     this.#reply = replies.Reply.create({ request, response, isDraining });
     this.#arrival = context.clock.now();
-    this.over = new Promise((resolve) => this.#resolveOver = resolve);
+    this.finished = new Promise((resolve) => this.#resolveOver = resolve);
   }
 
   /** Serves a request. */
-  static start(context: contexts.Context, pair: Pair): Passage {
-    const passage = new Passage(context, pair);
+  static start(context: contexts.Context, pair: HttpExchange): ActiveRequest {
+    const passage = new ActiveRequest(context, pair);
     pair.response.once("close", () => passage.#closed());
     void passage.#serve();
     return passage;
   }
 
   /** Whether a caller still waits for it. */
-  get isOver(): boolean {
+  get isFinished(): boolean {
     return this.#phase === "over";
   }
 
   /** Gives the request up: the host must end now. */
   abort(): void {
-    if (this.isOver) return;
+    if (this.isFinished) return;
     this.#refuse(this.#mayHaveRun ? "failed" : "stopping");
   }
 
   async #serve(): Promise<void> {
     try {
       const body = await this.#admit();
-      if (this.isOver) return;
+      if (this.isFinished) return;
       this.#body = body;
       this.#admission = endpointAdmission.EndpointAdmission.create(
         this.#context,
@@ -109,12 +109,12 @@
       );
       const denial = this.#admission.denial();
       if (denial !== undefined) {
-        return this.#refuse(denial.reason, denial.about);
+        return this.#refuse(denial.reason, denial.details);
       }
       const { random } = this.#context;
       const service = admission.pickService(this.#route!, random);
       const inputs = await this.#prepare(service);
-      if (this.isOver) return;
+      if (this.isFinished) return;
       await this.#send({ service, inputs });
     } catch (error) {
       const request = this.#ask?.id;
@@ -130,20 +130,20 @@
 
   /** Reads the request and judges whether it may pass. */
   async #admit(): Promise<Buffer> {
-    const { protocol, knowledge, clock } = this.#context;
-    const reading = protocol.readAsk(this.#request);
+    const { protocol, fleetView: knowledge, clock } = this.#context;
+    const reading = protocol.decodeRequest(this.#request);
     if (reading.type === "malformed") {
       return this.#stop("malformed", { detail: reading.detail });
     }
-    const { ask } = reading;
+    const { request: ask } = reading;
     this.#ask = ask;
-    const reason = this.#context.isEnding() ? "stopping" : this.#judge(ask);
+    const reason = this.#context.isStopping() ? "stopping" : this.#judge(ask);
     if (reason !== undefined) {
       return this.#stop(reason, this.#returnFor(reason));
     }
     const route = this.#route!;
-    this.#waited = this.#context.patience.waited(route.name, ask.patience);
-    const patience = Math.min(route.timeout, ask.patience ?? Infinity);
+    this.#waited = this.#context.priorWait.estimate(route.name, ask.timeout);
+    const patience = Math.min(route.timeout, ask.timeout ?? Infinity);
     this.#until = this.#arrival + patience;
     this.#cancelTimer = clock.after(patience, () => this.#timeOut());
     const { limits } = knowledge.catalogue()!.configuration;
@@ -151,13 +151,13 @@
     if (typeof body === "string") return this.#stop(body);
     // The version may have changed while a slow body came in.
     const now = this.#judge(ask);
-    if (now !== undefined && !this.isOver) return this.#stop(now);
+    if (now !== undefined && !this.isFinished) return this.#stop(now);
     return body;
   }
 
   /** Why a request may not pass; notes route, account and rank when it may. */
-  #judge(ask: protocols.Ask): refusals.RefusalReason | undefined {
-    const judged = admission.judge(ask, this.#context);
+  #judge(ask: protocols.IncomingRequest): refusals.RefusalReason | undefined {
+    const judged = admission.admit(ask, this.#context);
     this.#route = judged.route;
     this.#account = judged.account;
     this.#rank = judged.rank ?? 0;
@@ -167,9 +167,9 @@
   /** When to come back, where that hangs on more than the reason. */
   #returnFor(reason: refusals.RefusalReason): About {
     if (reason !== "no-configuration") return {};
-    const { clock, started } = this.#context;
+    const { clock, startedAt: started } = this.#context;
     const uptime = clock.now() - started;
-    return { retryAfter: refusals.returnUnconfigured(uptime) };
+    return { retryAfter: refusals.retryAfterUnconfigured(uptime) };
   }
 
   /** Has the pieces of the request's stages made. */
@@ -178,18 +178,18 @@
     if (route.stages.length === 0) return undefined;
     this.#phase = "pieces";
     const made = this.#staging;
-    this.#staging ??= await staging.Staging.create(this.#context, {
-      ask: this.#ask!,
+    this.#staging ??= await staging.PipelineRun.create(this.#context, {
+      request: this.#ask!,
       route,
       rank: this.#rank,
       service,
       arrival: this.#arrival,
-      waited: this.#waited,
-      until: this.#until,
+      priorWait: this.#waited,
+      deadline: this.#until,
     });
-    if (this.isOver) return undefined;
-    const result = await (made?.again() ?? this.#staging.run());
-    if (this.isOver) return undefined;
+    if (this.isFinished) return undefined;
+    const result = await (made?.rerun() ?? this.#staging.run());
+    if (this.isFinished) return undefined;
     if (result.type === "made") return result.inputs;
     return this.#stop(result.reason, result.about);
   }
@@ -204,20 +204,20 @@
     const { clock } = this.#context;
     let inputs = first;
     let remakes = 0;
-    this.#context.budget(service).earn(clock.now());
+    this.#context.retryBudget(service).deposit(clock.now());
     const targets = this.#targets(service);
     for (;;) {
       const chosen = await targets.choose({
         called: this.#calls.map(({ endpoint }) => endpoint),
         planned: this.#staging?.planned,
-        isOver: () => this.isOver,
+        isFinished: () => this.isFinished,
       });
-      if (this.isOver) return;
+      if (this.isFinished) return;
       if (chosen.type === "none") {
         return this.#conclude(chosen.reason, chosen.about);
       }
       const outcome = await this.#call(chosen.target, inputs);
-      if (this.isOver) return;
+      if (this.isFinished) return;
       if (outcome.type === "ended") return this.#endStream();
       if (outcome.type === "answer") {
         // A refusal of a stream that has begun elsewhere is no answer to it.
@@ -231,7 +231,7 @@
       if (outcome.cause === "lacks-input" || this.#staging?.isReleased) {
         if (remakes++ >= REMAKES) return this.#conclude("not-run");
         inputs = await this.#prepare(service);
-        if (this.isOver) return;
+        if (this.isFinished) return;
       }
     }
   }
@@ -241,7 +241,7 @@
       service,
       prompt: this.#ask!.prompt,
       objective: this.#route!.objective,
-      until: this.#until,
+      deadline: this.#until,
       admission: this.#admission!,
     });
   }
@@ -250,73 +250,73 @@
     { endpoint: target, placed }: targetChoices.Target,
     inputs: readonly string[] | undefined,
   ): Promise<attempts.Outcome> {
-    const { clock, metrics, loadGossip } = this.#context;
+    const { clock, metrics, loadUpdates: loadGossip } = this.#context;
     const { id, name, service } = target.identity;
     const started = clock.now();
     const note: CallNote = { endpoint: id, ms: 0, outcome: "open" };
-    if (placed !== undefined) note.placedBy = placed.by;
+    if (placed !== undefined) note.placedBy = placed.source;
     this.#calls.push(note);
     this.#phase = this.#reply.head === undefined ? "sent" : "streaming";
     metrics.count("gateway.sent", 1, { service });
     if (this.#calls.length > 1) {
       metrics.count("gateway.repeated", 1, { service });
     }
-    const reading = readings.Reading.begin(target, {
+    const reading = readings.CallLoad.begin(target, {
       ...this.#context,
       prompt: this.#ask!.prompt,
-      unread: placed?.lack.read ?? 0,
-      ...(placed?.by === "owner" && { work: placed.work }),
+      prefillTokens: placed?.cacheMiss.prefillTokens ?? 0,
+      ...(placed?.source === "owner" && { pendingWork: placed.pendingWork }),
     });
     const onFirst = () => {
-      if (reading.first === undefined) {
+      if (reading.firstEventTime === undefined) {
         this.#noteFirst(target, { reading, note });
       }
     };
     this.#attempt = attempts.Attempt.start({
       ...this.#context,
       endpoint: target,
-      ask: this.#ask!,
-      terms: {
+      request: this.#ask!,
+      metadata: {
         ...this.#terms(name, inputs),
-        fetchFrom: placed?.lack.source?.identity.address,
+        fetchFrom: placed?.cacheMiss.source?.identity.address,
       },
       body: this.#body.length > 0 ? this.#body : undefined,
       deadline: this.#until,
-      silence: callTerms.silenceOf(
+      idleTimeout: callTerms.idleTimeoutOf(
         this.#route!,
         this.#reply.head !== undefined,
       ),
       onHead: ({ rateLimit, coldFor = 0 }) => {
-        this.#context.quotas.note(id, rateLimit);
-        target.noteCold(coldFor, clock.now());
+        this.#context.quotas.recordLimit(id, rateLimit);
+        target.recordCold(coldFor, clock.now());
       },
       stream: this.#route!.kind === "streaming"
         ? this.#listener(onFirst)
         : undefined,
     });
-    const hold = this.#context.inputHold.time(service);
+    const hold = this.#context.inputRetention.time(service);
     const cancelRelease = inputs === undefined
       ? () => {}
       : clock.after(hold, () => this.#staging?.release());
     const outcome = await this.#attempt.outcome;
     cancelRelease();
     if (this.#lacksReleased(outcome)) {
-      this.#context.inputHold.noteLack(service, hold);
+      this.#context.inputRetention.recordMissing(service, hold);
     }
     reading.end();
     note.ms = Math.round(clock.now() - started);
-    note.outcome = verdicts.nameOf(outcome);
-    verdicts.note(target, outcome, {
+    note.outcome = verdicts.outcomeName(outcome);
+    verdicts.record(target, outcome, {
       now: clock.now(),
       duration: clock.now() - started,
       metrics,
     });
     // Who places prompts there must hear of failures that are not its own.
-    if (placed?.by === "owner") {
-      loadGossip.note(target, { verdict: verdicts.of(outcome) });
+    if (placed?.source === "owner") {
+      loadGossip.record(target, { signal: verdicts.signalOf(outcome) });
     }
     if (outcome.type !== "failed" || outcome.mayHaveRun) this.#runs++;
-    this.#admission!.noteCall(id, outcome);
+    this.#admission!.recordOutcome(id, outcome);
     return outcome;
   }
 
@@ -329,12 +329,12 @@
   #terms(
     endpoint: string,
     inputs: readonly string[] | undefined,
-  ): protocols.CallTerms {
+  ): protocols.CallMetadata {
     const { clock } = this.#context;
     return {
       endpoint,
       account: this.#account?.name,
-      remaining: callTerms.remaining(this.#until, clock.now()),
+      remaining: callTerms.remainingTime(this.#until, clock.now()),
       urgency: callTerms.urgencyOf(this.#rank, this.#staging?.isLate ?? false),
       inputs,
       resumeAfter: this.#lastId ?? this.#ask!.resumeAfter,
@@ -343,12 +343,14 @@
 
   #noteFirst(
     target: endpoint.Endpoint,
-    { reading, note }: { reading: readings.Reading; note: CallNote },
+    { reading, note }: { reading: readings.CallLoad; note: CallNote },
   ): void {
-    const { clock, metrics, inputHold } = this.#context;
-    reading.noteFirst();
-    note.first = Math.round(reading.first!);
-    if (this.#staging?.isReleased) inputHold.noteRead(target.identity.service);
+    const { clock, metrics, inputRetention: inputHold } = this.#context;
+    reading.recordFirstEvent();
+    note.first = Math.round(reading.firstEventTime!);
+    if (this.#staging?.isReleased) {
+      inputHold.recordSuccess(target.identity.service);
+    }
     metrics.time("gateway.first_event", clock.now() - this.#arrival, {
       route: this.#route!.name,
     });
@@ -366,23 +368,23 @@
   }
 
   /** Passes whole events on; the first ones bring the head with them. */
-  #passOn(head: protocols.ReplyHead, whole: eventText.Whole): void {
-    if (this.isOver) return;
+  #passOn(head: protocols.ReplyHead, whole: eventText.CompleteEvents): void {
+    if (this.isFinished) return;
     if (this.#reply.head === undefined) {
       this.#firstMs = Math.round(this.#context.clock.now() - this.#arrival);
       this.#beginStream(head);
     }
     if (whole.lastId !== undefined) this.#lastId = whole.lastId;
-    this.#reply.pass(whole.bytes);
+    this.#reply.write(whole.bytes);
   }
 
   #beginStream(head: protocols.ReplyHead): void {
     this.#phase = "streaming";
     this.#staging?.release();
     if (configurations.isIdempotent(this.#route!)) {
-      this.#attempt?.expectWithin(callTerms.EVENT_SILENCE);
+      this.#attempt?.setIdleTimeout(callTerms.EVENT_IDLE_TIMEOUT_MS);
     }
-    this.#reply.begin(head);
+    this.#reply.startStream(head);
   }
 
   #endStream(): void {
@@ -396,7 +398,7 @@
 
   #answer({ head, body }: { head: protocols.ReplyHead; body: Buffer }): void {
     this.#finish();
-    this.#reply.answer(head, body);
+    this.#reply.send(head, body);
     this.#log("info", { status: head.status }, "Request answered");
   }
 
@@ -409,7 +411,7 @@
     const { head } = outcome;
     const sends = this.#calls.length;
     const history = { runs: this.#runs, sends };
-    if (!retry.isWorthRepeating(this.#route!, head, history)) return false;
+    if (!retry.shouldRetryAnswer(this.#route!, head, history)) return false;
     this.#fallback = outcome;
     return this.#spend(service);
   }
@@ -425,9 +427,9 @@
   }
 
   #spend(service: string): boolean {
-    const { clock, knowledge, metrics } = this.#context;
-    const budget = this.#context.budget(service);
-    const isSpent = budget.spend(clock.now(), knowledge.hosts());
+    const { clock, fleetView: knowledge, metrics } = this.#context;
+    const budget = this.#context.retryBudget(service);
+    const isSpent = budget.tryWithdraw(clock.now(), knowledge.hostCount());
     if (!isSpent) metrics.count("gateway.no_budget", 1, { service });
     return isSpent;
   }
@@ -442,7 +444,7 @@
   }
 
   #timeOut(): void {
-    if (this.isOver) return;
+    if (this.isFinished) return;
     this.#refuse(this.#mayHaveRun ? "timeout" : "timeout-not-run");
   }
 
@@ -450,16 +452,16 @@
   #breakOff(reason: refusals.RefusalReason): void {
     this.#finish();
     this.#context.metrics.count("gateway.refused", 1, { reason });
-    this.#reply.breakOff();
+    this.#reply.abort();
     this.#log("warn", { reason, lastEvent: this.#lastId }, "Stream broken off");
   }
 
   #refuse(reason: refusals.RefusalReason, about: About = {}): void {
-    if (this.isOver) return;
+    if (this.isFinished) return;
     // A stream that has begun has its head; its pieces may be made again.
     if (this.#reply.head !== undefined) return this.#breakOff(reason);
     // A call may have run before, and its pieces failed to be made again.
-    if (this.#runs > 0 && refusals.saysNotRun(reason)) {
+    if (this.#runs > 0 && refusals.guaranteesNotRun(reason)) {
       const { retryAfter: _, ...rest } = about;
       return this.#refuse("failed", { ...rest, after: reason });
     }
@@ -478,13 +480,13 @@
 
   /** The caller's connection has closed. */
   #closed(): void {
-    if (this.isOver) return;
-    this.#reply.hasLeft = true;
+    if (this.isFinished) return;
+    this.#reply.isDisconnected = true;
     this.#context.metrics.count("gateway.left");
     const route = this.#route;
     const isSent = this.#phase === "sent";
     // What must not be repeated goes on: cut off, nobody would know its end.
-    if (isSent && route !== undefined && !configurations.isStoppable(route)) {
+    if (isSent && route !== undefined && !configurations.isCancellable(route)) {
       return;
     }
     this.#finish();
@@ -495,7 +497,7 @@
     this.#phase = "over";
     this.#cancelTimer();
     this.#attempt?.cancel();
-    this.#staging?.end();
+    this.#staging?.close();
     this.#resolveOver();
   }
 
@@ -511,7 +513,7 @@
     about: About & { readonly reason?: refusals.RefusalReason | "left" },
     message: string,
   ): void {
-    const { clock, logger, metrics, knowledge } = this.#context;
+    const { clock, logger, metrics, fleetView: knowledge } = this.#context;
     const ms = Math.round(clock.now() - this.#arrival);
     const route = this.#route?.name;
     metrics.time("gateway.duration", ms, { route: route ?? "none" });
@@ -530,11 +532,11 @@
       accountPriority: this.#account?.priority,
       firstMs: this.#firstMs,
       ...(this.#waited > 0 && { waitedMs: Math.round(this.#waited) }),
-      stages: this.#staging?.note,
+      stages: this.#staging?.record,
       calls: this.#calls,
       fingerprint: this.#admission?.fingerprint,
       version: knowledge.catalogue()?.version,
-      ageMs: Math.round(knowledge.age()),
+      ageMs: Math.round(knowledge.configurationAge()),
       ...about,
     }, message);
   }
@@ -547,7 +549,7 @@
 }
 
 /** A request, and the way to answer it. */
-export interface Pair {
+export interface HttpExchange {
   readonly request: http.IncomingMessage;
   readonly response: http.ServerResponse;
 }
--- a/src/gateway/passage_test.ts
+++ b/src/gateway/active_request_test.ts
@@ -13,24 +13,24 @@
 import * as runtime from "../runtime/mod.ts";
 import * as telemetry from "../telemetry/mod.ts";
 import * as gateway from "./mod.ts";
-import * as passages from "./passage.ts";
+import * as passages from "./active_request.ts";
 
 /** Headers as they are, with names of this test's own. */
 const PROTOCOL: gateway.GatewayProtocol = {
-  readAsk: ({ method = "", url = "" }) => ({
+  decodeRequest: ({ method = "", url = "" }) => ({
     type: "ask",
-    ask: {
+    request: {
       id: "a-1",
       method,
       host: "host.example",
       target: url,
       headers: {},
-      pieces: [1],
+      itemCounts: [1],
     },
   }),
-  isReadinessCall: () => true,
+  isReadinessProbe: () => true,
   callHeaders: (_, { endpoint }) => ({ "test-endpoint": endpoint }),
-  readReply: (status, headers) => ({
+  decodeReply: (status, headers) => ({
     status,
     attempt: "a-1",
     signature: headers["test-signature"] as string | undefined,
@@ -39,10 +39,10 @@
     lacksInput: false,
     headers: {},
   }),
-  pieceCall: () => ({ method: "POST", path: "/", headers: {}, body: "" }),
-  readPieces: () => undefined,
+  batchCall: () => ({ method: "POST", path: "/", headers: {}, body: "" }),
+  decodeItemResults: () => undefined,
   releaseCall: () => ({ method: "POST", path: "/", headers: {}, body: "" }),
-  makerOf: (handle) => handle,
+  holderOf: (handle) => handle,
 };
 
 /** A stream that may be resumed, after pieces of a stage. */
@@ -73,7 +73,7 @@
   t: ava.ExecutionContext,
   route: Partial<configurations.Route>,
   endpoint: http.RequestListener,
-  make: gateway.Context["maker"]["make"] = () => Promise.resolve([]),
+  make: gateway.Context["maker"]["compute"] = () => Promise.resolve([]),
 ) {
   const seen: (() => void)[] = [];
   const sent = new Promise<void>((resolve) => seen.push(resolve));
@@ -88,15 +88,15 @@
       routes: [fixture.route(route)],
       services: [
         { name: "desk", connections: 10 },
-        { name: "maps", connections: 10, pieces: fixture.pieceTraits() },
+        { name: "maps", connections: 10, batching: fixture.batchTraits() },
       ],
     }),
   );
-  const pool = gateway.Pool.create();
+  const pool = gateway.EndpointPool.create();
   const entry = endpointFixture.entry({ id: "e-1", address });
   pool.update([entry], () => undefined);
   const bounds = { ratio: 1, burst: 10, window: 1000 };
-  const started: passages.Passage[] = [];
+  const started: passages.ActiveRequest[] = [];
   const context: gateway.Context = {
     clock: runtime.systemClock,
     random: runtime.createRandom(7),
@@ -107,28 +107,32 @@
     dataCentre: "town",
     pool,
     maker: {
-      make,
-      book: () => Promise.resolve({ wait: 0, work: 0 }),
-      cell: () => "all",
+      compute: make,
+      reserve: () => Promise.resolve({ wait: 0, work: 0 }),
+      selectPartition: () => "all",
       release() {},
-      drop() {},
+      cancel() {},
     },
     placement: { place: () => Promise.resolve(undefined) },
-    knowledge: { catalogue: () => catalogue, age: () => 0, hosts: () => 1 },
+    fleetView: {
+      catalogue: () => catalogue,
+      configurationAge: () => 0,
+      hostCount: () => 1,
+    },
     calibration: gateway.Calibration.create(),
-    patience: gateway.Patience.create(),
-    inputHold: gateway.InputHold.create(),
-    loadGossip: { note() {} },
-    quotas: rateLimitFixture.openQuotas(),
-    guard: quarantineFixture.openGuard(),
-    started: 0,
-    greatestAge: 1000,
-    budget: () => gateway.RetryBudget.create(bounds),
+    priorWait: gateway.PriorWait.create(),
+    inputRetention: gateway.InputRetention.create(),
+    loadUpdates: { record() {} },
+    quotas: rateLimitFixture.unlimitedQuotas(),
+    guard: quarantineFixture.permissiveGuard(),
+    startedAt: 0,
+    maxConfigurationAge: 1000,
+    retryBudget: () => gateway.RetryBudget.create(bounds),
     isDraining: () => false,
-    isEnding: () => false,
+    isStopping: () => false,
   };
   const place = await listen(t, (request, response) => {
-    started.push(passages.Passage.start(context, { request, response }));
+    started.push(passages.ActiveRequest.start(context, { request, response }));
   });
   const ask = async () => {
     const answer = await undici.request(`http://${place}/a/x`);
@@ -269,8 +273,8 @@
   const { ask, pool, context } = host;
   Object.assign(context.quotas, {
     isLimited: () => true,
-    take() {
-      pool.evacuate(["town"], { returned: [], now: 0 });
+    acquire() {
+      pool.setEvacuated(["town"], { returned: [], now: 0 });
       return Promise.resolve(0);
     },
   });
--- a/src/gateway/admission.ts
+++ b/src/gateway/admission.ts
@@ -8,7 +8,7 @@
 import type * as refusals from "./refusal.ts";
 
 /** What is known of a request by the configuration in force. */
-export interface Judgement {
+export interface AdmissionDecision {
   /** Why it may not pass; absent when it may. */
   readonly reason?: refusals.RefusalReason;
   readonly route?: configurations.Route;
@@ -18,24 +18,26 @@
 }
 
 /** Judges a request by the configuration in force. */
-export function judge(
-  ask: protocols.Ask,
-  { knowledge, greatestAge }: Pick<
+export function admit(
+  ask: protocols.IncomingRequest,
+  { fleetView: knowledge, maxConfigurationAge: greatestAge }: Pick<
     contexts.Context,
-    "knowledge" | "greatestAge"
+    "fleetView" | "maxConfigurationAge"
   >,
-): Judgement {
+): AdmissionDecision {
   const catalogue = knowledge.catalogue();
   if (catalogue === undefined) return { reason: "no-configuration" };
-  if (knowledge.age() > greatestAge) return { reason: "stale-configuration" };
+  if (knowledge.configurationAge() > greatestAge) {
+    return { reason: "stale-configuration" };
+  }
   const route = catalogue.route(ask.host, ask.target);
   if (route === undefined) return { reason: "no-route" };
   if (route.isPublic || !catalogue.hasAccounts) {
     return { route, rank: catalogue.rankOf(route) };
   }
-  const account = ask.key === undefined
+  const account = ask.apiKey === undefined
     ? undefined
-    : catalogue.account(ask.key);
+    : catalogue.account(ask.apiKey);
   const rank = catalogue.rankOf(route, account);
   return account === undefined
     ? { route, rank, reason: "bad-key" }
--- a/src/gateway/admission_test.ts
+++ b/src/gateway/admission_test.ts
@@ -17,7 +17,7 @@
 const ACCOUNT = { name: "crews", keys: ["k"] };
 
 function judge(
-  change: { target?: string; key?: string } = {},
+  change: { target?: string; apiKey?: string } = {},
   { age = 0, isKnown = true } = {},
 ) {
   const catalogue = configurations.Catalogue.create(
@@ -25,26 +25,26 @@
   );
   const knowledge = {
     catalogue: () => isKnown ? catalogue : undefined,
-    age: () => age,
-    hosts: () => 1,
+    configurationAge: () => age,
+    hostCount: () => 1,
   };
-  const context = { knowledge, greatestAge: 1000 };
-  return admission.judge({ ...ASK, ...change }, context);
+  const context = { fleetView: knowledge, maxConfigurationAge: 1000 };
+  return admission.admit({ ...ASK, ...change }, context);
 }
 
 test("a request with a known key may pass, as its account", (t) => {
-  const { reason, account, route } = judge({ key: "k" });
+  const { reason, account, route } = judge({ apiKey: "k" });
   t.is(reason, undefined);
   t.is(account?.name, "crews");
   t.is(route?.prefix, "/a/");
 });
 
 test("what may not pass is told why", (t) => {
-  t.is(judge({ key: "other" }).reason, "bad-key");
+  t.is(judge({ apiKey: "other" }).reason, "bad-key");
   t.is(judge().reason, "bad-key");
-  t.is(judge({ key: "k", target: "/b/" }).reason, "no-route");
-  t.is(judge({ key: "k" }, { age: 1001 }).reason, "stale-configuration");
-  t.is(judge({ key: "k" }, { isKnown: false }).reason, "no-configuration");
+  t.is(judge({ apiKey: "k", target: "/b/" }).reason, "no-route");
+  t.is(judge({ apiKey: "k" }, { age: 1001 }).reason, "stale-configuration");
+  t.is(judge({ apiKey: "k" }, { isKnown: false }).reason, "no-configuration");
 });
 
 test("services are picked by their weights", (t) => {
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -9,7 +9,7 @@
 import type * as undici from "undici";
 import * as endpointCalls from "../endpoint_calls/exchange.ts";
 import type * as runtime from "../runtime/mod.ts";
-import * as eventText from "./event_text.ts";
+import * as eventText from "./event_buffer.ts";
 import type * as endpoint from "./endpoint.ts";
 import type * as protocol from "./protocol.ts";
 
@@ -45,7 +45,7 @@
 /** What comes of a stream while it runs. */
 export interface StreamListener {
   head(head: protocol.ReplyHead): void;
-  events(whole: eventText.Whole): void;
+  events(whole: eventText.CompleteEvents): void;
 }
 
 /** What a call is made of. */
@@ -54,13 +54,13 @@
   readonly clock: runtime.Clock;
   readonly protocol: protocol.GatewayProtocol;
   readonly endpoint: endpoint.Endpoint;
-  readonly ask: protocol.Ask;
-  readonly terms: protocol.CallTerms;
+  readonly request: protocol.IncomingRequest;
+  readonly metadata: protocol.CallMetadata;
   readonly body?: Buffer;
   /** When it ends at the latest. */
   readonly deadline: number;
   /** Milliseconds without a byte after which it is given up. */
-  readonly silence: number;
+  readonly idleTimeout: number;
   /** Present for a stream. */
   readonly stream?: StreamListener;
   /** Hears the head of each answer of the endpoint itself, also of one that
@@ -73,7 +73,7 @@
   /** Resolves once; never rejects. */
   readonly outcome: Promise<Outcome>;
   readonly #options: AttemptOptions;
-  readonly #text = eventText.EventText.create();
+  readonly #text = eventText.EventBuffer.create();
   readonly #parts: Buffer[] = [];
   #resolve!: (outcome: Outcome) => void;
   #exchange?: endpointCalls.Exchange;
@@ -89,7 +89,15 @@
   /** Sends the request. */
   static start(options: AttemptOptions): Attempt {
     const attempt = new Attempt(options);
-    const { ask, terms, body, protocol, endpoint, dispatcher, clock } = options;
+    const {
+      request: ask,
+      metadata: terms,
+      body,
+      protocol,
+      endpoint,
+      dispatcher,
+      clock,
+    } = options;
     attempt.#exchange = endpointCalls.Exchange.start({
       method: ask.method,
       path: ask.target,
@@ -100,7 +108,7 @@
       clock,
       url: `http://${endpoint.identity.address}`,
       deadline: options.deadline,
-      silence: options.silence,
+      silence: options.idleTimeout,
       mostBytes: MOST_BYTES,
       receiver: attempt,
     });
@@ -115,7 +123,7 @@
   }
 
   /** Gives it up after so many milliseconds without a byte, from now on. */
-  expectWithin(silence: number): void {
+  setIdleTimeout(silence: number): void {
     this.#exchange?.expectWithin(silence);
   }
 
@@ -124,8 +132,8 @@
     headers: Readonly<Record<string, string | string[] | undefined>>,
   ): void {
     if (this.#isOver) return;
-    const { protocol, ask, stream } = this.#options;
-    const head = protocol.readReply(status, headers);
+    const { protocol, request: ask, stream } = this.#options;
+    const head = protocol.decodeReply(status, headers);
     if (!isAnswerTo(head, ask)) return this.#reject();
     if (!head.isMisdirected) this.#options.onHead?.(head);
     this.#head = head;
@@ -162,7 +170,7 @@
   }
 
   #endStream(): void {
-    if (this.#text.isOpen) return this.#fail("broken", true);
+    if (this.#text.hasPartialEvent) return this.#fail("broken", true);
     this.#finish({ type: "ended" });
   }
 
@@ -197,7 +205,7 @@
 /** Whether an answer belongs to the request, and a success is an endpoint's. */
 function isAnswerTo(
   head: protocol.ReplyHead,
-  { id }: protocol.Ask,
+  { id }: protocol.IncomingRequest,
 ): boolean {
   if (head.attempt !== undefined && head.attempt !== id) return false;
   if (head.isNotRun || head.isMisdirected) return true;
--- a/src/gateway/lack.ts
+++ b/src/gateway/cache_miss.ts
@@ -20,9 +20,9 @@
 const FAR = 2;
 
 /** Tokens that an engine lacks. */
-export interface Lack {
-  readonly read: number;
-  readonly fetched: number;
+export interface CacheMiss {
+  readonly prefillTokens: number;
+  readonly fetchTokens: number;
   /** Milliseconds that the fetch takes. */
   readonly fetchTime: number;
   /** Engine that it fetches from. */
@@ -30,7 +30,7 @@
 }
 
 /** Engines that a prompt may go to, and what each lacks. */
-export class Lacks {
+export class CacheMisses {
   readonly #engines: readonly endpoint.Endpoint[];
   readonly #prompt: protocol.Prompt;
   /** The engine that has read most of the prompt, and how much. */
@@ -57,12 +57,12 @@
   static of(
     engines: readonly endpoint.Endpoint[],
     prompt: protocol.Prompt,
-  ): Lacks {
-    return new Lacks(engines, prompt);
+  ): CacheMisses {
+    return new CacheMisses(engines, prompt);
   }
 
   /** What one of the engines lacks. */
-  at(engine: endpoint.Endpoint): Lack {
+  at(engine: endpoint.Endpoint): CacheMiss {
     const { inputTokens } = this.#prompt;
     const own = this.#known(engine);
     const open = Math.max(0, inputTokens - own);
@@ -70,17 +70,21 @@
     const rate = engine.fetchRate;
     const fetched = this.#most - own;
     if (source === undefined || rate === undefined || fetched < LEAST_FETCHED) {
-      return { read: this.#likely(engine, open), fetched: 0, fetchTime: 0 };
+      return {
+        prefillTokens: this.#likely(engine, open),
+        fetchTokens: 0,
+        fetchTime: 0,
+      };
     }
     const isFar = source.identity.dataCentre !== engine.identity.dataCentre;
     const fetchTime = fetched / rate * (isFar ? FAR : 1);
     const read = Math.max(0, open - fetched);
-    return { read, fetched, fetchTime, source };
+    return { prefillTokens: read, fetchTokens: fetched, fetchTime, source };
   }
 
   /** Tokens to read, by what the home of shared parts likely has read. */
   #likely(engine: endpoint.Endpoint, open: number): number {
-    this.#home ??= { name: homeOf(this.#engines, this.#prompt) };
+    this.#home ??= { name: preferredEngineName(this.#engines, this.#prompt) };
     if (engine.identity.name !== this.#home.name) return open;
     const own = this.#prompt.parts.at(-1)?.tokens ?? 0;
     const shared = Math.max(0, open - own);
@@ -88,13 +92,13 @@
   }
 
   #known(engine: endpoint.Endpoint): number {
-    return engine.memory?.known(this.#prompt) ?? 0;
+    return engine.cachedPrefixes?.cachedTokens(this.#prompt) ?? 0;
   }
 }
 
 /** Name of the engine that the shared parts of a prompt belong to, on all
  * hosts: one that starts again has read nothing and is their home again. */
-export function homeOf(
+export function preferredEngineName(
   engines: readonly endpoint.Endpoint[],
   { parts }: protocol.Prompt,
 ): string | undefined {
--- a/src/gateway/lack_test.ts
+++ b/src/gateway/cache_miss_test.ts
@@ -2,9 +2,9 @@
 
 import test from "ava";
 import * as endpoints from "./endpoint.ts";
-import * as firstEvents from "./first_event.ts";
-import * as lacks from "./lack.ts";
-import * as promptMemory from "./prompt_memory.ts";
+import * as firstEvents from "./first_event_latency.ts";
+import * as lacks from "./cache_miss.ts";
+import * as promptMemory from "./cached_prefixes.ts";
 
 const PROMPT = {
   model: "m",
@@ -22,46 +22,46 @@
   } = {},
 ) {
   const place = { service: "s", address: `10.0.0.1:${id}`, dataCentre };
-  const memory = promptMemory.PromptMemory.create(100_000);
-  const firstEvent = firstEvents.FirstEvent.create();
+  const memory = promptMemory.CachedPrefixes.create(100_000);
+  const firstEvent = firstEvents.FirstEventLatency.create();
   return endpoints.Endpoint.create(
     { id, name: id, ...place, slots: 4 },
-    { memory, firstEvent, fetchRate },
+    { cachedPrefixes: memory, firstEventLatency: firstEvent, fetchRate },
   );
 }
 
 test("an engine fetches shared parts that another one has read", (t) => {
   const [one, two] = [engineOf("1"), engineOf("2", { fetchRate: 1000 })];
-  one.memory!.read(SHARED);
-  const lacking = lacks.Lacks.of([one, two], PROMPT);
+  one.cachedPrefixes!.insert(SHARED);
+  const lacking = lacks.CacheMisses.of([one, two], PROMPT);
   t.deepEqual(lacking.at(two), {
-    read: 1000,
-    fetched: 10_000,
+    prefillTokens: 1000,
+    fetchTokens: 10_000,
     fetchTime: 10,
     source: one,
   });
-  t.is(lacking.at(one).read, 1000);
+  t.is(lacking.at(one).prefillTokens, 1000);
   t.is(lacking.at(one).source, undefined);
 });
 
 test("a fetch from another data centre takes twice as long", (t) => {
   const far = engineOf("1", { dataCentre: "hall" });
   const engine = engineOf("2", { fetchRate: 1000 });
-  far.memory!.read(SHARED);
-  t.is(lacks.Lacks.of([far, engine], PROMPT).at(engine).fetchTime, 20);
+  far.cachedPrefixes!.insert(SHARED);
+  t.is(lacks.CacheMisses.of([far, engine], PROMPT).at(engine).fetchTime, 20);
 });
 
 test("an engine that can't fetch reads", (t) => {
   const [one, two] = [engineOf("1"), engineOf("2")];
-  one.memory!.read(SHARED);
-  const lack = lacks.Lacks.of([one, two], PROMPT).at(two);
+  one.cachedPrefixes!.insert(SHARED);
+  const lack = lacks.CacheMisses.of([one, two], PROMPT).at(two);
   t.is(lack.source, undefined);
-  t.true(lack.read > 1000);
+  t.true(lack.prefillTokens > 1000);
 });
 
 test("what nobody has read is fetched from nobody", (t) => {
   const engines = ["1", "2"].map((id) => engineOf(id, { fetchRate: 1000 }));
-  const lacking = lacks.Lacks.of(engines, PROMPT);
+  const lacking = lacks.CacheMisses.of(engines, PROMPT);
   for (const engine of engines) {
     t.is(lacking.at(engine).source, undefined);
   }
--- a/src/gateway/prompt_memory.ts
+++ b/src/gateway/cached_prefixes.ts
@@ -9,7 +9,7 @@
 const SHARE = 0.6;
 
 /** Parts that one engine may still hold; changed in place. */
-export class PromptMemory {
+export class CachedPrefixes {
   #capacity: number;
   /** Tokens by the path of a part; the least recently used comes first. */
   readonly #parts = new Map<string, number>();
@@ -20,8 +20,8 @@
   }
 
   /** An empty memory of an engine that holds so many tokens in all. */
-  static create(tokens: number): PromptMemory {
-    return new PromptMemory(tokens * SHARE);
+  static create(tokens: number): CachedPrefixes {
+    return new CachedPrefixes(tokens * SHARE);
   }
 
   /** Follows a change of how many tokens the engine holds in all. */
@@ -32,7 +32,7 @@
 
   /** Tokens that need not be read again: a part counts only when all parts
    * before it do. */
-  known({ parts }: Pick<protocol.Prompt, "parts">): number {
+  cachedTokens({ parts }: Pick<protocol.Prompt, "parts">): number {
     let tokens = 0;
     for (const { path, part } of pathsOf(parts)) {
       if (!this.#parts.has(path)) break;
@@ -42,7 +42,7 @@
   }
 
   /** Notes that the engine reads a prompt. */
-  read({ parts }: Pick<protocol.Prompt, "parts">): void {
+  insert({ parts }: Pick<protocol.Prompt, "parts">): void {
     for (const { path, part } of pathsOf(parts)) {
       if (!this.#parts.delete(path)) this.#tokens += part.tokens;
       this.#parts.set(path, part.tokens);
--- a/src/gateway/calibration.ts
+++ b/src/gateway/calibration.ts
@@ -24,7 +24,7 @@
   /** Until all pieces are made. */
   readonly finish: number;
   /** The same if nothing waited. */
-  readonly alone: number;
+  readonly uncontended: number;
 }
 
 /** Ratios by route; changed in place. */
@@ -37,27 +37,30 @@
   }
 
   /** When the pieces will be made, by what forecasts were worth lately. */
-  correct(route: string, { finish, alone }: Forecast): number {
+  correct(route: string, { finish, uncontended: alone }: Forecast): number {
     return alone + (finish - alone) * (this.#ratios.get(route) ?? FIRST);
   }
 
   /** Milliseconds by which corrected forecasts of a route miss, on average. */
-  error(route: string, { alone }: Pick<Forecast, "alone">): number {
+  error(
+    route: string,
+    { uncontended: alone }: Pick<Forecast, "uncontended">,
+  ): number {
     return this.#errors.get(route) ?? FIRST_ERROR * alone;
   }
 
   /** Notes how long it took what was forecast. */
-  learn(route: string, forecast: Forecast, took: number): void {
-    const { finish, alone } = forecast;
+  observe(route: string, forecast: Forecast, took: number): void {
+    const { finish, uncontended: alone } = forecast;
     const known = this.error(route, forecast);
     const error = Math.abs(took - this.correct(route, forecast));
     this.#errors.set(route, known + GAIN * (error - known));
-    this.#learnRatio(route, { finish, alone }, took);
+    this.#learnRatio(route, { finish, uncontended: alone }, took);
   }
 
   #learnRatio(
     route: string,
-    { finish, alone }: Forecast,
+    { finish, uncontended: alone }: Forecast,
     took: number,
   ): void {
     const wait = finish - alone;
--- a/src/gateway/call_terms.ts
+++ b/src/gateway/call_limits.ts
@@ -3,7 +3,7 @@
  * @module */
 
 import * as configurations from "../configuration/mod.ts";
-import * as prospects from "./prospect.ts";
+import * as prospects from "./timeliness.ts";
 
 /** Urgency of the highest rank: below it there is room for what is more urgent
  * than any request of a caller. */
@@ -20,26 +20,26 @@
 
 /** Milliseconds between events after which a stream goes on elsewhere: callers
  * leave after two seconds. */
-export const EVENT_SILENCE = 1200;
+export const EVENT_IDLE_TIMEOUT_MS = 1200;
 
 /** Urgency of a request of a rank. */
 export function urgencyOf(rank: number, isLate: boolean): number {
-  const urgency = FIRST_URGENCY + prospects.rankOf(rank, isLate);
+  const urgency = FIRST_URGENCY + prospects.effectiveRank(rank, isLate);
   return Math.min(LAST_URGENCY, urgency);
 }
 
 /** Whole milliseconds that a call has until a request ends. */
-export function remaining(until: number, now: number): number {
+export function remainingTime(until: number, now: number): number {
   return Math.max(LEAST_LEFT, Math.floor(until - now));
 }
 
 /** Milliseconds without a byte that a call of a route is given. Work that must
  * not be repeated is waited for: silence is no reason to end it. */
-export function silenceOf(
+export function idleTimeoutOf(
   route: configurations.Route,
   isStreaming: boolean,
 ): number {
   if (!configurations.isIdempotent(route)) return Infinity;
-  if (isStreaming) return EVENT_SILENCE;
+  if (isStreaming) return EVENT_IDLE_TIMEOUT_MS;
   return Math.max(LEAST_SILENCE, SILENCE_OBJECTIVES * route.objective);
 }
--- a/src/gateway/call_terms_test.ts
+++ b/src/gateway/call_limits_test.ts
@@ -2,7 +2,7 @@
 
 import test from "ava";
 import * as fixture from "../configuration/fixture.ts";
-import * as callTerms from "./call_terms.ts";
+import * as callTerms from "./call_limits.ts";
 
 test("who is late goes behind all ranks that can be in time", (t) => {
   t.true(callTerms.urgencyOf(0, true) > callTerms.urgencyOf(2, false));
@@ -11,11 +11,11 @@
 
 test("work that must not be repeated is waited for", (t) => {
   const unsafe = fixture.route({ kind: "unsafe" });
-  t.is(callTerms.silenceOf(unsafe, false), Infinity);
-  t.true(callTerms.silenceOf(fixture.route(), false) < Infinity);
+  t.is(callTerms.idleTimeoutOf(unsafe, false), Infinity);
+  t.true(callTerms.idleTimeoutOf(fixture.route(), false) < Infinity);
 });
 
 test("a call is never given less than some milliseconds", (t) => {
-  t.is(callTerms.remaining(100.9, 50), 50);
-  t.true(callTerms.remaining(100, 200) > 0);
+  t.is(callTerms.remainingTime(100.9, 50), 50);
+  t.true(callTerms.remainingTime(100, 200) > 0);
 });
--- a/src/gateway/context.ts
+++ b/src/gateway/context.ts
@@ -3,28 +3,28 @@
 
 import type * as undici from "undici";
 import type * as configurations from "../configuration/mod.ts";
-import type * as pieces from "../pieces/mod.ts";
+import type * as pieces from "../batching/mod.ts";
 import type * as quarantine from "../quarantine/mod.ts";
 import type * as rateLimits from "../rate_limits/mod.ts";
 import type * as runtime from "../runtime/mod.ts";
 import type * as telemetry from "../telemetry/mod.ts";
 import type * as calibrations from "./calibration.ts";
-import type * as inputHolds from "./input_hold.ts";
-import type * as patiences from "./patience.ts";
+import type * as inputHolds from "./input_retention.ts";
+import type * as patiences from "./prior_wait.ts";
 import type * as placements from "./placement.ts";
-import type * as pools from "./pool.ts";
+import type * as pools from "./endpoint_pool.ts";
 import type * as protocols from "./protocol.ts";
 import type * as retryBudget from "./retry_budget.ts";
-import type * as loadGossips from "./load_gossip.ts";
+import type * as loadGossips from "./load_updates.ts";
 
 /** The configuration in force, and what is known of the fleet. */
-export interface Knowledge {
+export interface FleetView {
   /** Undefined before the first version has come. */
   catalogue(): configurations.Catalogue | undefined;
   /** Milliseconds by which the configuration may be too old. */
-  age(): number;
+  configurationAge(): number;
   /** Hosts that share the retry budget; at least 1. */
-  hosts(): number;
+  hostCount(): number;
 }
 
 /** What requests need of their host. */
@@ -36,36 +36,36 @@
   readonly protocol: protocols.GatewayProtocol;
   readonly dispatcher: undici.Dispatcher;
   readonly dataCentre: string;
-  readonly pool: pools.Pool;
+  readonly pool: pools.EndpointPool;
   readonly maker: Pick<
-    pieces.Maker,
-    "cell" | "make" | "book" | "release" | "drop"
+    pieces.BatcherClient,
+    "selectPartition" | "compute" | "reserve" | "release" | "cancel"
   >;
   readonly placement: Pick<placements.Placement, "place">;
-  readonly knowledge: Knowledge;
+  readonly fleetView: FleetView;
   readonly calibration: calibrations.Calibration;
-  readonly patience: patiences.Patience;
-  readonly inputHold: inputHolds.InputHold;
+  readonly priorWait: patiences.PriorWait;
+  readonly inputRetention: inputHolds.InputRetention;
   readonly guard: Pick<
     quarantine.Guard,
-    | "isCalm"
+    | "hasNoSuspects"
     | "refusal"
     | "admit"
-    | "noteCrash"
-    | "noteAnswer"
-    | "noteEnd"
+    | "recordCrash"
+    | "recordSuccess"
+    | "endRun"
   >;
   readonly quotas: Pick<
     rateLimits.QuotaClient,
-    "note" | "isLimited" | "isDue" | "withheld" | "take"
+    "recordLimit" | "isLimited" | "needsProbe" | "blockedEndpoints" | "acquire"
   >;
-  readonly loadGossip: Pick<loadGossips.LoadGossip, "note">;
+  readonly loadUpdates: Pick<loadGossips.LoadUpdates, "record">;
   /** When the host started, by its clock. */
-  readonly started: number;
+  readonly startedAt: number;
   /** Greatest age of the configuration with which a key is believed. */
-  readonly greatestAge: number;
-  budget(service: string): retryBudget.RetryBudget;
+  readonly maxConfigurationAge: number;
+  retryBudget(service: string): retryBudget.RetryBudget;
   isDraining(): boolean;
   /** Whether the host ends so soon that no new request would be finished. */
-  isEnding(): boolean;
+  isStopping(): boolean;
 }
--- a/src/gateway/endpoint.ts
+++ b/src/gateway/endpoint.ts
@@ -3,8 +3,8 @@
 
 import type * as configurations from "../configuration/mod.ts";
 import * as remoteLoads from "./remote_load.ts";
-import * as firstEvents from "./first_event.ts";
-import type * as promptMemory from "./prompt_memory.ts";
+import * as firstEvents from "./first_event_latency.ts";
+import type * as promptMemory from "./cached_prefixes.ts";
 import type * as protocol from "./protocol.ts";
 
 /** Part of a new value in a running mean of about ten values. */
@@ -37,35 +37,35 @@
 }
 
 /** What is known of an engine beside its calls, by its service. */
-export interface EngineParts {
+export interface EngineState {
   /** Prompt tokens that it fetches in a millisecond from another engine's
    * memory; absent where it fetches none. */
   readonly fetchRate?: number;
   /** What it has read. */
-  readonly memory: promptMemory.PromptMemory;
+  readonly cachedPrefixes: promptMemory.CachedPrefixes;
   /** How long engines of its service take to a first event. */
-  readonly firstEvent: firstEvents.FirstEvent;
+  readonly firstEventLatency: firstEvents.FirstEventLatency;
 }
 
 /** Milliseconds that something took, and when it came. */
-export interface Taken {
+export interface FirstEventTiming {
   readonly took: number;
   readonly now: number;
 }
 
 /** How a call ended, as far as its endpoint is to be judged by it. */
-export type Verdict = "good" | "bad" | "full";
+export type HealthSignal = "good" | "bad" | "full";
 
 /** One endpoint; changed in place. */
 export class Endpoint {
   readonly identity: Identity;
   /** Undefined while its service is not known to be one of engines: it may be
    * heard before the configuration is. */
-  engine?: EngineParts;
+  engine?: EngineState;
   /** What other hosts have it do. */
   readonly remoteLoad = remoteLoads.RemoteLoad.create();
   /** Its own first events, while it shares none with its service. */
-  readonly #ownFirstEvent = firstEvents.FirstEvent.create();
+  readonly #ownFirstEvent = firstEvents.FirstEventLatency.create();
   /** Whether it takes new requests, by its own word. */
   isReady = true;
   /** Whether its heartbeats have stopped. */
@@ -77,7 +77,7 @@
   /** Until when it is cold, as its heartbeats say. */
   coldUntil = 0;
   /** Until when it may be cold, whatever its heartbeats said before. */
-  maybeColdUntil = 0;
+  assumedColdUntil = 0;
   /** What it bears while it is cold; absent where its service never is. */
   cold?: configurations.ColdTraits;
   /** Calls of this host under way. */
@@ -85,9 +85,9 @@
   /** Prompt tokens sent by this host whose first event has not come. */
   backlog = 0;
   /** Mean of the times of good calls. */
-  duration = 0;
+  meanDuration = 0;
   /** Part of the calls that went well, lately. */
-  health = 1;
+  successRate = 1;
   #failures = 0;
   #rest = FIRST_REST;
   #restUntil = 0;
@@ -99,7 +99,7 @@
 
   private constructor(
     identity: Identity,
-    engine?: EngineParts,
+    engine?: EngineState,
   ) {
     this.identity = identity;
     this.engine = engine;
@@ -107,14 +107,14 @@
 
   static create(
     identity: Identity,
-    engine?: EngineParts,
+    engine?: EngineState,
   ): Endpoint {
     return new Endpoint(identity, engine);
   }
 
   /** What it has read, for an engine. */
-  get memory(): promptMemory.PromptMemory | undefined {
-    return this.engine?.memory;
+  get cachedPrefixes(): promptMemory.CachedPrefixes | undefined {
+    return this.engine?.cachedPrefixes;
   }
 
   /** Prompt tokens that it fetches in a millisecond, where it fetches any. */
@@ -122,14 +122,14 @@
     return this.engine?.fetchRate;
   }
 
-  get #firstEvent(): firstEvents.FirstEvent {
-    return this.engine?.firstEvent ?? this.#ownFirstEvent;
+  get #firstEvent(): firstEvents.FirstEventLatency {
+    return this.engine?.firstEventLatency ?? this.#ownFirstEvent;
   }
 
   /** What it has to do before the first event of a prompt of which it must read
    * so many tokens. */
-  workBefore(tokens: number, now: number): firstEvents.Work {
-    const others = this.remoteLoad.sum(now);
+  pendingWork(tokens: number, now: number): firstEvents.PendingWork {
+    const others = this.remoteLoad.total(now);
     return {
       tokens: this.backlog + others.tokens + tokens,
       streams: this.inFlight + others.streams,
@@ -138,56 +138,56 @@
 
   /** Milliseconds after which it should give that event, if nothing else delays
    * it. */
-  expectFirst(tokens: number, now: number): number {
-    return this.#firstEvent.expect(this.workBefore(tokens, now));
+  predictFirstEvent(tokens: number, now: number): number {
+    return this.#firstEvent.predict(this.pendingWork(tokens, now));
   }
 
   /** Milliseconds since its last good answer. */
-  sinceGood(now: number): number {
+  sinceSuccess(now: number): number {
     return now - this.#goodAt;
   }
 
   /** Whether it is there, by its heartbeats or by its calls. */
-  isHeard(now: number): boolean {
-    return !this.isSilent || this.sinceGood(now) < TRUSTED;
+  isAlive(now: number): boolean {
+    return !this.isSilent || this.sinceSuccess(now) < TRUSTED;
   }
 
   /** Whether new calls may go there, be it well or not. */
-  get isOpen(): boolean {
+  get isAccepting(): boolean {
     return this.isReady && !this.isReplaced && !this.isEvacuated;
   }
 
   /** Whether it takes calls and nothing speaks against it. */
-  isSound(now: number): boolean {
-    return this.isOpen && this.isHeard(now) && !this.isResting(now);
+  isHealthy(now: number): boolean {
+    return this.isAccepting && this.isAlive(now) && !this.isEjected(now);
   }
 
   /** Requests a second that all hosts together may send there, where it may be
    * cold; undefined where it is not. */
   coldRate(now: number): number | undefined {
-    const isCold = now < Math.max(this.coldUntil, this.maybeColdUntil);
+    const isCold = now < Math.max(this.coldUntil, this.assumedColdUntil);
     return isCold ? this.cold?.rate : undefined;
   }
 
   /** Takes it for cold: it may have become so since its last heartbeat. */
-  expectCold(now: number): void {
-    this.noteCold(this.cold?.time ?? 0, now);
+  assumeCold(now: number): void {
+    this.recordCold(this.cold?.time ?? 0, now);
   }
 
   /** Notes that it is cold for so many milliseconds from now on. */
-  noteCold(length: number, now: number): void {
-    if (length > 0) this.maybeColdUntil = now + length;
+  recordCold(length: number, now: number): void {
+    if (length > 0) this.assumedColdUntil = now + length;
   }
 
   /** Whether it is left alone for now. */
-  isResting(now: number): boolean {
+  isEjected(now: number): boolean {
     return now < this.#restUntil;
   }
 
   /** Judges it by a call. `full` says that it lives and is busy. */
-  judge(verdict: Verdict, now: number): void {
+  recordHealth(verdict: HealthSignal, now: number): void {
     const isGood = verdict !== "bad";
-    this.health += GAIN * ((isGood ? 1 : 0) - this.health);
+    this.successRate += GAIN * ((isGood ? 1 : 0) - this.successRate);
     if (isGood) {
       this.#failures = 0;
       this.#rest = FIRST_REST;
@@ -201,13 +201,13 @@
   }
 
   /** Notes how long a good call took. */
-  time(duration: number): void {
-    this.duration += (this.duration === 0 ? 1 : GAIN) *
-      (duration - this.duration);
+  recordDuration(duration: number): void {
+    this.meanDuration += (this.meanDuration === 0 ? 1 : GAIN) *
+      (duration - this.meanDuration);
   }
 
   /** Notes the load that it has reported. */
-  report(load: protocol.ReportedLoad, now: number): void {
+  recordLoad(load: protocol.ReportedLoad, now: number): void {
     this.#load = load;
     this.#loadAt = now;
   }
@@ -223,15 +223,18 @@
 
   /** Notes how long a first event took, and by how much that is more than the
    * work before it explains. */
-  noteFirst(work: firstEvents.Work, { took, now }: Taken): void {
-    const delay = took - this.#firstEvent.expect(work);
-    this.#firstEvent.note(work, took);
-    this.#delay = (this.delay(now) + Math.max(0, delay)) / 2;
+  recordFirstEvent(
+    work: firstEvents.PendingWork,
+    { took, now }: FirstEventTiming,
+  ): void {
+    const delay = took - this.#firstEvent.predict(work);
+    this.#firstEvent.observe(work, took);
+    this.#delay = (this.firstEventDelay(now) + Math.max(0, delay)) / 2;
     this.#delayAt = now;
   }
 
   /** Milliseconds that a first event is late by, as lately seen. */
-  delay(now: number): number {
+  firstEventDelay(now: number): number {
     return this.#delay * 0.5 ** ((now - this.#delayAt) / DELAY_HALF);
   }
 }
--- a/src/gateway/endpoint_admission.ts
+++ b/src/gateway/endpoint_admission.ts
@@ -21,7 +21,7 @@
   /** Whether no other endpoint may get it either. */
   readonly isFinal: boolean;
   /** For the answer and the log line of the request. */
-  readonly about: Readonly<Record<string, unknown>> & {
+  readonly details: Readonly<Record<string, unknown>> & {
     /** Seconds after which to come back. */
     readonly retryAfter: number;
   };
@@ -32,12 +32,12 @@
 /** Admission of one request to endpoints. */
 export class EndpointAdmission {
   readonly #needs: Needs;
-  readonly #content: quarantine.fingerprints.Content;
+  readonly #content: quarantine.fingerprints.RequestContent;
   #fingerprint?: string;
 
   private constructor(
     needs: Needs,
-    content: quarantine.fingerprints.Content,
+    content: quarantine.fingerprints.RequestContent,
   ) {
     this.#needs = needs;
     this.#content = content;
@@ -45,7 +45,7 @@
 
   static create(
     needs: Needs,
-    content: quarantine.fingerprints.Content,
+    content: quarantine.fingerprints.RequestContent,
   ): EndpointAdmission {
     return new EndpointAdmission(needs, content);
   }
@@ -58,50 +58,50 @@
   /** Why no endpoint may get the request, as far as this host knows. */
   denial(): Denial | undefined {
     const { guard } = this.#needs;
-    if (guard.isCalm) return undefined;
+    if (guard.hasNoSuspects) return undefined;
     const refusal = guard.refusal(this.#identify());
     return refusal && denialOf(refusal, true);
   }
 
   /** Asks whether the request may go to an endpoint, where that is needed;
    * resolves with why there is none. */
-  async ask(
+  async acquire(
     endpoint: endpoints.Endpoint,
     until: number,
   ): Promise<Denial | undefined> {
     const { id } = endpoint.identity;
     const denial = await this.#askLimit(id) ?? await this.#askGuard(id, until);
-    if (denial !== undefined || endpoint.isOpen) return denial;
-    this.giveUp();
+    if (denial !== undefined || endpoint.isAccepting) return denial;
+    this.release();
     return closed(id);
   }
 
   /** Notes that a call that was admitted is not made. */
-  giveUp(): void {
+  release(): void {
     const { guard } = this.#needs;
-    if (!guard.isCalm) guard.noteEnd(this.#identify());
+    if (!guard.hasNoSuspects) guard.endRun(this.#identify());
   }
 
   /** Says what a call shows of the request: whether it crashes endpoints. */
-  noteCall(endpoint: string, outcome: attempts.Outcome): void {
+  recordOutcome(endpoint: string, outcome: attempts.Outcome): void {
     const { guard } = this.#needs;
     if (attempts.mayHaveCrashed(outcome)) {
-      guard.noteCrash(this.#identify(), endpoint);
-    } else if (!guard.isCalm) {
+      guard.recordCrash(this.#identify(), endpoint);
+    } else if (!guard.hasNoSuspects) {
       const isAnswered = outcome.type !== "failed";
-      if (isAnswered) guard.noteAnswer(this.#identify());
-      else guard.noteEnd(this.#identify());
+      if (isAnswered) guard.recordSuccess(this.#identify());
+      else guard.endRun(this.#identify());
     }
   }
 
   async #askLimit(endpoint: string): Promise<Denial | undefined> {
     const { quotas, random } = this.#needs;
     if (!quotas.isLimited(endpoint)) return undefined;
-    const wait = await quotas.take(endpoint);
+    const wait = await quotas.acquire(endpoint);
     if (wait === 0) return undefined;
     const spread = wait + random.next() * RETURN_SPREAD;
     const about = { endpoint, retryAfter: returnAfter(spread) };
-    return { reason: "rate-limited", isFinal: false, about };
+    return { reason: "rate-limited", isFinal: false, details: about };
   }
 
   async #askGuard(
@@ -109,7 +109,7 @@
     until: number,
   ): Promise<Denial | undefined> {
     const { guard, clock } = this.#needs;
-    if (guard.isCalm) return undefined;
+    if (guard.hasNoSuspects) return undefined;
     const fingerprint = this.#identify();
     const remaining = until - clock.now();
     const admission = await guard.admit({ fingerprint, endpoint, remaining });
@@ -126,16 +126,20 @@
 function closed(endpoint: string): Denial {
   const { retryAfter = 0 } = refusals.REFUSALS.evacuated;
   const about = { endpoint, retryAfter };
-  return { reason: "evacuated", isFinal: false, about };
+  return { reason: "evacuated", isFinal: false, details: about };
 }
 
 function denialOf(
   { crashes, wait }: quarantine.Refusal,
   isFinal: boolean,
 ): Denial {
-  const isSure = crashes >= quarantine.QUARANTINED;
+  const isSure = crashes >= quarantine.QUARANTINE_CRASH_COUNT;
   const reason = isSure ? "quarantined" : "suspected";
-  return { reason, isFinal, about: { crashes, retryAfter: returnAfter(wait) } };
+  return {
+    reason,
+    isFinal,
+    details: { crashes, retryAfter: returnAfter(wait) },
+  };
 }
 
 /** Seconds for so many milliseconds. */
--- a/src/gateway/choice.ts
+++ b/src/gateway/endpoint_choice.ts
@@ -4,8 +4,8 @@
 import type * as runtime from "../runtime/mod.ts";
 import type * as endpoint from "./endpoint.ts";
 import type * as protocol from "./protocol.ts";
-import type * as firstEvents from "./first_event.ts";
-import * as lacks from "./lack.ts";
+import type * as firstEvents from "./first_event_latency.ts";
+import * as lacks from "./cache_miss.ts";
 
 /** Part of the time of reading that a fetch counts for beside its own: it is
  * paid for, and what was believed of the other engine may be gone. In simulated
@@ -26,7 +26,7 @@
 const HEALTH_POWER = 3;
 
 /** What a choice goes by. */
-export interface Situation {
+export interface ChoiceContext {
   readonly now: number;
   readonly random: runtime.Random;
   /** Data centre of this host. */
@@ -34,7 +34,7 @@
 }
 
 /** What the choice of an engine goes by. */
-export interface EngineSituation extends Situation {
+export interface EngineChoiceContext extends ChoiceContext {
   /** The engine that was meant when the request came: its stages were made
    * near it. */
   readonly planned?: endpoint.Endpoint;
@@ -46,26 +46,26 @@
 /** An engine, and how many milliseconds its first event is expected to take. */
 export interface EngineChoice {
   readonly engine: endpoint.Endpoint;
-  readonly firstEvent: number;
+  readonly firstEventTime: number;
   /** What it lacks of the prompt. */
-  readonly lack: lacks.Lack;
+  readonly cacheMiss: lacks.CacheMiss;
   /** All that it has to do before that event. */
-  readonly work: firstEvents.Work;
+  readonly pendingWork: firstEvents.PendingWork;
 }
 
 /** Endpoint for a plain call: the one that should answer first. */
-export function choosePlain(
+export function chooseEndpoint(
   candidates: readonly endpoint.Endpoint[],
-  { now, random, dataCentre }: Situation,
+  { now, random, dataCentre }: ChoiceContext,
 ): endpoint.Endpoint | undefined {
   return least(candidates, (each) => {
     const { slots, dataCentre: place } = each.identity;
-    const work = each.duration || 1;
+    const work = each.meanDuration || 1;
     const queue = Math.max(0, each.load(now) + 1 - slots) / slots;
     const busy = each.load(now) / slots;
     const far = place === dataCentre ? 0 : FAR;
     const time = work * (1 + queue + busy) + far;
-    return time / Math.max(0.01, each.health ** HEALTH_POWER) +
+    return time / Math.max(0.01, each.successRate ** HEALTH_POWER) +
       random.next() * FAR;
   });
 }
@@ -75,47 +75,48 @@
 export function chooseEngine(
   engines: readonly endpoint.Endpoint[],
   prompt: protocol.Prompt,
-  { now, random, planned, tried = [] }: EngineSituation,
+  { now, random, planned, tried = [] }: EngineChoiceContext,
 ): EngineChoice | undefined {
-  const lacking = lacks.Lacks.of(engines, prompt);
+  const lacking = lacks.CacheMisses.of(engines, prompt);
   const fresh = engines.filter(({ identity }) => !tried.includes(identity.id));
   const engine = least(fresh.length > 0 ? fresh : engines, (each) => {
     const lack = lacking.at(each);
     const time = firstEvent(each, lack, now) + paidFor(each, lack, now);
     const moved = planned === undefined || planned === each ? 0 : MOVED;
-    const streams = each.inFlight + each.remoteLoad.sum(now).streams;
+    const streams = each.inFlight + each.remoteLoad.total(now).streams;
     const full = Math.max(0, streams + 1 - each.identity.slots);
     return (time + moved + random.next() * NEAR) /
-        Math.max(0.01, each.health ** HEALTH_POWER) + full * FULL_DELAY;
+        Math.max(0.01, each.successRate ** HEALTH_POWER) + full * FULL_DELAY;
   });
   if (engine === undefined) return undefined;
   const lack = lacking.at(engine);
   return {
     engine,
-    firstEvent: firstEvent(engine, lack, now),
-    lack,
-    work: engine.workBefore(lack.read, now),
+    firstEventTime: firstEvent(engine, lack, now),
+    cacheMiss: lack,
+    pendingWork: engine.pendingWork(lack.prefillTokens, now),
   };
 }
 
 /** Milliseconds until an engine's first event for a prompt. */
 function firstEvent(
   engine: endpoint.Endpoint,
-  { read, fetchTime }: lacks.Lack,
+  { prefillTokens: read, fetchTime }: lacks.CacheMiss,
   now: number,
 ): number {
-  return engine.expectFirst(read, now) + fetchTime + engine.delay(now);
+  return engine.predictFirstEvent(read, now) + fetchTime +
+    engine.firstEventDelay(now);
 }
 
 /** Milliseconds that a fetch counts for in a choice. */
 function paidFor(
   engine: endpoint.Endpoint,
-  { read, fetched }: lacks.Lack,
+  { prefillTokens: read, fetchTokens: fetched }: lacks.CacheMiss,
   now: number,
 ): number {
   if (fetched === 0) return 0;
-  const asRead = engine.expectFirst(read + fetched, now);
-  return FETCH_SHARE * (asRead - engine.expectFirst(read, now));
+  const asRead = engine.predictFirstEvent(read + fetched, now);
+  return FETCH_SHARE * (asRead - engine.predictFirstEvent(read, now));
 }
 
 function least<T>(
--- a/src/gateway/pool.ts
+++ b/src/gateway/endpoint_pool.ts
@@ -6,29 +6,29 @@
 import type * as endpoints from "../endpoints/mod.ts";
 import type * as schema from "../schema/fleet_types.ts";
 import * as endpoint from "./endpoint.ts";
-import * as firstEvents from "./first_event.ts";
-import * as promptMemory from "./prompt_memory.ts";
+import * as firstEvents from "./first_event_latency.ts";
+import * as promptMemory from "./cached_prefixes.ts";
 
 /** An endpoint that is no more. */
-export interface Ended {
+export interface EndedEndpoint {
   readonly identity: endpoint.Identity;
   /** Whether it has started again under its name, so that what was under way
    * is lost. */
-  readonly isReborn: boolean;
+  readonly isRestarted: boolean;
 }
 
 /** Endpoints by service, each incarnation an endpoint of its own; changed in
  * place. */
-export class Pool {
+export class EndpointPool {
   readonly #byId = new Map<string, endpoint.Endpoint>();
   readonly #byAddress = new Map<string, string>();
   readonly #byService = new Map<string, endpoint.Endpoint[]>();
-  readonly #firstEvents = new Map<string, firstEvents.FirstEvent>();
+  readonly #firstEvents = new Map<string, firstEvents.FirstEventLatency>();
   #evacuated: ReadonlySet<string> = new Set();
   #revision = 0;
 
-  static create(): Pool {
-    return new Pool();
+  static create(): EndpointPool {
+    return new EndpointPool();
   }
 
   /** Follows a roster and what is known of services now; returns who has
@@ -36,7 +36,7 @@
   update(
     entries: Iterable<endpoints.RosterEntry>,
     service: (name: string) => configurations.Service | undefined,
-  ): Ended[] {
+  ): EndedEndpoint[] {
     const seen = new Set<string>();
     const names = new Set<string>();
     const newest = newestByAddress(entries);
@@ -55,20 +55,20 @@
       known.isReady = false;
       this.#remove(id, known);
       const { identity } = known;
-      return { identity, isReborn: names.has(identity.name) };
+      return { identity, isRestarted: names.has(identity.name) };
     });
   }
 
   /** Follows which data centres are evacuated, and which were taken back just
    * now: their endpoints may have become cold since they were heard. */
-  evacuate(
+  setEvacuated(
     dataCentres: Iterable<string>,
     { returned, now }: { returned: readonly string[]; now: number },
   ): void {
     this.#evacuated = new Set(dataCentres);
     for (const each of this.#byId.values()) {
       this.#followEvacuation(each);
-      if (returned.includes(each.identity.dataCentre)) each.expectCold(now);
+      if (returned.includes(each.identity.dataCentre)) each.assumeCold(now);
     }
   }
 
@@ -82,18 +82,18 @@
   }
 
   /** Notes what another host has engines do, and what they have read for it. */
-  noteUse(
+  recordRemoteLoad(
     host: string,
     uses: readonly schema.EngineUse[],
     now: number,
   ): void {
     for (const use of uses) {
       const engine = this.#byId.get(use.engine);
-      engine?.remoteLoad.note(host, use, now);
-      use.read.forEach((parts) => engine?.memory?.read({ parts }));
-      use.verdicts?.forEach((verdict) => engine?.judge(verdict, now));
+      engine?.remoteLoad.record(host, use, now);
+      use.read.forEach((parts) => engine?.cachedPrefixes?.insert({ parts }));
+      use.verdicts?.forEach((verdict) => engine?.recordHealth(verdict, now));
       use.firsts?.forEach(({ work, took }) =>
-        engine?.noteFirst(work, { took, now })
+        engine?.recordFirstEvent(work, { took, now })
       );
     }
   }
@@ -104,13 +104,13 @@
   }
 
   /** All endpoints of a service that are known. */
-  of(service: string): readonly endpoint.Endpoint[] {
+  endpointsOf(service: string): readonly endpoint.Endpoint[] {
     return this.#byService.get(service) ?? [];
   }
 
   /** Endpoints that take new requests, the sound ones where there are any. */
   usable(service: string, now: number): readonly endpoint.Endpoint[] {
-    return usableOf(this.of(service), now);
+    return usableOf(this.endpointsOf(service), now);
   }
 
   /** State for people. */
@@ -120,11 +120,11 @@
       ready: each.isReady,
       silent: each.isSilent,
       inFlight: each.inFlight,
-      health: each.health,
-      resting: each.isResting(now),
+      health: each.successRate,
+      resting: each.isEjected(now),
       evacuated: each.isEvacuated,
       coldRate: each.coldRate(now),
-      duration: each.duration,
+      duration: each.meanDuration,
     }));
   }
 
@@ -137,7 +137,7 @@
     const added = endpoint.Endpoint.create(identity);
     this.#followEvacuation(added);
     this.#byId.set(id, added);
-    this.#byService.set(service, [...this.of(service), added]);
+    this.#byService.set(service, [...this.endpointsOf(service), added]);
     return added;
   }
 
@@ -156,20 +156,25 @@
       return;
     }
     const { tokens, fetchRate } = engine;
-    const memory = known.memory ?? promptMemory.PromptMemory.create(tokens);
+    const memory = known.cachedPrefixes ??
+      promptMemory.CachedPrefixes.create(tokens);
     memory.resize(tokens);
     const firstEvent = this.#firstEvent(service.name);
-    known.engine = { fetchRate, memory, firstEvent };
+    known.engine = {
+      fetchRate,
+      cachedPrefixes: memory,
+      firstEventLatency: firstEvent,
+    };
   }
 
   #followEvacuation(known: endpoint.Endpoint): void {
     known.isEvacuated = this.#evacuated.has(known.identity.dataCentre);
   }
 
-  #firstEvent(service: string): firstEvents.FirstEvent {
+  #firstEvent(service: string): firstEvents.FirstEventLatency {
     const known = this.#firstEvents.get(service);
     if (known !== undefined) return known;
-    const made = firstEvents.FirstEvent.create();
+    const made = firstEvents.FirstEventLatency.create();
     this.#firstEvents.set(service, made);
     return made;
   }
@@ -177,7 +182,7 @@
   #remove(id: string, { identity }: endpoint.Endpoint): void {
     this.#revision++;
     this.#byId.delete(id);
-    const rest = this.of(identity.service).filter((each) =>
+    const rest = this.endpointsOf(identity.service).filter((each) =>
       each.identity.id !== id
     );
     this.#byService.set(identity.service, rest);
@@ -190,10 +195,10 @@
   endpoints: readonly endpoint.Endpoint[],
   now: number,
 ): readonly endpoint.Endpoint[] {
-  const ready = endpoints.filter((each) => each.isOpen);
-  const heard = ready.filter((each) => each.isHeard(now));
+  const ready = endpoints.filter((each) => each.isAccepting);
+  const heard = ready.filter((each) => each.isAlive(now));
   const there = heard.length > 0 ? heard : ready;
-  const sound = there.filter((each) => !each.isResting(now));
+  const sound = there.filter((each) => !each.isEjected(now));
   return sound.length > 0 ? sound : there;
 }
 
@@ -206,7 +211,7 @@
   for (const entry of entries) {
     if (entry.state === "gone") continue;
     const other = newest.get(entry.address);
-    if (other === undefined || other.heard < entry.heard) {
+    if (other === undefined || other.heardAt < entry.heardAt) {
       newest.set(entry.address, entry);
     }
   }
--- a/src/gateway/event_text.ts
+++ b/src/gateway/event_buffer.ts
@@ -2,7 +2,7 @@
  * @module */
 
 /** Whole events, and the id of the last one. */
-export interface Whole {
+export interface CompleteEvents {
   readonly bytes: Buffer;
   readonly lastId?: string;
 }
@@ -10,20 +10,20 @@
 const ID_LINE = /^id: ?(.*?)\r?$/gm;
 
 /** Event text that arrives in parts; changed in place. */
-export class EventText {
+export class EventBuffer {
   #rest: Buffer = Buffer.alloc(0);
 
-  static create(): EventText {
-    return new EventText();
+  static create(): EventBuffer {
+    return new EventBuffer();
   }
 
   /** Whether an event has begun that is not whole. */
-  get isOpen(): boolean {
+  get hasPartialEvent(): boolean {
     return this.#rest.length > 0;
   }
 
   /** Adds a part; gives the events that are whole now. */
-  push(part: Buffer): Whole {
+  push(part: Buffer): CompleteEvents {
     const all = this.#rest.length > 0
       ? Buffer.concat([this.#rest, part])
       : part;
--- a/src/gateway/event_text_test.ts
+++ b/src/gateway/event_buffer_test.ts
@@ -1,16 +1,16 @@
 /** @module */
 
 import test from "ava";
-import * as eventText from "./event_text.ts";
+import * as eventText from "./event_buffer.ts";
 
 /** What is passed on of each part, and the last id with it. */
 function feed(...parts: string[]) {
-  const text = eventText.EventText.create();
+  const text = eventText.EventBuffer.create();
   const whole = parts.map((part) => {
     const { bytes, lastId } = text.push(Buffer.from(part));
     return [bytes.toString(), lastId];
   });
-  return { whole, isOpen: text.isOpen };
+  return { whole, isOpen: text.hasPartialEvent };
 }
 
 test("only whole events are passed on", (t) => {
--- a/src/gateway/first_event.ts
+++ b/src/gateway/first_event_latency.ts
@@ -10,12 +10,12 @@
 /** Before any call: milliseconds of an idle engine, for 1,000 tokens to read,
  * and for a stream under way. What is learnt soon outweighs it; the ratios give
  * the shape where calls are few. */
-const PRIOR: regression.Line = { constant: 60, first: 30, second: 5 };
+const PRIOR: regression.Coefficients = { constant: 60, first: 30, second: 5 };
 /** Tokens of one unit of the fit. */
 const UNIT = 1000;
 
 /** What an engine has to do before a first event. */
-export interface Work {
+export interface PendingWork {
   /** Prompt tokens that it must read. */
   readonly tokens: number;
   /** Streams of this host under way there. */
@@ -23,20 +23,20 @@
 }
 
 /** First events of the engines of one service; changed in place. */
-export class FirstEvent {
+export class FirstEventLatency {
   readonly #fit = regression.Regression.create(PRIOR);
 
-  static create(): FirstEvent {
-    return new FirstEvent();
+  static create(): FirstEventLatency {
+    return new FirstEventLatency();
   }
 
   /** Milliseconds to be expected. */
-  expect({ tokens, streams }: Work): number {
+  predict({ tokens, streams }: PendingWork): number {
     return this.#fit.predict(tokens / UNIT, streams);
   }
 
   /** Notes how many milliseconds a first event took. */
-  note({ tokens, streams }: Work, took: number): void {
+  observe({ tokens, streams }: PendingWork, took: number): void {
     this.#fit.observe([tokens / UNIT, streams], took);
   }
 
--- a/src/gateway/verdict.ts
+++ b/src/gateway/health_signal.ts
@@ -6,20 +6,20 @@
 import type * as endpoint from "./endpoint.ts";
 
 /** When a call ended, and what it took. */
-export interface Ended {
+export interface CallEnd {
   readonly now: number;
   readonly duration: number;
   readonly metrics: telemetry.Metrics;
 }
 
 /** Judges an endpoint by a call that has ended. */
-export function note(
+export function record(
   target: endpoint.Endpoint,
   outcome: attempts.Outcome,
-  { now, duration, metrics }: Ended,
+  { now, duration, metrics }: CallEnd,
 ): void {
-  const verdict = of(outcome);
-  if (verdict !== undefined) target.judge(verdict, now);
+  const verdict = signalOf(outcome);
+  if (verdict !== undefined) target.recordHealth(verdict, now);
   if (outcome.type === "failed") {
     const { service } = target.identity;
     metrics.count("gateway.failed", 1, { service, cause: outcome.cause });
@@ -27,12 +27,14 @@
   }
   if (outcome.type !== "answer") return;
   const { head } = outcome;
-  if (head.load !== undefined) target.report(head.load, now);
-  target.time(duration);
+  if (head.load !== undefined) target.recordLoad(head.load, now);
+  target.recordDuration(duration);
 }
 
 /** What an outcome says of an endpoint; undefined where it says nothing. */
-export function of(outcome: attempts.Outcome): endpoint.Verdict | undefined {
+export function signalOf(
+  outcome: attempts.Outcome,
+): endpoint.HealthSignal | undefined {
   if (outcome.type === "ended") return "good";
   if (outcome.type === "answer") {
     return outcome.head.status >= 500 ? "bad" : "good";
@@ -43,7 +45,7 @@
 }
 
 /** Name of an outcome in logs: a status, or what happened. */
-export function nameOf(outcome: attempts.Outcome): string {
+export function outcomeName(outcome: attempts.Outcome): string {
   if (outcome.type === "failed") return outcome.cause;
   return outcome.type === "answer" ? `${outcome.head.status}` : "ended";
 }
--- a/src/gateway/input_hold.ts
+++ b/src/gateway/input_retention.ts
@@ -33,11 +33,11 @@
 }
 
 /** Times by service; changed in place. */
-export class InputHold {
+export class InputRetention {
   readonly #holds = new Map<string, Hold>();
 
-  static create(): InputHold {
-    return new InputHold();
+  static create(): InputRetention {
+    return new InputRetention();
   }
 
   /** Milliseconds from a call to when its results are given up. */
@@ -47,14 +47,14 @@
 
   /** Notes a call that came to its first event after its results had been given
    * up. */
-  noteRead(service: string): void {
+  recordSuccess(service: string): void {
     const hold = this.#hold(service);
     hold.bound = Math.max(LEAST, hold.bound * FORGETTING);
     hold.time = Math.max(hold.bound, hold.time * SHRINK);
   }
 
   /** Notes a call that lacked a result that had been given up after `time`. */
-  noteLack(service: string, time: number): void {
+  recordMissing(service: string, time: number): void {
     const hold = this.#hold(service);
     hold.bound = Math.min(MOST, Math.max(hold.bound, MARGIN * time));
     hold.time = Math.min(MOST, Math.max(hold.time, GROWTH * time));
--- a/src/gateway/load_gossip.ts
+++ b/src/gateway/load_updates.ts
@@ -18,49 +18,49 @@
 const AGAIN = 500;
 
 /** What gossip needs of its host. */
-export interface LoadGossipOptions {
+export interface LoadUpdatesOptions {
   readonly clock: runtime.Clock;
   /** Tells the other hosts. */
-  tell(uses: schema.EngineUse[]): void;
+  send(uses: schema.EngineUse[]): void;
 }
 
 interface Message {
   readonly engine: endpoints.Endpoint;
   readonly read: schema.PromptPart[][];
   readonly firsts: schema.FirstEvent[];
-  readonly verdicts: endpoints.Verdict[];
+  readonly verdicts: endpoints.HealthSignal[];
 }
 
 /** What has changed about an engine's use, beside how much it is. */
-export interface UseChange {
+export interface LoadChange {
   /** A prompt that was sent there. */
   readonly prompt?: protocol.Prompt;
   /** A first event of a prompt that another host has placed. */
   readonly first?: schema.FirstEvent;
   /** How a call ended of a prompt that another host has placed. */
-  readonly verdict?: endpoints.Verdict;
+  readonly signal?: endpoints.HealthSignal;
 }
 
 /** Gathers what is to be told. */
-export class LoadGossip {
-  readonly #options: LoadGossipOptions;
+export class LoadUpdates {
+  readonly #options: LoadUpdatesOptions;
   readonly #messages = new Map<string, Message>();
   #isGathering = false;
 
-  private constructor(options: LoadGossipOptions) {
+  private constructor(options: LoadUpdatesOptions) {
     this.#options = options;
   }
 
-  static create(options: LoadGossipOptions): LoadGossip {
-    return new LoadGossip(options);
+  static create(options: LoadUpdatesOptions): LoadUpdates {
+    return new LoadUpdates(options);
   }
 
   /** Notes that this host's use of an engine has changed. */
-  note(
+  record(
     engine: endpoints.Endpoint,
-    { prompt, first, verdict }: UseChange = {},
+    { prompt, first, signal: verdict }: LoadChange = {},
   ): void {
-    if (engine.memory === undefined) return;
+    if (engine.cachedPrefixes === undefined) return;
     const message = this.#messageOf(engine);
     const shared = prompt?.parts.slice(0, -1) ?? [];
     if (shared.length > 0) message.read.push([...shared]);
@@ -82,7 +82,7 @@
 
   #tell(): void {
     this.#isGathering = false;
-    const { clock, tell } = this.#options;
+    const { clock, send: tell } = this.#options;
     const messages = [...this.#messages.values()];
     this.#messages.clear();
     tell(messages.map(({ engine, read, firsts, verdicts }) => ({
@@ -99,6 +99,6 @@
   }
 
   #again(engine: endpoints.Endpoint): void {
-    if (engine.inFlight > 0) this.note(engine);
+    if (engine.inFlight > 0) this.record(engine);
   }
 }
--- a/src/gateway/load_gossip_test.ts
+++ b/src/gateway/load_updates_test.ts
@@ -4,12 +4,12 @@
 import * as fixture from "../endpoints/fixture.ts";
 import * as runtime from "../runtime/mod.ts";
 import type * as schema from "../schema/fleet_types.ts";
-import * as choice from "./choice.ts";
+import * as choice from "./endpoint_choice.ts";
 import * as endpoint from "./endpoint.ts";
-import * as firstEvents from "./first_event.ts";
-import * as pools from "./pool.ts";
-import * as promptMemory from "./prompt_memory.ts";
-import * as loadGossips from "./load_gossip.ts";
+import * as firstEvents from "./first_event_latency.ts";
+import * as pools from "./endpoint_pool.ts";
+import * as promptMemory from "./cached_prefixes.ts";
+import * as loadGossips from "./load_updates.ts";
 
 const random: runtime.Random = { next: () => 0, below: () => 0 };
 const PROMPT = {
@@ -23,9 +23,12 @@
   const address = `10.0.0.1:${id}`;
   const place = { service: "s", address, dataCentre: "town", slots: 4 };
   const identity = { id, name: id, ...place };
-  const memory = promptMemory.PromptMemory.create(100_000);
-  const firstEvent = firstEvents.FirstEvent.create();
-  return endpoint.Endpoint.create(identity, { memory, firstEvent });
+  const memory = promptMemory.CachedPrefixes.create(100_000);
+  const firstEvent = firstEvents.FirstEventLatency.create();
+  return endpoint.Endpoint.create(identity, {
+    cachedPrefixes: memory,
+    firstEventLatency: firstEvent,
+  });
 }
 
 function gossipOf() {
@@ -35,7 +38,7 @@
   return {
     clock,
     told,
-    gossip: loadGossips.LoadGossip.create({ clock, tell }),
+    gossip: loadGossips.LoadUpdates.create({ clock, send: tell }),
   };
 }
 
@@ -44,8 +47,8 @@
   const [one, two] = [engineOf("1"), engineOf("2")];
   one.backlog = 6000;
   one.inFlight = 1;
-  gossip.note(one, { prompt: PROMPT });
-  gossip.note(two);
+  gossip.record(one, { prompt: PROMPT });
+  gossip.record(two);
   clock.advance(30);
   t.deepEqual(told, [[
     {
@@ -62,11 +65,11 @@
   const { clock, told, gossip } = gossipOf();
   const engine = engineOf("1");
   engine.inFlight = 1;
-  gossip.note(engine);
+  gossip.record(engine);
   clock.advance(1700);
   t.true(told.length >= 3);
   engine.inFlight = 0;
-  gossip.note(engine);
+  gossip.record(engine);
   clock.advance(1000);
   const count = told.length;
   clock.advance(5000);
@@ -74,7 +77,7 @@
 });
 
 test("a prompt avoids the engine that other hosts load", (t) => {
-  const pool = pools.Pool.create();
+  const pool = pools.EndpointPool.create();
   const place = { service: "s", slots: 64 };
   pool.update(
     ["1", "2"].map((id) =>
@@ -86,11 +89,11 @@
       engine: { slots: 64, tokens: 100_000 },
     }),
   );
-  const engines = pool.of("s");
+  const engines = pool.endpointsOf("s");
   const situation = { now: 0, random, dataCentre: "town" };
   const chosen = choice.chooseEngine(engines, PROMPT, situation)!.engine;
   const { id } = chosen.identity;
   const use = { engine: id, tokens: 60_000, streams: 9, read: [] };
-  pool.noteUse("other", [use], 0);
+  pool.recordRemoteLoad("other", [use], 0);
   t.not(choice.chooseEngine(engines, PROMPT, situation)!.engine, chosen);
 });
--- a/src/gateway/mod.ts
+++ b/src/gateway/mod.ts
@@ -3,11 +3,11 @@
 
 export * from "./calibration.ts";
 export * from "./context.ts";
-export * from "./input_hold.ts";
-export * from "./patience.ts";
+export * from "./input_retention.ts";
+export * from "./prior_wait.ts";
 export * from "./placement.ts";
-export * from "./pool.ts";
+export * from "./endpoint_pool.ts";
 export * from "./protocol.ts";
 export * from "./retry_budget.ts";
 export * from "./server.ts";
-export * from "./load_gossip.ts";
+export * from "./load_updates.ts";
--- a/src/gateway/staging.ts
+++ b/src/gateway/pipeline_run.ts
@@ -5,11 +5,11 @@
  * @module */
 
 import type * as configurations from "../configuration/mod.ts";
-import type * as choice from "./choice.ts";
+import type * as choice from "./endpoint_choice.ts";
 import type * as contexts from "./context.ts";
 import type * as endpoint from "./endpoint.ts";
-import * as preparation from "./preparation.ts";
-import * as prospect from "./prospect.ts";
+import * as preparation from "./stage_execution.ts";
+import * as prospect from "./timeliness.ts";
 import type * as protocols from "./protocol.ts";
 import type * as refusals from "./refusal.ts";
 
@@ -28,21 +28,21 @@
 const LATE_SHARE = 0.7;
 
 /** What stages are for. */
-export interface StagingOptions {
-  readonly ask: protocols.Ask;
+export interface PipelineRunOptions {
+  readonly request: protocols.IncomingRequest;
   readonly route: configurations.Route;
   readonly rank: number;
   /** Service that the request goes to then. */
   readonly service: string;
   readonly arrival: number;
   /** Milliseconds for which its caller had waited before. */
-  readonly waited: number;
+  readonly priorWait: number;
   /** When the request ends at the latest. */
-  readonly until: number;
+  readonly deadline: number;
 }
 
 /** How it ended. */
-export type StagingResult =
+export type PipelineRunResult =
   | { type: "made"; inputs: readonly string[] }
   | {
     type: "refused";
@@ -51,24 +51,24 @@
   };
 
 /** What a log line says of it. */
-export interface StagingNote {
+export interface PipelineRunRecord {
   expectedMs?: number;
   /** What that was made of, stage by stage. */
-  forecast?: readonly preparation.StageNote[];
+  forecast?: readonly preparation.StageForecastRecord[];
   /** Milliseconds by which forecasts of its route miss. */
   errorMs?: number;
   /** Whether it could not be in time from the start. */
   isLate?: boolean;
   tookMs?: number;
   /** What it took stage by stage. */
-  rounds?: readonly preparation.RoundNote[];
+  rounds?: readonly preparation.RoundRecord[];
 }
 
 /** Stages of a request under way. */
-export class Staging {
+export class PipelineRun {
   readonly #context: contexts.Context;
-  readonly #options: StagingOptions;
-  readonly #preparation: preparation.Preparation;
+  readonly #options: PipelineRunOptions;
+  readonly #preparation: preparation.StageExecution;
   readonly #plan?: choice.EngineChoice;
   readonly #started: number;
   /** When the results are wanted. */
@@ -78,28 +78,35 @@
   #isLate = false;
   #isReleased = false;
   /** For its log line. */
-  readonly note: StagingNote = {};
+  readonly record: PipelineRunRecord = {};
 
   private constructor(
     context: contexts.Context,
-    options: StagingOptions,
+    options: PipelineRunOptions,
     plan?: choice.EngineChoice,
   ) {
-    const { ask, route, rank, arrival, waited, until } = options;
+    const {
+      request: ask,
+      route,
+      rank,
+      arrival,
+      priorWait: waited,
+      deadline: until,
+    } = options;
     this.#context = context;
     this.#options = options;
     this.#started = context.clock.now();
     this.#plan = plan;
-    const firstEvent = this.#plan?.firstEvent ?? 0;
+    const firstEvent = this.#plan?.firstEventTime ?? 0;
     this.#wanted = arrival - waited + route.objective - firstEvent;
-    const leaves = Math.min(until, arrival + prospect.leavesAfter(route));
+    const leaves = Math.min(until, arrival + prospect.abandonmentTime(route));
     this.#lateWanted = arrival + LATE_SHARE * (leaves - arrival) - firstEvent;
-    this.#preparation = preparation.Preparation.create(context, {
-      ask,
+    this.#preparation = preparation.StageExecution.create(context, {
+      request: ask,
       route,
       rank,
-      until: leaves,
-      wanted: this.#wanted,
+      deadline: leaves,
+      dueAt: this.#wanted,
       dataCentre: this.#plan?.engine.identity.dataCentre,
     });
   }
@@ -107,10 +114,10 @@
   /** Plans where the request will run; nothing is made yet. */
   static async create(
     context: contexts.Context,
-    options: StagingOptions,
-  ): Promise<Staging> {
+    options: PipelineRunOptions,
+  ): Promise<PipelineRun> {
     const plan = await planOf(context, options);
-    return new Staging(context, options, plan);
+    return new PipelineRun(context, options, plan);
   }
 
   /** Engine that the results are made near. */
@@ -124,11 +131,11 @@
   }
 
   /** Judges the request and makes its pieces. */
-  async run(): Promise<StagingResult> {
+  async run(): Promise<PipelineRunResult> {
     if (this.#isPast) this.#setLate();
     let forecast = await this.#preparation.book();
     let refusal = this.#judge(forecast);
-    if (refusal !== undefined && this.#options.waited > 0 && !this.#isLate) {
+    if (refusal !== undefined && this.#options.priorWait > 0 && !this.#isLate) {
       this.#setLate();
       forecast = await this.#preparation.book();
       refusal = this.#judge(forecast);
@@ -137,7 +144,11 @@
     const result = await this.#make();
     if (result.type === "made" && !this.#isLate) {
       const { calibration } = this.#context;
-      calibration.learn(this.#options.route.name, forecast, this.note.tookMs!);
+      calibration.observe(
+        this.#options.route.name,
+        forecast,
+        this.record.tookMs!,
+      );
     }
     return result;
   }
@@ -148,9 +159,9 @@
   }
 
   /** Makes all pieces once more: one of the results is gone. */
-  again(): Promise<StagingResult> {
+  rerun(): Promise<PipelineRunResult> {
     this.#isReleased = false;
-    this.#preparation.forget();
+    this.#preparation.discardResults();
     return this.#make();
   }
 
@@ -162,49 +173,53 @@
   }
 
   /** Stops: nobody waits for it any more. */
-  end(): void {
-    this.#preparation.end();
+  close(): void {
+    this.#preparation.close();
   }
 
   /** Whether its caller has waited for so long that it cannot be in time. */
   get #isPast(): boolean {
-    const { waited } = this.#options;
+    const { priorWait: waited } = this.#options;
     const left = this.#wanted - this.#context.clock.now();
-    return waited > 0 && left < this.#preparation.alone;
+    return waited > 0 && left < this.#preparation.uncontended;
   }
 
   #setLate(): void {
     this.#isLate = true;
-    this.note.isLate = true;
-    const rank = prospect.rankOf(this.#options.rank, true);
-    this.#preparation.want(this.#lateWanted, rank);
+    this.record.isLate = true;
+    const rank = prospect.effectiveRank(this.#options.rank, true);
+    this.#preparation.reschedule(this.#lateWanted, rank);
   }
 
-  #judge(forecast: preparation.Expectation): StagingResult | undefined {
+  #judge(
+    forecast: preparation.PipelineForecast,
+  ): PipelineRunResult | undefined {
     const { calibration } = this.#context;
     const { name, objective } = this.#options.route;
-    const { alone } = forecast;
+    const { uncontended: alone } = forecast;
     const finish = calibration.correct(name, forecast);
     const wanted = this.#isLate ? this.#lateWanted : this.#wanted;
     const left = wanted - this.#context.clock.now();
     const error = calibration.error(name, forecast);
-    this.note.expectedMs = Math.round(finish);
-    this.note.forecast = forecast.stages;
-    this.note.errorMs = Math.round(error);
-    const expected = { finish, alone, error };
-    if (prospect.isInTime(expected, { left, objective })) return undefined;
+    this.record.expectedMs = Math.round(finish);
+    this.record.forecast = forecast.stages;
+    this.record.errorMs = Math.round(error);
+    const expected = { finish, uncontended: alone, error };
+    if (prospect.meetsObjective(expected, { left, objective })) {
+      return undefined;
+    }
     const retryAfter = this.#returnAfter(finish - Math.max(left, alone));
     const about = { aloneMs: alone, left, retryAfter };
     return { type: "refused", reason: "no-time", about };
   }
 
-  async #make(): Promise<StagingResult> {
+  async #make(): Promise<PipelineRunResult> {
     const { clock, metrics } = this.#context;
     const { route } = this.#options;
     const result = await this.#preparation.run();
     const tookMs = Math.round(clock.now() - this.#started);
-    this.note.tookMs = tookMs;
-    this.note.rounds = this.#preparation.rounds;
+    this.record.tookMs = tookMs;
+    this.record.rounds = this.#preparation.rounds;
     metrics.time("gateway.stages", tookMs, { route: route.name });
     if (result.type === "made") return result;
     const { detail } = result;
@@ -225,7 +240,7 @@
 /** The engine that a request would go to now. */
 async function planOf(
   { placement }: contexts.Context,
-  { ask: { prompt }, service, route: { objective } }: StagingOptions,
+  { request: { prompt }, service, route: { objective } }: PipelineRunOptions,
 ): Promise<choice.EngineChoice | undefined> {
   if (prompt === undefined) return undefined;
   const query = { service, prompt, objective, tried: [], isSent: false };
--- a/src/gateway/staging_test.ts
+++ b/src/gateway/pipeline_run_test.ts
@@ -8,9 +8,9 @@
 import * as telemetry from "../telemetry/mod.ts";
 import * as calibrations from "./calibration.ts";
 import type * as contexts from "./context.ts";
-import * as pools from "./pool.ts";
+import * as pools from "./endpoint_pool.ts";
 import type * as protocols from "./protocol.ts";
-import * as stagings from "./staging.ts";
+import * as stagings from "./pipeline_run.ts";
 
 const ROUTE = fixture.route({
   kind: "streaming",
@@ -28,20 +28,20 @@
   const calls: string[] = [];
   const slacks: number[] = [];
   const ranks: number[] = [];
-  const pieces = fixture.pieceTraits();
-  const services = [{ name: "maps", connections: 10, pieces }];
+  const pieces = fixture.batchTraits();
+  const services = [{ name: "maps", connections: 10, batching: pieces }];
   const catalogue = configurations.Catalogue.create(
     fixture.configuration({ routes: [ROUTE], services }),
   );
   const maker: contexts.Context["maker"] = {
-    cell: (_, { dataCentre }) => dataCentre,
-    book({ cell, slack, rank }: schema.BookQuestion) {
+    selectPartition: (_, { dataCentre }) => dataCentre,
+    reserve({ cell, slack, rank }: schema.BookQuestion) {
       calls.push(`book ${cell}`);
       slacks.push(slack);
       ranks.push(rank);
       return Promise.resolve({ wait: waits[cell], work });
     },
-    make({ cell, pieces }: schema.MakeQuestion) {
+    compute({ cell, pieces }: schema.MakeQuestion) {
       calls.push(`make ${cell}`);
       return Promise.resolve(
         pieces.map((piece) => ({ piece, handle: `${cell}.${piece}` })),
@@ -50,7 +50,7 @@
     release({ cell }) {
       calls.push(`release ${cell}`);
     },
-    drop({ cell }) {
+    cancel({ cell }) {
       calls.push(`drop ${cell}`);
     },
   };
@@ -58,29 +58,33 @@
     clock: new runtime.FakeClock(),
     random: { next: () => 0, below: () => 0 },
     metrics: telemetry.noMetrics,
-    pool: pools.Pool.create(),
+    pool: pools.EndpointPool.create(),
     dataCentre: "town",
     maker,
-    knowledge: { catalogue: () => catalogue, age: () => 0, hosts: () => 1 },
+    fleetView: {
+      catalogue: () => catalogue,
+      configurationAge: () => 0,
+      hostCount: () => 1,
+    },
     calibration: calibrations.Calibration.create(),
   } as unknown as contexts.Context;
-  const ask: protocols.Ask = {
+  const ask: protocols.IncomingRequest = {
     id: "r",
     method: "POST",
     host: "host.example",
     target: "/a/x",
     headers: {},
-    pieces: [2],
-    pieceKey: "k",
+    itemCounts: [2],
+    itemKey: "k",
   };
-  const staging = await stagings.Staging.create(context, {
-    ask,
+  const staging = await stagings.PipelineRun.create(context, {
+    request: ask,
     route: ROUTE,
     rank: 0,
     service: "desk",
     arrival: 0,
-    waited,
-    until: 15_000,
+    priorWait: waited,
+    deadline: 15_000,
   });
   return { staging, calls, slacks, ranks };
 }
@@ -96,7 +100,7 @@
   const { staging, calls } = await stagingOf({ town: 5000 });
   const result = await staging.run();
   t.like(result, { type: "refused", reason: "no-time" });
-  staging.end();
+  staging.close();
   t.deepEqual(calls, ["book town", "drop town"]);
 });
 
@@ -104,7 +108,7 @@
 test("what a forecast was made of is noted for the log", async (t) => {
   const { staging } = await stagingOf({ town: 5000 }, { work: 800 });
   await staging.run();
-  t.like(staging.note, {
+  t.like(staging.record, {
     errorMs: 24,
     forecast: [{ service: "maps", waitMs: 5000, workMs: 800 }],
   });
--- a/src/gateway/placement.ts
+++ b/src/gateway/placement.ts
@@ -10,16 +10,16 @@
  * place; while none answers, a host chooses by what it knows itself.
  * @module */
 
-import * as leftOuts from "../peers/left_out.ts";
+import * as leftOuts from "../peers/unresponsive_hosts.ts";
 import type * as peers from "../peers/mod.ts";
-import * as cells from "../pieces/cells.ts";
+import * as cells from "../batching/partitions.ts";
 import * as memos from "../runtime/memo.ts";
 import type * as runtime from "../runtime/mod.ts";
 import type * as schema from "../schema/fleet_types.ts";
 import type * as telemetry from "../telemetry/mod.ts";
-import * as choice from "./choice.ts";
+import * as choice from "./endpoint_choice.ts";
 import type * as endpoint from "./endpoint.ts";
-import * as pools from "./pool.ts";
+import * as pools from "./endpoint_pool.ts";
 import type * as protocols from "./protocol.ts";
 import * as rendezvous from "../routing/rendezvous.ts";
 
@@ -53,11 +53,11 @@
 }
 
 /** Who chose an engine. */
-export type Chooser = "self" | "owner" | "fallback";
+export type PlacementSource = "self" | "owner" | "fallback";
 
 /** Where a prompt goes, and who said so. */
-export interface Placed extends choice.EngineChoice {
-  readonly by: Chooser;
+export interface PlacementResult extends choice.EngineChoice {
+  readonly source: PlacementSource;
 }
 
 /** What placement needs of its host. */
@@ -68,28 +68,28 @@
   readonly random: runtime.Random;
   readonly logger: telemetry.Logger;
   readonly metrics: telemetry.Metrics;
-  readonly calls: Pick<peers.Calls, "ask" | "cast">;
-  readonly pool: pools.Pool;
+  readonly calls: Pick<peers.Rpc, "ask" | "cast">;
+  readonly pool: pools.EndpointPool;
   /** What hosts and their work are derived from: the same parts while they are
    * the same. */
-  basis(): readonly unknown[];
+  dependencies(): readonly unknown[];
   /** Hosts that take requests and are ready. */
   hosts(): readonly Pick<schema.EntryHost, "host" | "dataCentre">[];
   /** Hosts that have other work for the fleet at a data centre, or in several
    * places. */
-  busyAt(dataCentre: string | undefined): readonly string[];
+  busyHosts(dataCentre: string | undefined): readonly string[];
 }
 
 /** Chooses engines, or has them chosen. */
 export class Placement {
   readonly #options: PlacementOptions;
-  readonly #leftOut: leftOuts.LeftOut;
+  readonly #leftOut: leftOuts.UnresponsiveHosts;
   readonly #ranked = memos.Memo.create<readonly string[]>();
-  readonly #partitions = memos.Memo.create<readonly cells.Cell[]>();
+  readonly #partitions = memos.Memo.create<readonly cells.Partition[]>();
 
   private constructor(options: PlacementOptions) {
     this.#options = options;
-    this.#leftOut = leftOuts.LeftOut.create(options.clock);
+    this.#leftOut = leftOuts.UnresponsiveHosts.create(options.clock);
   }
 
   static create(options: PlacementOptions): Placement {
@@ -97,11 +97,11 @@
   }
 
   /** The engine for a prompt; undefined where none takes it. */
-  async place(query: PlacementQuery): Promise<Placed | undefined> {
+  async place(query: PlacementQuery): Promise<PlacementResult | undefined> {
     const placed = this.#isSmall
       ? this.#choose(query, "self")
       : await this.#placeByOwners(query);
-    const by = placed?.by ?? "none";
+    const by = placed?.source ?? "none";
     this.#options.metrics.count("gateway.placed", 1, { by });
     return placed;
   }
@@ -119,12 +119,18 @@
       isSent: sent,
     });
     if (chosen === undefined) return { type: "failed", reason: "unreachable" };
-    const { engine, firstEvent, lack, work } = chosen;
+    const {
+      engine,
+      firstEventTime: firstEvent,
+      cacheMiss: lack,
+      pendingWork: work,
+    } = chosen;
     if (sent) {
-      engine.remoteLoad.expect(from, lack.read, clock.now());
-      engine.memory?.read(prompt);
+      engine.remoteLoad.reserve(from, lack.prefillTokens, clock.now());
+      engine.cachedPrefixes?.insert(prompt);
     }
-    const { read, fetched, fetchTime, source } = lack;
+    const { prefillTokens: read, fetchTokens: fetched, fetchTime, source } =
+      lack;
     return {
       type: "placed",
       engine: engine.identity.id,
@@ -138,7 +144,7 @@
   }
 
   /** Tells those who choose what this host has engines do. */
-  tell(uses: readonly schema.EngineUse[]): void {
+  sendLoad(uses: readonly schema.EngineUse[]): void {
     const { calls } = this.#options;
     for (const [host, some] of this.#hearers(uses)) {
       calls.cast(host, { type: "use", uses: some });
@@ -174,12 +180,14 @@
 
   /** Asks the owner of the partition that a prompt belongs to, and that of the
    * next one where it would take long there. */
-  async #placeByOwners(query: PlacementQuery): Promise<Placed | undefined> {
+  async #placeByOwners(
+    query: PlacementQuery,
+  ): Promise<PlacementResult | undefined> {
     const [first, second] = this.#partitionsFor(query);
     if (first === undefined) return this.#choose(query, "fallback");
     const placed = await this.#placeIn(first, query);
     const isSlow = placed !== undefined &&
-      placed.firstEvent > SLOW * query.objective;
+      placed.firstEventTime > SLOW * query.objective;
     if (second === undefined || (placed !== undefined && !isSlow)) {
       return placed ?? this.#choose(query, "fallback");
     }
@@ -187,19 +195,19 @@
     const all = [placed, other].filter((each) => each !== undefined);
     if (all.length === 0) return this.#choose(query, "fallback");
     return all.reduce((best, each) =>
-      each.firstEvent < best.firstEvent ? each : best
+      each.firstEventTime < best.firstEventTime ? each : best
     );
   }
 
   async #placeIn(
     partition: string,
     query: PlacementQuery,
-  ): Promise<Placed | undefined> {
+  ): Promise<PlacementResult | undefined> {
     const { self, calls, logger } = this.#options;
     const owner = this.#ownerOf(query.service, partition);
     if (owner === self) {
       const chosen = this.#chooseIn(partition, query);
-      return chosen && { ...chosen, by: "self" };
+      return chosen && { ...chosen, source: "self" };
     }
     if (this.#leftOut.has(owner)) return undefined;
     try {
@@ -215,23 +223,34 @@
     }
   }
 
-  #read(reply: schema.Reply): Placed | undefined {
+  #read(reply: schema.Reply): PlacementResult | undefined {
     const { pool } = this.#options;
     if (reply.type !== "placed") return undefined;
     const engine = pool.get(reply.engine);
     // An owner may know of an engine some hundred milliseconds sooner.
-    if (engine === undefined || !engine.isOpen) return undefined;
+    if (engine === undefined || !engine.isAccepting) return undefined;
     const { read, fetched, fetchTime, firstEvent, work } = reply;
     const source = pool.get(reply.source ?? "");
-    const lack = { read, fetched, fetchTime, source };
-    return { engine, firstEvent, lack, work, by: "owner" };
+    const lack = {
+      prefillTokens: read,
+      fetchTokens: fetched,
+      fetchTime,
+      source,
+    };
+    return {
+      engine,
+      firstEventTime: firstEvent,
+      cacheMiss: lack,
+      pendingWork: work,
+      source: "owner",
+    };
   }
 
   /** Chooses among all engines of a service, by what this host knows. */
   #choose(
     { service, prompt, planned, tried }: PlacementQuery,
-    by: Chooser,
-  ): Placed | undefined {
+    by: PlacementSource,
+  ): PlacementResult | undefined {
     const { pool, clock, random, dataCentre } = this.#options;
     const now = clock.now();
     const chosen = choice.chooseEngine(pool.usable(service, now), prompt, {
@@ -241,7 +260,7 @@
       planned,
       tried,
     });
-    return chosen && { ...chosen, by };
+    return chosen && { ...chosen, source: by };
   }
 
   #chooseIn(
@@ -272,7 +291,7 @@
     const now = this.#options.clock.now();
     const names = this.#divided(service)
       .filter(({ name }) =>
-        this.#enginesOf(name, service).some((each) => each.isSound(now))
+        this.#enginesOf(name, service).some((each) => each.isHealthy(now))
       )
       .map(({ name }) => name);
     const ranked = rendezvous.rank(keyOf(prompt), names);
@@ -288,11 +307,11 @@
     return found?.name ?? "";
   }
 
-  #divided(service: string): readonly cells.Cell[] {
-    const { pool, basis } = this.#options;
+  #divided(service: string): readonly cells.Partition[] {
+    const { pool, dependencies: basis } = this.#options;
     return this.#partitions.get(service, basis(), () => {
-      const workers = pool.of(service).map(({ identity }) => identity);
-      return cells.divide(workers, MOST);
+      const workers = pool.endpointsOf(service).map(({ identity }) => identity);
+      return cells.partition(workers, MOST);
     });
   }
 
@@ -300,18 +319,18 @@
    * centre where there is one; one without other work for the fleet where there
    * is one. */
   #ownerOf(service: string, partition: string): string {
-    const { basis } = this.#options;
+    const { dependencies: basis } = this.#options;
     const key = `${service} ${partition}`;
     const ranked = this.#ranked.get(
       key,
       basis(),
-      () => this.#rankOwners(key, cells.placeOf(partition)),
+      () => this.#rankOwners(key, cells.dataCentreOf(partition)),
     );
-    return this.#leftOut.last(ranked)[0];
+    return this.#leftOut.deprioritize(ranked)[0];
   }
 
   #rankOwners(key: string, place: string | undefined): string[] {
-    const { self, hosts, busyAt } = this.#options;
+    const { self, hosts, busyHosts: busyAt } = this.#options;
     const all = hosts();
     const near = all.filter(({ dataCentre }) => dataCentre === place);
     const names = (near.length > 0 ? near : all).map(({ host }) => host);
--- a/src/gateway/placement_test.ts
+++ b/src/gateway/placement_test.ts
@@ -39,7 +39,7 @@
   const service = () => ({ name: "models", connections: 10, engine: ENGINE });
   const asked: string[] = [];
   const members = new Map(names.map(({ host: self }) => {
-    const pool = gateway.Pool.create();
+    const pool = gateway.EndpointPool.create();
     pool.update(entries, service);
     const placement = gateway.Placement.create({
       self,
@@ -49,9 +49,9 @@
       logger: telemetry.noLogger,
       metrics: telemetry.noMetrics,
       pool,
-      basis: () => [],
+      dependencies: () => [],
       hosts: () => names,
-      busyAt: () => [],
+      busyHosts: () => [],
       calls: {
         ask(to, question) {
           asked.push(to);
@@ -63,7 +63,7 @@
         },
         cast(to, notice) {
           const { uses } = notice as schema.UseNotice;
-          members.get(to)!.pool.noteUse(self, uses, clock.now());
+          members.get(to)!.pool.recordRemoteLoad(self, uses, clock.now());
         },
       },
     });
@@ -103,15 +103,17 @@
   const first = await place("h-1", promptOf("part"));
   const second = await place("h-2", promptOf("part"));
   const [one, other] = [first!, second!].map(({ engine }) => engine.identity);
-  t.true(second!.lack.read <= 500);
-  t.true(other.id === one.id || second!.lack.source?.identity.id === one.id);
+  t.true(second!.cacheMiss.prefillTokens <= 500);
+  t.true(
+    other.id === one.id || second!.cacheMiss.source?.identity.id === one.id,
+  );
 });
 
 test("a forecast takes no engine's time", async (t) => {
   const { place } = fleetOf();
   const forecast = await place("h-1", promptOf("part"), { isSent: false });
   const after = await place("h-2", promptOf("part"));
-  t.is(forecast!.work.tokens, after!.work.tokens);
+  t.is(forecast!.pendingWork.tokens, after!.pendingWork.tokens);
 });
 
 test("an engine that was tried is left out", async (t) => {
@@ -129,7 +131,7 @@
   const { place: placeWithout, asked: tried } = fleetOf({ lost: [owner] });
   const asker = owner === "h-1" ? "h-2" : "h-1";
   const alone = await placeWithout(asker, promptOf("part"));
-  t.is(alone!.by, "fallback");
+  t.is(alone!.source, "fallback");
   await placeWithout(asker, promptOf("part"));
   t.is(tried[0], owner);
   t.not(tried[1], owner);
@@ -160,7 +162,7 @@
   const askers = ["h-2", "h-3", "h-4", "h-5"].filter((host) => host !== owner);
   for (const host of askers) {
     const use = { engine: id, tokens: 0, streams: 0, read: [] };
-    members.get(host)!.placement.tell([{ ...use, verdicts: ["bad"] }]);
+    members.get(host)!.placement.sendLoad([{ ...use, verdicts: ["bad"] }]);
   }
   for (const host of askers) {
     const next = await place(host, promptOf("part"));
@@ -170,11 +172,13 @@
 
 test("where all engines rest after failures one is tried all the same", async (t) => {
   const { place, members } = fleetOf();
-  for (const engine of members.get("h-1")!.pool.of("models")) {
-    for (let failures = 0; failures < 3; failures++) engine.judge("bad", 0);
+  for (const engine of members.get("h-1")!.pool.endpointsOf("models")) {
+    for (let failures = 0; failures < 3; failures++) {
+      engine.recordHealth("bad", 0);
+    }
   }
   const placed = await place("h-1", promptOf("part"));
-  t.is(placed?.by, "fallback");
+  t.is(placed?.source, "fallback");
 });
 
 function usesOf(engine: string, firsts?: schema.FirstEvent[]) {
@@ -185,11 +189,11 @@
   const heardBy = (hosts: number) => {
     const { members, clock } = fleetOf({ hosts });
     const { placement, pool } = members.get("h-0")!;
-    const [engine] = pool.of("models");
-    placement.tell(usesOf(engine.identity.id));
+    const [engine] = pool.endpointsOf("models");
+    placement.sendLoad(usesOf(engine.identity.id));
     return [...members].filter(([, member]) => {
-      const [same] = member.pool.of("models");
-      return same.remoteLoad.sum(clock.now()).tokens > 0;
+      const [same] = member.pool.endpointsOf("models");
+      return same.remoteLoad.total(clock.now()).tokens > 0;
     }).length;
   };
   t.is(heardBy(12), 11);
@@ -202,11 +206,11 @@
   const [owner = "h-1"] = asked;
   const { id } = placed!.engine.identity;
   const engine = members.get(owner)!.pool.get(id)!;
-  const before = engine.expectFirst(5000, 0);
+  const before = engine.predictFirstEvent(5000, 0);
   const asker = members.get(owner === "h-2" ? "h-3" : "h-2")!;
   for (let count = 0; count < 20; count++) {
     const firsts = [{ work: { tokens: 5500, streams: 1 }, took: 900 }];
-    asker.placement.tell(usesOf(id, firsts));
+    asker.placement.sendLoad(usesOf(id, firsts));
   }
-  t.true(engine.expectFirst(5000, 0) > 2 * before);
+  t.true(engine.predictFirstEvent(5000, 0) > 2 * before);
 });
--- a/src/gateway/patience.ts
+++ b/src/gateway/prior_wait.ts
@@ -14,16 +14,16 @@
 const AGREEING = 0.25;
 
 /** The patience of callers by route; changed in place. */
-export class Patience {
+export class PriorWait {
   readonly #recent = new Map<string, number[]>();
 
-  static create(): Patience {
-    return new Patience();
+  static create(): PriorWait {
+    return new PriorWait();
   }
 
   /** Milliseconds for which the caller of an attempt has waited before it; 0
    * of a first attempt, and where nothing tells. Notes the attempt. */
-  waited(route: string, patience: number | undefined): number {
+  estimate(route: string, patience: number | undefined): number {
     if (patience === undefined) return 0;
     const recent = this.#recent.get(route) ?? [];
     this.#recent.set(route, recent);
--- a/src/gateway/protocol.ts
+++ b/src/gateway/protocol.ts
@@ -21,7 +21,7 @@
 }
 
 /** A request as a caller has sent it. */
-export interface Ask {
+export interface IncomingRequest {
   /** Id of this attempt of the caller; each retry has another. */
   readonly id: string;
   readonly method: string;
@@ -32,23 +32,23 @@
   /** Headers that go on to an endpoint as they are. */
   readonly headers: Readonly<Record<string, string>>;
   /** How long the caller waits. */
-  readonly patience?: number;
-  readonly key?: string;
+  readonly timeout?: number;
+  readonly apiKey?: string;
   readonly prompt?: Prompt;
   /** Number of pieces of each stage. */
-  readonly pieces?: readonly number[];
-  readonly pieceKey?: string;
+  readonly itemCounts?: readonly number[];
+  readonly itemKey?: string;
   /** The caller has the events of a stream up to this one. */
   readonly resumeAfter?: string;
 }
 
 /** A request that was read, or why it could not be. */
-export type Reading =
-  | { type: "ask"; ask: Ask }
+export type DecodedRequest =
+  | { type: "ask"; request: IncomingRequest }
   | { type: "malformed"; detail: string };
 
 /** What the system tells an endpoint beside the request itself. */
-export interface CallTerms {
+export interface CallMetadata {
   /** Id of the endpoint that is meant; another one does not run the call. */
   readonly endpoint: string;
   readonly account?: string;
@@ -95,10 +95,10 @@
 }
 
 /** One piece in a call. */
-export interface PieceOrder {
+export interface ItemRequest {
   readonly request: string;
   readonly stage: number;
-  readonly piece: number;
+  readonly itemIndex: number;
   readonly remaining?: number;
   /** Content that the first stages work on. */
   readonly key?: string;
@@ -107,12 +107,12 @@
 }
 
 /** Why a piece was not made. */
-export type PieceFailure = "late" | "gone" | "room" | "error";
+export type ItemFailure = "late" | "gone" | "room" | "error";
 
 /** What became of one piece. */
-export type PieceResult =
+export type ItemResult =
   | { type: "made"; handle: string }
-  | { type: "failed"; failure: PieceFailure };
+  | { type: "failed"; failure: ItemFailure };
 
 /** A call as it goes to an endpoint. */
 export interface OutgoingCall {
@@ -124,18 +124,21 @@
 
 /** Decodes and encodes; decides nothing. */
 export interface GatewayProtocol {
-  readAsk(request: http.IncomingMessage): Reading;
+  decodeRequest(request: http.IncomingMessage): DecodedRequest;
   /** Whether a request on the readiness address asks for readiness. */
-  isReadinessCall(request: http.IncomingMessage): boolean;
-  callHeaders(ask: Ask, terms: CallTerms): Record<string, string>;
-  readReply(
+  isReadinessProbe(request: http.IncomingMessage): boolean;
+  callHeaders(
+    ask: IncomingRequest,
+    terms: CallMetadata,
+  ): Record<string, string>;
+  decodeReply(
     status: number,
     headers: Readonly<Record<string, string | string[] | undefined>>,
   ): ReplyHead;
-  pieceCall(endpoint: string, orders: readonly PieceOrder[]): OutgoingCall;
+  batchCall(endpoint: string, orders: readonly ItemRequest[]): OutgoingCall;
   /** Results in the order of the orders; undefined when they are unreadable. */
-  readPieces(body: Buffer): readonly PieceResult[] | undefined;
+  decodeItemResults(body: Buffer): readonly ItemResult[] | undefined;
   releaseCall(handles: readonly string[]): OutgoingCall;
   /** Host and port of the endpoint that holds a result. */
-  makerOf(handle: string): string;
+  holderOf(handle: string): string;
 }
--- a/src/gateway/refusal.ts
+++ b/src/gateway/refusal.ts
@@ -40,12 +40,12 @@
 
 /** Seconds after which a host that started `uptime` milliseconds ago and knows
  * no configuration can be expected to know one. */
-export function returnUnconfigured(uptime: number): number {
+export function retryAfterUnconfigured(uptime: number): number {
   return Math.max(LEAST_RETURN, CONFIGURED - uptime) / 1000;
 }
 
 /** Whether a reason is answered with the promise that nothing has run. */
-export function saysNotRun(reason: RefusalReason): boolean {
+export function guaranteesNotRun(reason: RefusalReason): boolean {
   return REFUSALS[reason].status === 503;
 }
 
--- a/src/gateway/remote_load_test.ts
+++ b/src/gateway/remote_load_test.ts
@@ -5,15 +5,15 @@
 
 test("the last messages of all hosts are summed up", (t) => {
   const load = remoteLoads.RemoteLoad.create();
-  load.note("one", { tokens: 900, streams: 3 }, 0);
-  load.note("one", { tokens: 100, streams: 2 }, 10);
-  load.note("two", { tokens: 50, streams: 1 }, 10);
-  t.deepEqual(load.sum(20), { tokens: 150, streams: 3 });
+  load.record("one", { tokens: 900, streams: 3 }, 0);
+  load.record("one", { tokens: 100, streams: 2 }, 10);
+  load.record("two", { tokens: 50, streams: 1 }, 10);
+  t.deepEqual(load.total(20), { tokens: 150, streams: 3 });
 });
 
 test("a host that says nothing more is forgotten", (t) => {
   const load = remoteLoads.RemoteLoad.create();
-  load.note("gone", { tokens: 900, streams: 3 }, 0);
-  load.note("there", { tokens: 50, streams: 1 }, 1000);
-  t.deepEqual(load.sum(2000), { tokens: 50, streams: 1 });
+  load.record("gone", { tokens: 900, streams: 3 }, 0);
+  load.record("there", { tokens: 50, streams: 1 }, 1000);
+  t.deepEqual(load.total(2000), { tokens: 50, streams: 1 });
 });
--- a/src/gateway/reply.ts
+++ b/src/gateway/reply.ts
@@ -19,7 +19,7 @@
   readonly #options: ReplyOptions;
   #head?: protocols.ReplyHead;
   /** Whether the caller has closed its connection. */
-  hasLeft = false;
+  isDisconnected = false;
 
   private constructor(options: ReplyOptions) {
     this.#options = options;
@@ -35,13 +35,13 @@
   }
 
   /** Begins a stream. */
-  begin(head: protocols.ReplyHead): void {
+  startStream(head: protocols.ReplyHead): void {
     this.#head = head;
     this.#options.response.writeHead(head.status, this.#headersOf(head));
   }
 
   /** Passes bytes of the stream on. */
-  pass(bytes: Buffer): void {
+  write(bytes: Buffer): void {
     this.#options.response.write(bytes);
   }
 
@@ -51,13 +51,13 @@
   }
 
   /** Ends the stream so that it does not look complete. */
-  breakOff(): void {
+  abort(): void {
     this.#options.response.destroy();
   }
 
   /** Sends a whole answer of an endpoint. */
-  answer(head: protocols.ReplyHead, body: Buffer): void {
-    if (this.hasLeft) return;
+  send(head: protocols.ReplyHead, body: Buffer): void {
+    if (this.isDisconnected) return;
     const { response } = this.#options;
     response.writeHead(head.status, {
       ...this.#headersOf(head),
@@ -71,7 +71,7 @@
     reason: refusals.RefusalReason,
     { status, retryAfter }: refusals.Refusal,
   ): void {
-    if (this.hasLeft) return;
+    if (this.isDisconnected) return;
     const { request, response, isDraining } = this.#options;
     const text = JSON.stringify({ status, reason });
     const isUnread = !request.complete;
--- a/src/gateway/retry.ts
+++ b/src/gateway/retry.ts
@@ -8,7 +8,7 @@
 const NOT_RUN_SENDS = 2;
 
 /** What a request has been through. */
-export interface History {
+export interface RetryHistory {
   /** Calls that may have run. */
   readonly runs: number;
   /** Calls in all. */
@@ -16,7 +16,7 @@
 }
 
 /** What may follow on a failed call. */
-export type Verdict =
+export type RetryDecision =
   /** Another call, if the budget allows it. */
   | "again"
   /** Another call that no endpoint counts as a repeat. */
@@ -27,8 +27,8 @@
 export function afterFailure(
   route: configurations.Route,
   failure: Extract<attempt.Outcome, { type: "failed" }>,
-  { runs, sends }: History,
-): Verdict {
+  { runs, sends }: RetryHistory,
+): RetryDecision {
   const { cause, mayHaveRun } = failure;
   if (cause === "cancelled" || cause === "deadline") return "over";
   if (sends >= route.attempts + NOT_RUN_SENDS) return "over";
@@ -41,10 +41,10 @@
 
 /** Whether an endpoint's own failure is worth another call: of work that may
  * be repeated, another endpoint may do better. */
-export function isWorthRepeating(
+export function shouldRetryAnswer(
   route: configurations.Route,
   { status }: { status: number },
-  { runs }: History,
+  { runs }: RetryHistory,
 ): boolean {
   return status >= 500 && configurations.isIdempotent(route) &&
     runs < route.attempts;
--- a/src/gateway/retry_budget.ts
+++ b/src/gateway/retry_budget.ts
@@ -34,13 +34,13 @@
   }
 
   /** Notes a request of a caller. */
-  earn(now: number): void {
+  deposit(now: number): void {
     this.#forget(now);
     this.#requests.push(now);
   }
 
   /** Takes the right to one more send; false when there is none. */
-  spend(now: number, hosts: number): boolean {
+  tryWithdraw(now: number, hosts: number): boolean {
     this.#forget(now);
     if (this.#repeats.length + 1 > this.allowance(hosts)) return false;
     this.#repeats.push(now);
--- a/src/gateway/retry_budget_test.ts
+++ b/src/gateway/retry_budget_test.ts
@@ -8,7 +8,7 @@
 /** Number of repeats that a budget allows at once. */
 function drain(budget: budgets.RetryBudget, now: number, hosts: number) {
   let count = 0;
-  while (budget.spend(now, hosts)) count++;
+  while (budget.tryWithdraw(now, hosts)) count++;
   return count;
 }
 
@@ -17,7 +17,7 @@
     let repeats = 0;
     for (let host = 0; host < hosts; host++) {
       const budget = budgets.RetryBudget.create(BOUNDS);
-      for (let pos = 0; pos < 40; pos++) budget.earn(pos);
+      for (let pos = 0; pos < 40; pos++) budget.deposit(pos);
       repeats += drain(budget, 100, hosts);
     }
     t.true(repeats <= BOUNDS.ratio * 40 * hosts + BOUNDS.burst);
--- a/src/gateway/retry_test.ts
+++ b/src/gateway/retry_test.ts
@@ -46,7 +46,7 @@
 });
 
 test("an endpoint's own failure is tried elsewhere if it may be", (t) => {
-  t.true(retry.isWorthRepeating(safe, { status: 500 }, ONCE));
-  t.false(retry.isWorthRepeating(unsafe, { status: 500 }, ONCE));
-  t.false(retry.isWorthRepeating(safe, { status: 404 }, ONCE));
+  t.true(retry.shouldRetryAnswer(safe, { status: 500 }, ONCE));
+  t.false(retry.shouldRetryAnswer(unsafe, { status: 500 }, ONCE));
+  t.false(retry.shouldRetryAnswer(safe, { status: 404 }, ONCE));
 });
--- a/src/gateway/server.ts
+++ b/src/gateway/server.ts
@@ -5,7 +5,7 @@
 import type * as net from "node:net";
 import type * as contexts from "./context.ts";
 import * as httpListener from "../fleet/http_listener.ts";
-import * as passages from "./passage.ts";
+import * as passages from "./active_request.ts";
 
 /** Milliseconds between looks at the requests that a stop waits for. */
 const LOOK = 50;
@@ -21,15 +21,15 @@
 /** What a server needs of its host. */
 export interface ServerOptions {
   context: contexts.Context;
-  callers: httpListener.Place;
-  readiness?: httpListener.Place;
+  callers: httpListener.ListenAddress;
+  readiness?: httpListener.ListenAddress;
   isReady(): boolean;
 }
 
 /** Servers for callers and for readiness. */
 export class Server {
   readonly #options: ServerOptions;
-  readonly #passages = new Set<passages.Passage>();
+  readonly #passages = new Set<passages.ActiveRequest>();
   #callers!: http.Server;
   #readiness?: http.Server;
   #isDraining = false;
@@ -47,7 +47,10 @@
       (request, response) => server.#serve(request, response),
       { maxHeaderSize: HEADER_BYTES, connectionsCheckingInterval: 500 },
     );
-    server.limit({ headerTimeout: HEADER_TIMEOUT, idleTimeout: IDLE_TIMEOUT });
+    server.setTimeouts({
+      headerTimeout: HEADER_TIMEOUT,
+      idleTimeout: IDLE_TIMEOUT,
+    });
     server.#callers.on("clientError", (error, socket) => {
       server.#refuseBytes(error as NodeJS.ErrnoException, socket as net.Socket);
     });
@@ -66,7 +69,7 @@
   }
 
   /** Follows the limits of a configuration, in milliseconds. */
-  limit(
+  setTimeouts(
     { headerTimeout, idleTimeout }: {
       headerTimeout: number;
       idleTimeout: number;
@@ -106,10 +109,13 @@
     response.on("error", (error) => {
       context.logger.debug({ err: error }, "Caller's connection broke");
     });
-    const passage = passages.Passage.start(context, { request, response });
+    const passage = passages.ActiveRequest.start(context, {
+      request,
+      response,
+    });
     this.#passages.add(passage);
     context.metrics.gauge("gateway.in_flight", this.#passages.size);
-    void passage.over.then(() => this.#passages.delete(passage));
+    void passage.finished.then(() => this.#passages.delete(passage));
   }
 
   #tellReadiness(
@@ -117,7 +123,7 @@
     response: http.ServerResponse,
   ): void {
     const { context, isReady } = this.#options;
-    if (!context.protocol.isReadinessCall(request)) {
+    if (!context.protocol.isReadinessProbe(request)) {
       response.writeHead(404).end();
       return;
     }
--- a/src/gateway/preparation.ts
+++ b/src/gateway/stage_execution.ts
@@ -2,7 +2,7 @@
  * @module */
 
 import type * as configurations from "../configuration/mod.ts";
-import * as pieces from "../pieces/mod.ts";
+import * as pieces from "../batching/mod.ts";
 import type * as schema from "../schema/fleet_types.ts";
 import type * as contexts from "./context.ts";
 import type * as protocols from "./protocol.ts";
@@ -16,38 +16,38 @@
 const REPEATS = 3;
 
 /** What a preparation is for. */
-export interface PreparationOptions {
-  readonly ask: protocols.Ask;
+export interface StageExecutionOptions {
+  readonly request: protocols.IncomingRequest;
   readonly route: configurations.Route;
   /** How urgent the pieces are at first; 0 is the highest. */
   readonly rank: number;
   /** When the request ends at the latest. */
-  readonly until: number;
+  readonly deadline: number;
   /** When its answer is wanted. */
-  readonly wanted: number;
+  readonly dueAt: number;
   /** Where the results are needed; that of the own host when absent. */
   readonly dataCentre?: string;
 }
 
 /** How it ended. */
-export type PreparationResult =
+export type StageExecutionResult =
   | { type: "made"; inputs: readonly string[] }
   | { type: "failed"; detail: string };
 
 type Needs = Pick<
   contexts.Context,
-  "clock" | "maker" | "dataCentre" | "knowledge" | "pool" | "protocol"
+  "clock" | "maker" | "dataCentre" | "fleetView" | "pool" | "protocol"
 >;
 
 /** Pieces of a stage that were asked for, and how many milliseconds it took. */
-export interface RoundNote {
+export interface RoundRecord {
   readonly service: string;
   readonly pieces: number;
   readonly ms: number;
 }
 
 /** What the forecast of one stage was made of, for the log. */
-export interface StageNote {
+export interface StageForecastRecord {
   readonly service: string;
   readonly waitMs: number;
   readonly workMs: number;
@@ -59,17 +59,17 @@
 }
 
 /** When the stages are expected to be made, in milliseconds from now. */
-export interface Expectation {
+export interface PipelineForecast {
   readonly finish: number;
   /** The same if nothing waited anywhere. */
-  readonly alone: number;
-  readonly stages: readonly StageNote[];
+  readonly uncontended: number;
+  readonly stages: readonly StageForecastRecord[];
 }
 
 function noteOf(
   service: string,
   { wait, work, workAge, ahead, rate }: pieces.Turn,
-): StageNote {
+): StageForecastRecord {
   return {
     service,
     waitMs: Math.round(wait),
@@ -81,9 +81,9 @@
 }
 
 /** Pieces of a request on their way. */
-export class Preparation {
+export class StageExecution {
   readonly #needs: Needs;
-  readonly #options: PreparationOptions;
+  readonly #options: StageExecutionOptions;
   #plan: pieces.Plan;
   #repeats = 0;
   #isOver = false;
@@ -91,57 +91,57 @@
   #wanted: number;
   #rank: number;
   /** Each time that pieces of a stage were asked for, for the log. */
-  readonly rounds: RoundNote[] = [];
+  readonly rounds: RoundRecord[] = [];
   readonly #stages: readonly Omit<pieces.forecast.StageForecast, "wait">[];
   /** Milliseconds of work behind each stage. */
   #tails: readonly number[];
   /** Cells that make the pieces, by service. */
   readonly #cells: Map<string, string>;
 
-  private constructor(needs: Needs, options: PreparationOptions) {
+  private constructor(needs: Needs, options: StageExecutionOptions) {
     this.#needs = needs;
     this.#options = options;
-    this.#wanted = options.wanted;
+    this.#wanted = options.dueAt;
     this.#rank = options.rank;
-    const { route, ask } = options;
-    this.#plan = pieces.Plan.create(route.stages, ask.pieces ?? []);
-    const { counts } = this.#plan;
-    const catalogue = needs.knowledge.catalogue();
+    const { route, request: ask } = options;
+    this.#plan = pieces.Plan.create(route.stages, ask.itemCounts ?? []);
+    const { itemCounts: counts } = this.#plan;
+    const catalogue = needs.fleetView.catalogue();
     this.#stages = route.stages.map(({ after, service }, number) => {
-      const traits = catalogue?.service(service)?.pieces;
+      const traits = catalogue?.service(service)?.batching;
       const count = counts[number];
-      const work = traits && pieces.forecast.workOf(traits, count);
+      const work = traits && pieces.forecast.callDuration(traits, count);
       return { after, work: work ?? 0 };
     });
-    this.#tails = pieces.forecast.tails(this.#stages);
+    this.#tails = pieces.forecast.remainingTimes(this.#stages);
     const services = new Set(route.stages.map(({ service }) => service));
     this.#cells = new Map(
       [...services].map((each) => [each, this.#pickCell(each)]),
     );
   }
 
-  static create(needs: Needs, options: PreparationOptions): Preparation {
-    return new Preparation(needs, options);
+  static create(needs: Needs, options: StageExecutionOptions): StageExecution {
+    return new StageExecution(needs, options);
   }
 
   /** Milliseconds that the stages take where nothing waits. */
-  get alone(): number {
-    return pieces.forecast.finish(this.#free);
+  get uncontended(): number {
+    return pieces.forecast.completionTime(this.#free);
   }
 
   /** Changes when the answer is wanted, and how urgent that is. */
-  want(at: number, rank: number): void {
+  reschedule(at: number, rank: number): void {
     this.#wanted = at;
     this.#rank = rank;
   }
 
   /** Books the pieces of all stages; resolves with when they would be made. */
-  async book(): Promise<Expectation> {
-    const { route, ask } = this.#options;
-    const { counts } = this.#plan;
+  async book(): Promise<PipelineForecast> {
+    const { route, request: ask } = this.#options;
+    const { itemCounts: counts } = this.#plan;
     const turns = await Promise.all(route.stages.map(({ service }, stage) => {
       if (counts[stage] === 0) return undefined;
-      return this.#needs.maker.book({
+      return this.#needs.maker.reserve({
         type: "book",
         ...this.#cellOf(service),
         request: ask.id,
@@ -156,10 +156,10 @@
       if (turn === undefined) return { after, work, wait: 0 };
       return { after, wait: turn.wait, work: Math.max(work, turn.work) };
     });
-    this.#tails = pieces.forecast.tails(stages);
+    this.#tails = pieces.forecast.remainingTimes(stages);
     return {
-      finish: pieces.forecast.finish(stages),
-      alone: this.alone,
+      finish: pieces.forecast.completionTime(stages),
+      uncontended: this.uncontended,
       stages: turns.flatMap((turn, stage) =>
         turn === undefined ? [] : [noteOf(route.stages[stage].service, turn)]
       ),
@@ -167,15 +167,15 @@
   }
 
   /** Makes what is missing; resolves once all is there or cannot be. */
-  run(): Promise<PreparationResult> {
+  run(): Promise<StageExecutionResult> {
     return new Promise((resolve) => {
       const step = () => {
         if (this.#isOver) return;
-        if (this.#plan.isDone) {
+        if (this.#plan.isComplete) {
           return resolve({ type: "made", inputs: this.#plan.outputs });
         }
-        for (const round of this.#plan.rounds) {
-          this.#plan = this.#plan.ask(round.stage);
+        for (const round of this.#plan.readyRequests) {
+          this.#plan = this.#plan.markRequested(round.stage);
           void this.#make(round).then((detail) => {
             if (detail === undefined) return step();
             resolve({ type: "failed", detail });
@@ -187,27 +187,27 @@
   }
 
   /** Forgets all results: one of them is gone, and nobody says which. */
-  forget(): void {
-    this.#plan = this.#plan.forget(this.#plan.numbers);
+  discardResults(): void {
+    this.#plan = this.#plan.discardResults(this.#plan.stageIndexes);
   }
 
   /** Gives the results up; they have been read. */
   release(): void {
-    this.#giveUp(this.#plan.held);
+    this.#giveUp(this.#plan.heldResults);
   }
 
   /** Stops: nobody waits for it any more. */
-  end(): void {
+  close(): void {
     if (this.#isOver) return;
     this.#isOver = true;
     this.release();
-    if (this.#plan.isDone) return;
-    const { id } = this.#options.ask;
+    if (this.#plan.isComplete) return;
+    const { id } = this.#options.request;
     const services = this.#options.route.stages
-      .filter((_, stage) => this.#plan.counts[stage] > 0)
+      .filter((_, stage) => this.#plan.itemCounts[stage] > 0)
       .map(({ service }) => service);
     for (const service of new Set(services)) {
-      this.#needs.maker.drop(this.#cellOf(service), id);
+      this.#needs.maker.cancel(this.#cellOf(service), id);
     }
   }
 
@@ -216,35 +216,35 @@
     return this.#stages.map((stage) => ({ ...stage, wait: 0 }));
   }
 
-  #giveUp(holdings: readonly pieces.Holding[]): void {
+  #giveUp(holdings: readonly pieces.HeldResults[]): void {
     for (const { service, handles } of holdings) {
       this.#needs.maker.release(this.#cellOf(service), handles);
     }
   }
 
   #pickCell(service: string): string {
-    const { id: request } = this.#options.ask;
+    const { id: request } = this.#options.request;
     const dataCentre = this.#destination;
-    return this.#needs.maker.cell(service, { request, dataCentre });
+    return this.#needs.maker.selectPartition(service, { request, dataCentre });
   }
 
-  #cellOf(service: string): pieces.cells.CellName {
+  #cellOf(service: string): pieces.partitions.PartitionName {
     return { service, cell: this.#cells.get(service)! };
   }
 
   /** Makes the pieces of a stage; resolves with why they cannot be. */
-  async #make(round: pieces.Round): Promise<string | undefined> {
+  async #make(round: pieces.StageRequest): Promise<string | undefined> {
     const { stage, service } = round;
     const { clock, maker } = this.#needs;
     const asked = clock.now();
-    const results = await maker.make(this.#question(round));
+    const results = await maker.compute(this.#question(round));
     const ms = Math.round(clock.now() - asked);
-    this.rounds.push({ service, pieces: round.pieces.length, ms });
+    this.rounds.push({ service, pieces: round.items.length, ms });
     const made = results.filter(({ handle }) => handle !== undefined);
-    this.#plan = this.#plan.take(stage, made);
+    this.#plan = this.#plan.addResults(stage, made);
     if (this.#isOver) this.release();
-    this.#giveUp(this.#plan.read);
-    this.#plan = this.#plan.giveUpRead();
+    this.#giveUp(this.#plan.consumedResults);
+    this.#plan = this.#plan.markConsumedReleased();
     const failures = results.flatMap(({ failure }) => failure ?? []);
     if (failures.length === 0) return undefined;
     const [failure] = failures;
@@ -254,15 +254,16 @@
       this.#cells.set(service, this.#pickCell(service));
     }
     if (failures.includes("gone")) {
-      this.#plan = this.#plan.forget(this.#plan.inputsOf(stage));
+      this.#plan = this.#plan.discardResults(this.#plan.dependenciesOf(stage));
     }
     return this.#left() > 0 ? undefined : `stage ${stage} (${service}): late`;
   }
 
   #question(
-    { stage, service, pieces, bytes, inputs, inputBytes }: pieces.Round,
+    { stage, service, items: pieces, bytes, inputs, inputBytes }:
+      pieces.StageRequest,
   ): schema.MakeQuestion {
-    const { ask } = this.#options;
+    const { request: ask } = this.#options;
     // Inputs are fetched by each piece, a result once: the larger part decides
     // where a piece is made.
     const isFed = inputs !== undefined && inputBytes > bytes;
@@ -274,7 +275,7 @@
       request: ask.id,
       stage,
       pieces: [...pieces],
-      ...(isFirst ? { key: ask.pieceKey ?? "" } : { inputs: [...inputs] }),
+      ...(isFirst ? { key: ask.itemKey ?? "" } : { inputs: [...inputs] }),
       bytes,
       moved: Math.max(bytes, inputBytes),
       remaining: Math.max(0, this.#left()),
@@ -294,7 +295,7 @@
     const { pool, protocol } = this.#needs;
     const counts = new Map<string, number>();
     for (const handle of handles) {
-      const place = pool.dataCentreOf(protocol.makerOf(handle));
+      const place = pool.dataCentreOf(protocol.holderOf(handle));
       if (place !== undefined) counts.set(place, (counts.get(place) ?? 0) + 1);
     }
     const [most] = [...counts].sort(([, a], [, b]) => b - a);
@@ -310,15 +311,15 @@
   /** Milliseconds within which a stage whose inputs are there is wanted. */
   #kept(stage: number): number {
     const { route } = this.#options;
-    const catalogue = this.#needs.knowledge.catalogue();
+    const catalogue = this.#needs.fleetView.catalogue();
     const times = route.stages[stage].after.map((other) => {
       const { service } = route.stages[other];
-      return catalogue?.service(service)?.pieces?.keepTime ?? Infinity;
+      return catalogue?.service(service)?.batching?.keepTime ?? Infinity;
     });
     return KEPT * Math.min(Infinity, ...times);
   }
 
   #left(): number {
-    return this.#options.until - this.#needs.clock.now();
+    return this.#options.deadline - this.#needs.clock.now();
   }
 }
--- a/src/gateway/target_choice.ts
+++ b/src/gateway/target_choice.ts
@@ -3,7 +3,7 @@
  * @module */
 
 import type * as admissions from "./endpoint_admission.ts";
-import * as choice from "./choice.ts";
+import * as choice from "./endpoint_choice.ts";
 import type * as contexts from "./context.ts";
 import type * as endpoints from "./endpoint.ts";
 import type * as placements from "./placement.ts";
@@ -14,11 +14,11 @@
 export interface Target {
   readonly endpoint: endpoints.Endpoint;
   /** For a prompt. */
-  readonly placed?: placements.Placed;
+  readonly placed?: placements.PlacementResult;
 }
 
 /** What is chosen, or why nothing is. */
-export type Chosen =
+export type TargetChoiceResult =
   | { readonly type: "target"; readonly target: Target }
   | {
     readonly type: "none";
@@ -33,18 +33,18 @@
   /** Milliseconds within which a first event is wanted. */
   readonly objective: number;
   /** When the request ends at the latest. */
-  readonly until: number;
+  readonly deadline: number;
   readonly admission: admissions.EndpointAdmission;
 }
 
 /** What has become of the request meanwhile. */
-export interface Progress {
+export interface RequestProgress {
   /** Endpoints that it was sent to, by their ids. */
   readonly called: readonly string[];
   /** Engine that its inputs were made near. */
   readonly planned?: endpoints.Endpoint;
   /** Whether nobody waits for it any more. */
-  isOver(): boolean;
+  isFinished(): boolean;
 }
 
 type Needs = Pick<
@@ -67,20 +67,20 @@
   }
 
   /** Chooses an endpoint that takes the request now. */
-  async choose(progress: Progress): Promise<Chosen> {
-    const { admission, until } = this.#options;
+  async choose(progress: RequestProgress): Promise<TargetChoiceResult> {
+    const { admission, deadline: until } = this.#options;
     const avoided: string[] = [];
     for (;;) {
       const target = await this.#pick(progress, avoided);
       if (target === undefined) return this.#nothing;
-      if (progress.isOver()) return { type: "target", target };
+      if (progress.isFinished()) return { type: "target", target };
       const { id } = target.endpoint.identity;
-      const denial = await admission.ask(target.endpoint, until);
-      const isOver = progress.isOver();
-      if (isOver && denial === undefined) admission.giveUp();
+      const denial = await admission.acquire(target.endpoint, until);
+      const isOver = progress.isFinished();
+      if (isOver && denial === undefined) admission.release();
       if (isOver || denial === undefined) return { type: "target", target };
       if (denial.isFinal || avoided.includes(id)) {
-        const { reason, about } = denial;
+        const { reason, details: about } = denial;
         return { type: "none", reason, about };
       }
       avoided.push(id);
@@ -88,8 +88,8 @@
   }
 
   /** Why no endpoint can be called. */
-  get #nothing(): Chosen {
-    const known = this.#needs.pool.of(this.#options.service);
+  get #nothing(): TargetChoiceResult {
+    const known = this.#needs.pool.endpointsOf(this.#options.service);
     const isEvacuated = known.some((each) => each.isEvacuated);
     const reason = isEvacuated ? "evacuated" : "no-endpoint";
     return { type: "none", reason, about: {} };
@@ -98,12 +98,12 @@
   /** An endpoint that was not called yet and is not to be avoided, where there
    * is one. */
   async #pick(
-    { called, planned }: Progress,
+    { called, planned }: RequestProgress,
     avoided: readonly string[],
   ): Promise<Target | undefined> {
     const { placement, quotas } = this.#needs;
     const { service, prompt, objective } = this.#options;
-    const tried = [...called, ...avoided, ...quotas.withheld];
+    const tried = [...called, ...avoided, ...quotas.blockedEndpoints];
     if (prompt === undefined) return this.#pickPlain(tried);
     const placed = await placement.place({
       service,
@@ -121,10 +121,10 @@
     const now = clock.now();
     const usable = pool.usable(this.#options.service, now);
     const fresh = usable.filter(({ identity }) => !tried.includes(identity.id));
-    const due = fresh.find(({ identity }) => quotas.isDue(identity.id));
+    const due = fresh.find(({ identity }) => quotas.needsProbe(identity.id));
     const candidates = fresh.length > 0 ? fresh : usable;
     const situation = { now, random, dataCentre };
-    const endpoint = due ?? choice.choosePlain(candidates, situation);
+    const endpoint = due ?? choice.chooseEndpoint(candidates, situation);
     return endpoint && { endpoint };
   }
 }
--- a/src/gateway/prospect.ts
+++ b/src/gateway/timeliness.ts
@@ -22,7 +22,7 @@
 const LEAVE_GAPS = 8;
 
 /** Milliseconds after which a caller leaves when nothing has come. */
-export function leavesAfter(
+export function abandonmentTime(
   { kind, timeout, objective, gap = 0 }: configurations.Route,
 ): number {
   if (kind !== "streaming") return timeout;
@@ -35,16 +35,16 @@
 }
 
 /** Rank that a request counts as: who can be in time goes before who cannot. */
-export function rankOf(rank: number, isLate: boolean): number {
+export function effectiveRank(rank: number, isLate: boolean): number {
   return isLate ? rank + LATE_RANKS : rank;
 }
 
 /** What is expected of a request's pieces, in milliseconds from now. */
-export interface Prospect {
+export interface CalibratedForecast {
   /** Until all are made. */
   readonly finish: number;
   /** The same if nothing waited. */
-  readonly alone: number;
+  readonly uncontended: number;
   /** By which forecasts miss on average. */
   readonly error: number;
 }
@@ -52,8 +52,8 @@
 /** Whether pieces are expected in time for an objective, of which `left` is
  * left for them. One that takes too long even where nothing waits is not
  * refused for it: coming back would not help. */
-export function isInTime(
-  { finish, alone, error }: Prospect,
+export function meetsObjective(
+  { finish, uncontended: alone, error }: CalibratedForecast,
   { left, objective }: { left: number; objective: number },
 ): boolean {
   const tolerance = Math.min(TOLERATED * error, MOST_TOLERATED * objective);
--- a/src/membership/exchange.ts
+++ b/src/membership/anti_entropy.ts
@@ -20,19 +20,19 @@
 }
 
 /** How entries are ordered and sent. */
-export interface Order<T> {
+export interface SyncOptions<T> {
   /** Above 0 when `left` replaces `right`. */
   compare(left: T, right: T): number;
   /** Whether a host that lacks the entry needs it. */
   isLive(entry: T): boolean;
   /** Most entries in one message, unless one bucket holds more. */
-  limit: number;
+  maxEntries: number;
 }
 
 type Map<T extends digestMap.Entry> = digestMap.DigestMap<T>;
 
 /** First message of a comparison. */
-export function open<T extends digestMap.Entry>(map: Map<T>): Compare {
+export function firstMessage<T extends digestMap.Entry>(map: Map<T>): Compare {
   return { type: "compare", hashes: map.hashes() };
 }
 
@@ -40,7 +40,7 @@
 export function answer<T extends digestMap.Entry>(
   map: Map<T>,
   { group, hashes }: Compare,
-  { limit }: Order<T>,
+  { maxEntries: limit }: SyncOptions<T>,
 ): (Compare | Entries<T>)[] {
   const differing = map.differing(hashes, group);
   if (group === undefined) {
@@ -55,10 +55,10 @@
 }
 
 /** What this copy has newer than the entries that were received. */
-export function newer<T extends digestMap.Entry>(
+export function newerEntries<T extends digestMap.Entry>(
   map: Map<T>,
   { buckets, news }: Pick<Entries<T>, "buckets" | "news">,
-  { compare, isLive }: Order<T>,
+  { compare, isLive }: SyncOptions<T>,
 ): T[] {
   const theirs = new Map(news.map((entry) => [entry.id, entry]));
   return buckets.flatMap((pos) => map.bucket(pos)).filter((entry) => {
@@ -68,7 +68,7 @@
 }
 
 /** Cuts a list into parts of at most `limit`. */
-export function parts<T>(list: readonly T[], limit: number): T[][] {
+export function chunk<T>(list: readonly T[], limit: number): T[][] {
   const cut: T[][] = [];
   for (let pos = 0; pos < list.length; pos += limit) {
     cut.push(list.slice(pos, pos + limit));
--- a/src/membership/brief.ts
+++ b/src/membership/compact_member.ts
@@ -10,7 +10,7 @@
 type Status = keyof typeof LETTERS;
 
 /** Whether `statement` can be told in short to hosts that know `known`. */
-export function fits(
+export function canEncode(
   known: member.Member | undefined,
   statement: member.Member,
 ): boolean {
@@ -20,7 +20,7 @@
 }
 
 /** Id, status, incarnation, sequence, and a hash of the rest. */
-export function write(statement: member.Member): string {
+export function encode(statement: member.Member): string {
   const { id, status, incarnation, sequence } = statement;
   const letter = LETTERS[status as Status];
   return [
@@ -33,7 +33,7 @@
 }
 
 /** The whole statement; undefined where the rest of it is not known here. */
-export function read(
+export function decode(
   members: member.Members,
   text: string,
 ): member.Member | undefined {
--- a/src/membership/digest_map.ts
+++ b/src/membership/digest_map.ts
@@ -7,7 +7,7 @@
 /** Hashes in one comparison: groups of a map, or buckets of a group. */
 export const FANOUT = 16;
 /** Buckets of a map. */
-export const BUCKETS = FANOUT * FANOUT;
+export const BUCKET_COUNT = FANOUT * FANOUT;
 
 /** Something with an identity. */
 export interface Entry {
@@ -39,7 +39,7 @@
   }
 
   static create<T extends Entry>(digest: Digest<T>): DigestMap<T> {
-    return new DigestMap<T>(new Array(BUCKETS).fill(undefined), 0, digest);
+    return new DigestMap<T>(new Array(BUCKET_COUNT).fill(undefined), 0, digest);
   }
 
   get(id: string): T | undefined {
@@ -87,8 +87,8 @@
   }
 
   /** One hash of the whole map. */
-  root(): string {
-    return encode(this.#fold(0, BUCKETS));
+  rootHash(): string {
+    return encode(this.#fold(0, BUCKET_COUNT));
   }
 
   /** Hashes of all groups, or of the buckets of one. */
@@ -127,7 +127,7 @@
 
 /** Bucket that holds the entry with this id. */
 export function bucketOf(id: string): number {
-  return hash.text(id) % BUCKETS;
+  return hash.text(id) % BUCKET_COUNT;
 }
 
 function encode(hash: number): string {
--- a/src/membership/fake_fleet.ts
+++ b/src/membership/fake_fleet.ts
@@ -5,7 +5,7 @@
 import * as runtime from "../runtime/mod.ts";
 
 /** What a program wants sent. */
-export interface Outgoing {
+export interface OutgoingMessage {
   to: string;
   channel: runtime.Channel;
   body: unknown;
@@ -14,9 +14,9 @@
 /** What runs on one host. `now` is the clock of that host. */
 export interface Program {
   /** Takes a message. */
-  receive(envelope: runtime.Envelope, now: number): Outgoing[];
+  receive(envelope: runtime.Envelope, now: number): OutgoingMessage[];
   /** Does what is due. */
-  wake(now: number): Outgoing[];
+  wake(now: number): OutgoingMessage[];
   /** When it next wants to be woken; Infinity for never. */
   readonly wakeAt: number;
 }
@@ -129,7 +129,10 @@
   }
 
   /** Runs `action` on a host and sends what it returns. */
-  call(id: string, action: (program: P, now: number) => Outgoing[]): void {
+  call(
+    id: string,
+    action: (program: P, now: number) => OutgoingMessage[],
+  ): void {
     const slot = this.#slots.get(id);
     if (slot === undefined || slot.pausedAt !== undefined) return;
     this.#act(id, slot, action);
@@ -163,7 +166,7 @@
   #act(
     id: string,
     slot: Slot<P>,
-    action: (program: P, now: number) => Outgoing[],
+    action: (program: P, now: number) => OutgoingMessage[],
   ): void {
     const outgoing = action(slot.program, this.#nowAt(slot));
     for (const message of outgoing) this.#send({ from: id, ...message });
--- a/src/membership/spread.ts
+++ b/src/membership/gossip.ts
@@ -2,11 +2,11 @@
  * @module */
 
 import type * as schema from "../schema/membership_types.ts";
-import * as briefs from "./brief.ts";
-import * as exchange from "./exchange.ts";
+import * as briefs from "./compact_member.ts";
+import * as exchange from "./anti_entropy.ts";
 import * as member from "./member.ts";
 import * as merges from "./merge.ts";
-import * as outboxes from "./outbox.ts";
+import * as outboxes from "./gossip_queue.ts";
 import * as probes from "./probe.ts";
 import * as states from "./state.ts";
 
@@ -14,43 +14,45 @@
 const MEMBER_BYTES = 150;
 const BRIEF_BYTES = 40;
 
-const ORDER: exchange.Order<member.Member> = {
+const ORDER: exchange.SyncOptions<member.Member> = {
   compare: member.compare,
   isLive: member.isLive,
-  limit: states.NEWS_LIMIT,
+  maxEntries: states.MAX_UPDATES_PER_MESSAGE,
 };
 
-const SENDING: Omit<outboxes.Sending<states.News>, "neighbours"> = {
-  cost: ({ brief }) => brief ? BRIEF_BYTES : MEMBER_BYTES,
+const SENDING: Omit<outboxes.SendOptions<states.Update>, "neighbours"> = {
+  sizeOf: ({ isCompact: brief }) => brief ? BRIEF_BYTES : MEMBER_BYTES,
   // A refutation must come within the time that a suspect has.
   isUrgent: ({ member }) => member.status !== "suspect",
-  limit: states.NEWS_LIMIT,
+  maxEntries: states.MAX_UPDATES_PER_MESSAGE,
 };
 
 /** Does what is due: sends news, tries lost hosts, forgets old ones. */
 export function advance(step: states.Step): void {
-  if (step.now >= step.state.nextNews) sendNews(step);
-  if (step.now >= step.state.nextHeal) heal(step);
+  if (step.now >= step.state.nextGossip) sendUpdates(step);
+  if (step.now >= step.state.nextReconnect) heal(step);
 }
 
 /** When spreading next has something to do. */
 export function due(state: states.State): number {
-  return Math.min(state.nextNews, state.nextHeal);
+  return Math.min(state.nextGossip, state.nextReconnect);
 }
 
 /** Sends up to one message of news to each neighbour, as far as the bound on
  * bytes allows; the rest follows. */
-export function sendNews(step: states.Step): void {
+export function sendUpdates(step: states.Step): void {
   const { state, now } = step;
   const { neighbours } = state;
   const sending = { ...SENDING, neighbours };
-  const { outbox, parcels } = outboxes.take(state.outbox, now, sending);
-  const nextNews = outbox.items.size > 0 ? now + states.NEWS_DELAY : Infinity;
-  step.state = { ...state, outbox, nextNews };
+  const { outbox, parcels } = outboxes.dequeue(state.gossipQueue, now, sending);
+  const nextNews = outbox.items.size > 0
+    ? now + states.UPDATE_DELAY_MS
+    : Infinity;
+  step.state = { ...state, gossipQueue: outbox, nextGossip: nextNews };
   for (const { to, entries } of parcels) {
-    const news = entries.filter(({ brief }) => !brief).map(memberOf);
-    const brief = entries.filter(({ brief }) => brief).map(memberOf)
-      .map(briefs.write);
+    const news = entries.filter(({ isCompact: brief }) => !brief).map(memberOf);
+    const brief = entries.filter(({ isCompact: brief }) => brief).map(memberOf)
+      .map(briefs.encode);
     const body: schema.MemberNews = { type: "news", news };
     if (brief.length > 0) body.brief = brief;
     step.effects.push({ type: "send", to, body });
@@ -58,25 +60,25 @@
 }
 
 /** Compares copies with a host whose root differs from this host's. */
-export function compareRoot(
+export function compareRootHash(
   step: states.Step,
   from: string,
   root: string,
 ): void {
   const { state, now } = step;
-  if (root === state.members.root()) return;
-  const quiet = now - state.changedAt >= states.QUIET &&
-    state.outbox.items.size === 0;
+  if (root === state.members.rootHash()) return;
+  const quiet = now - state.changedAt >= states.SETTLE_TIME_MS &&
+    state.gossipQueue.items.size === 0;
   const recent = now < state.nextSync;
-  const waited = now >= state.nextSync + states.SYNC_INTERVAL;
+  const waited = now >= state.nextSync + states.SYNC_INTERVAL_MS;
   if (recent || (!quiet && !waited)) return;
-  step.state = { ...state, nextSync: now + states.QUIET };
-  const body = exchange.open(state.members);
+  step.state = { ...state, nextSync: now + states.SETTLE_TIME_MS };
+  const body = exchange.firstMessage(state.members);
   step.effects.push({ type: "send", to: from, body });
 }
 
 /** Answers hashes: with finer ones of groups that differ, then with members. */
-export function compare(
+export function answerHashes(
   step: states.Step,
   from: string,
   message: schema.MemberCompare,
@@ -87,15 +89,15 @@
 }
 
 /** Takes members of some buckets; sends back what is newer here. */
-export function receive(
+export function receiveEntries(
   step: states.Step,
   from: string,
   message: schema.MemberEntries,
 ): void {
-  const newer = exchange.newer(step.state.members, message, ORDER);
+  const newer = exchange.newerEntries(step.state.members, message, ORDER);
   merges.mergeAll(step, message.news, from);
   if (!message.reply) return;
-  for (const part of exchange.parts(newer, states.NEWS_LIMIT)) {
+  for (const part of exchange.chunk(newer, states.MAX_UPDATES_PER_MESSAGE)) {
     sendMembers(step, from, part);
   }
 }
@@ -108,7 +110,7 @@
   step.effects.push({ type: "send", to, body: { type: "news", news } });
 }
 
-function memberOf({ member }: states.News): member.Member {
+function memberOf({ member }: states.Update): member.Member {
   return member;
 }
 
@@ -119,10 +121,12 @@
   const { state, now } = step;
   const { options, members, live } = state;
   const alone = live.length < 2;
-  const interval = alone ? states.JOIN_INTERVAL : states.HEAL_INTERVAL;
-  step.state = { ...state, nextHeal: now + interval };
+  const interval = alone
+    ? states.JOIN_INTERVAL_MS
+    : states.RECONNECT_INTERVAL_MS;
+  step.state = { ...state, nextReconnect: now + interval };
   const self = members.get(options.self.id)!;
-  for (const ids of [options.seeds, [...state.dead.keys()]]) {
+  for (const ids of [options.seeds, [...state.deadSince.keys()]]) {
     const lost = ids.filter((id) => isLost(state, id));
     if (lost.length === 0) continue;
     const to = lost[options.random.below(lost.length)];
@@ -139,16 +143,16 @@
 
 function forget(step: states.Step): void {
   const { state, now } = step;
-  const excess = state.dead.size - states.DEAD_LIMIT;
-  const old = [...state.dead].filter(([, at], pos) =>
-    pos < excess || now - at >= states.DEAD_KEPT
+  const excess = state.deadSince.size - states.MAX_DEAD_MEMBERS;
+  const old = [...state.deadSince].filter(([, at], pos) =>
+    pos < excess || now - at >= states.DEAD_RETENTION_MS
   );
   if (old.length === 0) return;
-  const dead = new Map(state.dead);
+  const dead = new Map(state.deadSince);
   let members = state.members;
   for (const [id] of old) {
     dead.delete(id);
     members = members.delete(id);
   }
-  step.state = { ...state, dead, members };
+  step.state = { ...state, deadSince: dead, members };
 }
--- a/src/membership/outbox_test.ts
+++ b/src/membership/gossip_queue_test.ts
@@ -1,5 +1,5 @@
 import test from "ava";
-import * as outboxes from "./outbox.ts";
+import * as outboxes from "./gossip_queue.ts";
 
 interface Entry {
   id: string;
@@ -8,17 +8,17 @@
 
 const COST = 40;
 const NEIGHBOURS = ["n1", "n2", "n3"];
-const SENDING: outboxes.Sending<Entry> = {
+const SENDING: outboxes.SendOptions<Entry> = {
   neighbours: NEIGHBOURS,
-  cost: () => COST,
+  sizeOf: () => COST,
   isUrgent: ({ urgent }) => urgent,
-  limit: 32,
+  maxEntries: 32,
 };
 
-function fill(count: number, urgent = false): outboxes.Outbox<Entry> {
+function fill(count: number, urgent = false): outboxes.GossipQueue<Entry> {
   let outbox = outboxes.create<Entry>();
   for (let pos = 0; pos < count; pos++) {
-    outbox = outboxes.put(outbox, { id: `e${pos}`, urgent }, "n1");
+    outbox = outboxes.enqueue(outbox, { id: `e${pos}`, urgent }, "n1");
   }
   return outbox;
 }
@@ -29,7 +29,7 @@
   let most = 0;
   let now = 0;
   for (; outbox.items.size > 0 && now < 120_000; now += 100) {
-    const taken = outboxes.take(outbox, now, SENDING);
+    const taken = outboxes.dequeue(outbox, now, SENDING);
     outbox = taken.outbox;
     const entries = taken.parcels.flatMap(({ entries }) => entries);
     most = Math.max(most, entries.length * COST);
@@ -43,22 +43,22 @@
   t.false(sent.has("n1"));
   t.is(sent.get("n2")!.size, 500);
   t.is(sent.get("n3")!.size, 500);
-  t.true(most <= outboxes.BURST + 32 * COST);
+  t.true(most <= outboxes.BURST_BYTES + 32 * COST);
   t.true(now > 10_000);
 });
 
 test("what is urgent goes at once, before what waits", (t) => {
-  const first = outboxes.take(fill(500), 0, SENDING);
+  const first = outboxes.dequeue(fill(500), 0, SENDING);
   const refutation = { id: "r1", urgent: true };
-  const outbox = outboxes.put(first.outbox, refutation, "self");
-  const { parcels } = outboxes.take(outbox, 100, SENDING);
+  const outbox = outboxes.enqueue(first.outbox, refutation, "self");
+  const { parcels } = outboxes.dequeue(outbox, 100, SENDING);
   t.deepEqual(parcels.map(({ to }) => to).sort(), NEIGHBOURS);
   t.true(parcels.every(({ entries }) => entries[0].id === "r1"));
 });
 
 test("a neighbour that has told of a change gets no copy", (t) => {
-  const outbox = outboxes.hear(fill(1), "e0", "n2");
-  const { parcels, outbox: rest } = outboxes.take(outbox, 0, SENDING);
+  const outbox = outboxes.markKnown(fill(1), "e0", "n2");
+  const { parcels, outbox: rest } = outboxes.dequeue(outbox, 0, SENDING);
   t.deepEqual(parcels.map(({ to }) => to), ["n3"]);
   t.is(rest.items.size, 0);
 });
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -4,9 +4,9 @@
 import type * as schema from "../schema/membership_types.ts";
 import * as member from "./member.ts";
 import * as merges from "./merge.ts";
-import * as outboxes from "./outbox.ts";
+import * as outboxes from "./gossip_queue.ts";
 import * as probes from "./probe.ts";
-import * as spreads from "./spread.ts";
+import * as spreads from "./gossip.ts";
 import type * as states from "./state.ts";
 
 /** Outcome of a step. */
@@ -46,15 +46,15 @@
       neighbours: [],
       probe: undefined,
       relays: new Map(),
-      number: options.random.below(2 ** 30),
+      lastPing: options.random.below(2 ** 30),
       nextProbe: 0,
-      nextHeal: 0,
+      nextReconnect: 0,
       nextSync: 0,
       changedAt: -Infinity,
-      suspects: new Map(),
-      dead: new Map(),
-      outbox: outboxes.create(),
-      nextNews: Infinity,
+      suspicionEnds: new Map(),
+      deadSince: new Map(),
+      gossipQueue: outboxes.create(),
+      nextGossip: Infinity,
       wakeAt: Infinity,
     });
   }
@@ -107,13 +107,19 @@
   }
 
   /** Hash of the live hosts and their statements; equal where views agree. */
-  get root(): string {
-    return this.#state.members.root();
+  get rootHash(): string {
+    return this.#state.members.rootHash();
   }
 
   /** For the state dump. */
   toJSON(): object {
-    const { members, suspects, dead, neighbours, outbox } = this.#state;
+    const {
+      members,
+      suspicionEnds: suspects,
+      deadSince: dead,
+      neighbours,
+      gossipQueue: outbox,
+    } = this.#state;
     return {
       members: [...members.values()],
       suspects: [...suspects.keys()],
@@ -135,32 +141,32 @@
     const handler = messages[body.type] as Handler;
     handler(step, body, from);
   },
-  drain: (step, { reason }) => merges.restate(step, { drain: reason }),
-  resume: (step) => merges.restate(step, { drain: undefined }),
+  drain: (step, { reason }) => merges.updateSelf(step, { drain: reason }),
+  resume: (step) => merges.updateSelf(step, { drain: undefined }),
   leave: (step) => {
-    merges.restate(step, { status: "left" });
-    const outbox = outboxes.refill(step.state.outbox);
-    step.state = { ...step.state, outbox };
-    spreads.sendNews(step);
+    merges.updateSelf(step, { status: "left" });
+    const outbox = outboxes.refillCredit(step.state.gossipQueue);
+    step.state = { ...step.state, gossipQueue: outbox };
+    spreads.sendUpdates(step);
   },
 };
 
 const messages: Handlers<schema.MembershipMessage, string> = {
   ping: (step, body, from) => {
     merges.mergeAll(step, body.news ?? [], from);
-    probes.answer(step, from, body);
+    probes.answerPing(step, from, body);
   },
   ack: (step, body, from) => {
-    probes.acknowledge(step, body.probe);
+    probes.receiveAck(step, body.probe);
     merges.mergeAll(step, body.news ?? [], from);
-    spreads.compareRoot(step, from, body.root);
+    spreads.compareRootHash(step, from, body.root);
   },
-  relay: (step, body, from) => probes.relay(step, from, body),
-  vouch: (step, body) => probes.acknowledge(step, body.probe),
+  relay: (step, body, from) => probes.relayPing(step, from, body),
+  vouch: (step, body) => probes.receiveAck(step, body.probe),
   news: (step, { news, brief = [] }, from) => {
     merges.mergeAll(step, news, from);
-    merges.mergeBrief(step, brief, from);
+    merges.mergeCompact(step, brief, from);
   },
-  compare: (step, body, from) => spreads.compare(step, from, body),
-  entries: (step, body, from) => spreads.receive(step, from, body),
+  compare: (step, body, from) => spreads.answerHashes(step, from, body),
+  entries: (step, body, from) => spreads.receiveEntries(step, from, body),
 };
--- a/src/membership/membership_test.ts
+++ b/src/membership/membership_test.ts
@@ -22,7 +22,7 @@
     return this.step({ type: "wake" }, now);
   }
 
-  step(event: membership.Event, now: number): fakeFleet.Outgoing[] {
+  step(event: membership.Event, now: number): fakeFleet.OutgoingMessage[] {
     const { state, effects } = this.view.step(event, now);
     this.view = state;
     return effects.flatMap((effect) => {
@@ -68,7 +68,7 @@
 
 function agree(fleet: Fleet): boolean {
   const running = fleet.ids.sort().join();
-  const roots = new Set(fleet.programs.map(({ view }) => view.root));
+  const roots = new Set(fleet.programs.map(({ view }) => view.rootHash));
   return roots.size === 1 &&
     fleet.ids.every((id) => liveAt(fleet, id).join() === running);
 }
--- a/src/membership/merge.ts
+++ b/src/membership/merge.ts
@@ -1,9 +1,9 @@
 /** Takes statements about members into the state.
  * @module */
 
-import * as briefs from "./brief.ts";
+import * as briefs from "./compact_member.ts";
 import * as member from "./member.ts";
-import * as outboxes from "./outbox.ts";
+import * as outboxes from "./gossip_queue.ts";
 import * as rings from "./rings.ts";
 import * as states from "./state.ts";
 
@@ -18,13 +18,13 @@
 
 /** Takes in short statements; copies are compared later if one is about what
  * is not known here. */
-export function mergeBrief(
+export function mergeCompact(
   step: states.Step,
   texts: readonly string[],
   from: string,
 ): void {
   for (const text of texts) {
-    const statement = briefs.read(step.state.members, text);
+    const statement = briefs.decode(step.state.members, text);
     if (statement !== undefined) merge(step, statement, from);
   }
 }
@@ -50,63 +50,67 @@
       return merge(step, { ...statement, status: "suspect" }, from);
     }
   }
-  adopt(step, statement, from);
+  replace(step, statement, from);
 }
 
 /** Declares a suspect dead that has not refuted in time. */
-export function bury(step: states.Step, id: string): void {
+export function declareDead(step: states.Step, id: string): void {
   const known = step.state.members.get(id)!;
-  adopt(step, { ...known, status: "dead" }, "");
+  replace(step, { ...known, status: "dead" }, "");
 }
 
 /** Replaces what is known of a member, tells the other parts and spreads it. */
-export function adopt(
+export function replace(
   step: states.Step,
   statement: member.Member,
   from: string,
 ): void {
   const { state, now } = step;
   const known = state.members.get(statement.id);
-  const suspects = new Map(state.suspects);
-  const dead = new Map(state.dead);
+  const suspects = new Map(state.suspicionEnds);
+  const dead = new Map(state.deadSince);
   suspects.delete(statement.id);
   dead.delete(statement.id);
   if (statement.status === "suspect") {
-    suspects.set(statement.id, now + states.SUSPICION);
+    suspects.set(statement.id, now + states.SUSPICION_TIMEOUT_MS);
   }
   if (!member.isLive(statement)) dead.set(statement.id, now);
   // Each host declares a death by its own clock, so that only the suspicion
   // needs to spread.
   const { id } = statement;
-  const brief = briefs.fits(known, statement);
+  const isCompact = briefs.canEncode(known, statement);
   const outbox = statement.status === "dead"
-    ? state.outbox
-    : outboxes.put(state.outbox, { id, member: statement, brief }, from);
+    ? state.gossipQueue
+    : outboxes.enqueue(state.gossipQueue, {
+      id,
+      member: statement,
+      isCompact: isCompact,
+    }, from);
   step.state = {
     ...state,
     members: state.members.set(statement),
-    suspects,
-    dead,
-    outbox,
-    nextNews: Math.min(state.nextNews, now + states.NEWS_DELAY),
+    suspicionEnds: suspects,
+    deadSince: dead,
+    gossipQueue: outbox,
+    nextGossip: Math.min(state.nextGossip, now + states.UPDATE_DELAY_MS),
   };
   relink(step, known, statement);
   notify(step, known, statement);
 }
 
 function hear(step: states.Step, id: string, from: string): void {
-  const outbox = outboxes.hear(step.state.outbox, id, from);
-  step.state = { ...step.state, outbox };
+  const outbox = outboxes.markKnown(step.state.gossipQueue, id, from);
+  step.state = { ...step.state, gossipQueue: outbox };
 }
 
 /** Changes what this host says of itself, and spreads it. */
-export function restate(
+export function updateSelf(
   step: states.Step,
   change: Partial<member.Member>,
 ): void {
   const { options, members } = step.state;
   const self = members.get(options.self.id)!;
-  adopt(step, { ...self, sequence: self.sequence + 1, ...change }, self.id);
+  replace(step, { ...self, sequence: self.sequence + 1, ...change }, self.id);
 }
 
 function refute(step: states.Step, statement: member.Member): void {
@@ -118,7 +122,7 @@
   const incarnation = statement.incarnation > self.incarnation
     ? statement.incarnation + 1
     : self.incarnation;
-  restate(step, { incarnation, sequence: statement.sequence + 1 });
+  updateSelf(step, { incarnation, sequence: statement.sequence + 1 });
 }
 
 function relink(
--- a/src/membership/mod.ts
+++ b/src/membership/mod.ts
@@ -2,10 +2,10 @@
  * @module */
 
 export * from "./digest_map.ts";
-export * as exchange from "./exchange.ts";
+export * as exchange from "./anti_entropy.ts";
 export * as hash from "./hash.ts";
 export { isLive, type Member, type Members } from "./member.ts";
 export * from "./membership.ts";
-export * as outbox from "./outbox.ts";
+export * as outbox from "./gossip_queue.ts";
 export * as rings from "./rings.ts";
 export type { Change, Effect, Event, Options } from "./state.ts";
--- a/src/membership/probe.ts
+++ b/src/membership/probe.ts
@@ -14,12 +14,12 @@
   to: string,
   { relay, news }: { relay?: states.Relay; news?: member.Member[] } = {},
 ): number {
-  const number = step.state.number + 1;
+  const number = step.state.lastPing + 1;
   const relays = relay === undefined
     ? step.state.relays
     : new Map(step.state.relays).set(number, relay);
-  step.state = { ...step.state, number, relays };
-  const root = step.state.members.root();
+  step.state = { ...step.state, lastPing: number, relays };
+  const root = step.state.members.rootHash();
   const body: schema.Ping = { type: "ping", probe: number, root };
   if (news !== undefined) body.news = news;
   step.effects.push({ type: "send", to, body });
@@ -27,14 +27,14 @@
 }
 
 /** Answers a ping; corrects a sender that this host knows otherwise. */
-export function answer(
+export function answerPing(
   step: states.Step,
   from: string,
   body: schema.Ping,
 ): void {
   const { members, options } = step.state;
   const known = members.get(from);
-  const root = members.root();
+  const root = members.rootHash();
   const ack: schema.Ack = { type: "ack", probe: body.probe, root };
   if (known !== undefined && known.status !== "alive") ack.news = [known];
   if (known === undefined) ack.news = [members.get(options.self.id)!];
@@ -42,7 +42,7 @@
 }
 
 /** Takes an ack of this host's probe, or of one that it relays. */
-export function acknowledge(step: states.Step, number: number): void {
+export function receiveAck(step: states.Step, number: number): void {
   const { probe, relays } = step.state;
   if (probe?.number === number) {
     step.state = { ...step.state, probe: undefined };
@@ -57,12 +57,12 @@
 }
 
 /** Pings `subject` for another host. */
-export function relay(
+export function relayPing(
   step: states.Step,
   from: string,
   body: schema.Relay,
 ): void {
-  const relay = { origin: from, probe: body.probe, at: step.now };
+  const relay = { origin: from, probe: body.probe, sentAt: step.now };
   ping(step, body.subject, { relay });
 }
 
@@ -76,9 +76,9 @@
 
 /** When probing next has something to do. */
 export function due(state: states.State): number {
-  const { probe, nextProbe, suspects } = state;
-  const wait = probe?.relayed ? states.PROBE_TIMEOUT : states.ACK_TIMEOUT;
-  const follow = probe === undefined ? Infinity : probe.at + wait;
+  const { probe, nextProbe, suspicionEnds: suspects } = state;
+  const wait = probe?.relayed ? states.PROBE_TIMEOUT_MS : states.ACK_TIMEOUT_MS;
+  const follow = probe === undefined ? Infinity : probe.sentAt + wait;
   return Math.min(nextProbe, follow, ...suspects.values());
 }
 
@@ -86,18 +86,22 @@
 function forgive(step: states.Step): void {
   const { state, now } = step;
   const late = now - state.wakeAt;
-  if (late < states.PAUSE) return;
-  const suspects = new Map(state.suspects);
-  for (const id of suspects.keys()) suspects.set(id, now + states.SUSPICION);
-  step.state = { ...state, suspects, probe: undefined };
+  if (late < states.PAUSE_THRESHOLD_MS) return;
+  const suspects = new Map(state.suspicionEnds);
+  for (const id of suspects.keys()) {
+    suspects.set(id, now + states.SUSPICION_TIMEOUT_MS);
+  }
+  step.state = { ...state, suspicionEnds: suspects, probe: undefined };
 }
 
 function follow(step: states.Step): void {
   const { probe } = step.state;
   if (probe === undefined) return;
-  const silence = step.now - probe.at;
-  if (silence >= states.PROBE_TIMEOUT) return suspect(step, probe.subject);
-  if (silence >= states.ACK_TIMEOUT && !probe.relayed) askOthers(step, probe);
+  const silence = step.now - probe.sentAt;
+  if (silence >= states.PROBE_TIMEOUT_MS) return suspect(step, probe.subject);
+  if (silence >= states.ACK_TIMEOUT_MS && !probe.relayed) {
+    askOthers(step, probe);
+  }
 }
 
 function askOthers(step: states.Step, probe: states.Probe): void {
@@ -105,7 +109,7 @@
   const own = state.options.self.id;
   const helpers = rings.observers(probe.subject, state.live)
     .filter((id) => id !== own)
-    .slice(0, states.RELAYS);
+    .slice(0, states.INDIRECT_PROBE_COUNT);
   const { number, subject } = probe;
   for (const to of helpers) {
     const body: schema.Relay = { type: "relay", probe: number, subject };
@@ -122,8 +126,8 @@
 }
 
 function bury(step: states.Step): void {
-  for (const [id, at] of step.state.suspects) {
-    if (step.now >= at) merges.bury(step, id);
+  for (const [id, at] of step.state.suspicionEnds) {
+    if (step.now >= at) merges.declareDead(step, id);
   }
 }
 
@@ -132,12 +136,14 @@
   if (now < state.nextProbe) return;
   const { subjects } = state;
   const relays = new Map(
-    [...state.relays].filter(([, { at }]) => now - at < states.PROBE_TIMEOUT),
+    [...state.relays].filter(([, { sentAt: at }]) =>
+      now - at < states.PROBE_TIMEOUT_MS
+    ),
   );
-  step.state = { ...state, relays, nextProbe: now + states.PROBE_INTERVAL };
+  step.state = { ...state, relays, nextProbe: now + states.PROBE_INTERVAL_MS };
   if (subjects.length === 0 || state.probe !== undefined) return;
-  const subject = subjects[state.number % subjects.length];
+  const subject = subjects[state.lastPing % subjects.length];
   const number = ping(step, subject);
-  const probe = { number, subject, at: now, relayed: false };
+  const probe = { number, subject, sentAt: now, relayed: false };
   step.state = { ...step.state, probe };
 }
--- a/src/membership/state.ts
+++ b/src/membership/state.ts
@@ -4,36 +4,36 @@
 import type * as runtime from "../runtime/mod.ts";
 import type * as schema from "../schema/membership_types.ts";
 import type * as member from "./member.ts";
-import type * as outboxes from "./outbox.ts";
+import type * as outboxes from "./gossip_queue.ts";
 
 /** A ping every so many milliseconds. */
-export const PROBE_INTERVAL = 1000;
+export const PROBE_INTERVAL_MS = 1000;
 /** Silence after which other hosts are asked to ping the subject. */
-export const ACK_TIMEOUT = 400;
+export const ACK_TIMEOUT_MS = 400;
 /** Silence after which the subject is suspected. */
-export const PROBE_TIMEOUT = 1000;
+export const PROBE_TIMEOUT_MS = 1000;
 /** Time that a suspect has to refute. */
-export const SUSPICION = 3000;
+export const SUSPICION_TIMEOUT_MS = 3000;
 /** News waits so long for more news before it is sent on. */
-export const NEWS_DELAY = 100;
+export const UPDATE_DELAY_MS = 100;
 /** Most members in one message. */
-export const NEWS_LIMIT = 32;
+export const MAX_UPDATES_PER_MESSAGE = 32;
 /** Hosts asked to ping a silent subject. */
-export const RELAYS = 3;
+export const INDIRECT_PROBE_COUNT = 3;
 /** Between tries to reach a host that counts as dead. */
-export const HEAL_INTERVAL = 10_000;
+export const RECONNECT_INTERVAL_MS = 10_000;
 /** Between tries to reach a seed while no other host is known to live. */
-export const JOIN_INTERVAL = 500;
+export const JOIN_INTERVAL_MS = 500;
 /** A copy that has not changed for so long should equal that of others. */
-export const QUIET = 1000;
+export const SETTLE_TIME_MS = 1000;
 /** Copies are compared at most this often, unless they are quiet. */
-export const SYNC_INTERVAL = 10_000;
+export const SYNC_INTERVAL_MS = 10_000;
 /** A dead host is remembered, and tried, for so long. */
-export const DEAD_KEPT = 7_200_000;
+export const DEAD_RETENTION_MS = 7_200_000;
 /** Most dead hosts remembered; the oldest are forgotten first. */
-export const DEAD_LIMIT = 1024;
+export const MAX_DEAD_MEMBERS = 1024;
 /** A wake that comes so late shows that this process was paused. */
-export const PAUSE = 1000;
+export const PAUSE_THRESHOLD_MS = 1000;
 
 /** What a host needs to take part. */
 export interface Options {
@@ -69,7 +69,7 @@
 export interface Probe {
   number: number;
   subject: string;
-  at: number;
+  sentAt: number;
   relayed: boolean;
 }
 
@@ -78,7 +78,7 @@
   origin: string;
   /** Number of the probe at its origin. */
   probe: number;
-  at: number;
+  sentAt: number;
 }
 
 /** All of membership at one host; never changed in place. */
@@ -94,28 +94,28 @@
   readonly probe: Probe | undefined;
   readonly relays: ReadonlyMap<number, Relay>;
   /** Number of the last ping. */
-  readonly number: number;
+  readonly lastPing: number;
   readonly nextProbe: number;
-  readonly nextHeal: number;
+  readonly nextReconnect: number;
   readonly nextSync: number;
   /** When a live member was last added, changed or lost. */
   readonly changedAt: number;
   /** When each suspect is declared dead. */
-  readonly suspects: ReadonlyMap<string, number>;
+  readonly suspicionEnds: ReadonlyMap<string, number>;
   /** When each dead host was declared so. */
-  readonly dead: ReadonlyMap<string, number>;
-  readonly outbox: outboxes.Outbox<News>;
-  readonly nextNews: number;
+  readonly deadSince: ReadonlyMap<string, number>;
+  readonly gossipQueue: outboxes.GossipQueue<Update>;
+  readonly nextGossip: number;
   /** The wake that was asked for last. */
   readonly wakeAt: number;
 }
 
 /** A change on its way to the neighbours. */
-export interface News {
+export interface Update {
   id: string;
   member: member.Member;
   /** Whether hosts that know the member need the short form only. */
-  brief: boolean;
+  isCompact: boolean;
 }
 
 /** One step under way: the state may be replaced until it is done. */
--- a/src/node/directory.ts
+++ b/src/node/directory.ts
@@ -27,8 +27,8 @@
 /** Keeps track of announced endpoints. */
 export class Directory {
   readonly #options: DirectoryOptions;
-  readonly #alarm: runtime.Alarm;
-  readonly #gathered: runtime.Alarm;
+  readonly #alarm: runtime.Timer;
+  readonly #gathered: runtime.Timer;
   #registry: endpoints.Registry;
   /** Answer to the announcement under way. */
   #answer: request.NoticeResult | undefined;
@@ -38,11 +38,11 @@
   private constructor(options: DirectoryOptions) {
     this.#options = options;
     this.#registry = endpoints.Registry.create(options);
-    this.#alarm = runtime.Alarm.create(
+    this.#alarm = runtime.Timer.create(
       options.clock,
       () => this.#step({ type: "wake" }),
     );
-    this.#gathered = runtime.Alarm.create(options.clock, () => this.#tell());
+    this.#gathered = runtime.Timer.create(options.clock, () => this.#tell());
   }
 
   /** A directory without endpoints. */
@@ -57,7 +57,7 @@
 
   /** Whether this copy has once equalled that of another host. */
   get agreed(): boolean {
-    return this.#registry.agreed;
+    return this.#registry.hasSynced;
   }
 
   /** Begins to compare notes with other hosts. */
--- a/src/node/limits.ts
+++ b/src/node/limits.ts
@@ -28,10 +28,10 @@
   /** Watches what callers ask. */
   readonly meter = shares.meter.Meter.create();
   readonly #options: Options;
-  readonly #look: runtime.Alarm;
-  readonly #report: runtime.Alarm;
-  readonly #expiry: runtime.Alarm;
-  readonly #round: runtime.Alarm;
+  readonly #look: runtime.Timer;
+  readonly #report: runtime.Timer;
+  readonly #expiry: runtime.Timer;
+  readonly #round: runtime.Timer;
   #limits: readonly shares.Limit[] = [];
   #holder: shares.holder.Holder;
   #allocator = shares.allocator.Allocator.create();
@@ -44,13 +44,13 @@
     const hosts = fleet.hosts.length;
     this.#options = options;
     this.#holder = shares.holder.Holder.create({ hosts, random });
-    this.#look = runtime.Alarm.create(clock, () => this.#lookAround());
-    this.#report = runtime.Alarm.create(clock, () => this.#tellDemand());
-    this.#expiry = runtime.Alarm.create(
+    this.#look = runtime.Timer.create(clock, () => this.#lookAround());
+    this.#report = runtime.Timer.create(clock, () => this.#tellDemand());
+    this.#expiry = runtime.Timer.create(
       clock,
       () => this.#hold({ type: "wake" }),
     );
-    this.#round = runtime.Alarm.create(clock, () => {
+    this.#round = runtime.Timer.create(clock, () => {
       this.#followLease();
       this.#allocate({ type: "wake" });
     });
--- a/src/node/local_fleet.ts
+++ b/src/node/local_fleet.ts
@@ -5,7 +5,7 @@
 import * as fs from "node:fs";
 import * as os from "node:os";
 import * as path from "node:path";
-import * as relays from "../peers/relay.ts";
+import * as relays from "../peers/tcp_proxy.ts";
 import * as runtime from "../runtime/mod.ts";
 import type * as schema from "../schema/settings_types.ts";
 import * as telemetry from "../telemetry/mod.ts";
@@ -41,7 +41,7 @@
   readonly #folder = fs.mkdtempSync(path.join(os.tmpdir(), "chicoryloft-"));
   readonly #options: Options;
   /** Relays in front of each host, by the host that dials. */
-  readonly #relays = new Map<string, Map<string, relays.Relay>>();
+  readonly #relays = new Map<string, Map<string, relays.TcpProxy>>();
 
   private constructor(options: Options) {
     this.#options = options;
@@ -129,11 +129,11 @@
     id: string,
     hosts: readonly schema.Host[],
   ): Promise<schema.Settings> {
-    const dialled = new Map<string, relays.Relay>();
+    const dialled = new Map<string, relays.TcpProxy>();
     this.#relays.set(id, dialled);
     for (const { id: to } of hosts) {
       if (to === id) continue;
-      dialled.set(to, await relays.Relay.create(() => this.#portOf(to)));
+      dialled.set(to, await relays.TcpProxy.create(() => this.#portOf(to)));
     }
     const [first, ...rest] = hosts.map((host) => {
       return { ...host, port: dialled.get(host.id)?.port ?? host.port };
--- a/src/node/members.ts
+++ b/src/node/members.ts
@@ -21,14 +21,14 @@
 /** Keeps track of the other hosts. */
 export class Members {
   readonly #options: MembersOptions;
-  readonly #alarm: runtime.Alarm;
+  readonly #alarm: runtime.Timer;
   #membership: membership.Membership;
   #left = false;
 
   private constructor(options: MembersOptions) {
     this.#options = options;
     this.#membership = membership.Membership.create(options);
-    this.#alarm = runtime.Alarm.create(
+    this.#alarm = runtime.Timer.create(
       options.clock,
       () => this.#step({ type: "wake" }),
     );
--- a/src/node/subsets.ts
+++ b/src/node/subsets.ts
@@ -24,8 +24,8 @@
 /** Chooses endpoints; remembers its choices until hosts come or go. */
 export class Subsets {
   readonly #self: string;
-  #fleet = routing.subset.Fleet.create([]);
-  #hosts: readonly routing.subset.Place[] = [];
+  #fleet = routing.subset.SubsetSelector.create([]);
+  #hosts: readonly routing.subset.Location[] = [];
   #services = new Map<string, Service>();
 
   private constructor(self: string) {
@@ -44,7 +44,7 @@
     ).map(({ id, dataCentre }) => ({ id, dataCentre }));
     if (equal(hosts, this.#hosts)) return false;
     this.#hosts = hosts;
-    this.#fleet = routing.subset.Fleet.create(hosts);
+    this.#fleet = routing.subset.SubsetSelector.create(hosts);
     this.#services.clear();
     return true;
   }
@@ -78,12 +78,12 @@
     present: Map<string, Service>,
   ): boolean {
     const { id, service, dataCentre } = endpoint;
-    const covers = this.#fleet.covers(size);
+    const covers = this.#fleet.hostsPerEndpoint(size);
     const former = this.#services.get(service);
     const known = former?.covers === covers ? former.chosen.get(id) : undefined;
     const choice = known?.dataCentre === dataCentre ? known : {
       dataCentre,
-      covered: this.#fleet.covered(this.#self, endpoint, covers),
+      covered: this.#fleet.isAssigned(this.#self, endpoint, covers),
     };
     const kept = present.get(service) ?? { covers, chosen: new Map() };
     kept.chosen.set(id, choice);
@@ -93,8 +93,8 @@
 }
 
 function equal(
-  left: readonly routing.subset.Place[],
-  right: readonly routing.subset.Place[],
+  left: readonly routing.subset.Location[],
+  right: readonly routing.subset.Location[],
 ): boolean {
   return left.length === right.length &&
     left.every(({ id, dataCentre }, pos) =>
--- a/src/peers/connection.ts
+++ b/src/peers/connection.ts
@@ -27,7 +27,7 @@
   /** It has ended; what was under way is lost. */
   close(): void;
   /** The other host has taken a frame. */
-  answer(id: number): void;
+  acknowledged(id: number): void;
 }
 
 /** A lasting connection. */
@@ -80,7 +80,7 @@
       if (!this.#isClosed) this.#listener.open();
     });
     socket.on("message", (data) => {
-      this.#listener.answer(frames.decodeAnswer(`${data}`));
+      this.#listener.acknowledged(frames.decodeAck(`${data}`));
     });
     socket.on("error", (err) => logger.debug({ peer: host, err }, "Lost"));
     socket.on("close", () => this.#ended());
--- a/src/peers/frame.ts
+++ b/src/peers/frame.ts
@@ -8,7 +8,7 @@
 import * as validators from "../schema/peers_validators.ts";
 
 /** The text of a message in a frame. */
-export function encodeParcel({ channel, body }: schema.Parcel): string {
+export function encodeMessage({ channel, body }: schema.Parcel): string {
   return `{"channel":${JSON.stringify(channel)},"body":${
     JSON.stringify(body)
   }}`;
@@ -25,11 +25,11 @@
 }
 
 /** The number that a frame is acknowledged with. */
-export function encodeAnswer(id: number): string {
+export function encodeAck(id: number): string {
   return `${id}`;
 }
 
 /** The number of the frame that is acknowledged; NaN for anything else. */
-export function decodeAnswer(text: string): number {
+export function decodeAck(text: string): number {
   return Number(text);
 }
--- a/src/peers/lenient_decode.ts
+++ b/src/peers/lenient_decode.ts
@@ -9,7 +9,7 @@
 const MOST = 64;
 
 /** How messages of a channel are read. */
-export interface Reading {
+export interface DecodeOptions {
   readonly validate: check.Validator;
   /** Names of lists whose entries stand by themselves. */
   readonly lists?: readonly string[];
@@ -19,7 +19,7 @@
  * stood in, one name for each; undefined when it can't be read at all. */
 export function decode(
   body: unknown,
-  { validate, lists = [] }: Reading,
+  { validate, lists = [] }: DecodeOptions,
 ): string[] | undefined {
   const leftOut: string[] = [];
   while (!validate(body)) {
--- a/src/peers/lenient_decode_test.ts
+++ b/src/peers/lenient_decode_test.ts
@@ -8,7 +8,7 @@
 const READING = { validate: fleet.validate, lists: ["sightings", "uses"] };
 
 function sighting(id: string, change: object = {}) {
-  return { ...fixture.sighting({ id }), age: 0, ...change };
+  return { ...fixture.endpointStatus({ id }), age: 0, ...change };
 }
 
 function note(...sightings: unknown[]) {
--- a/src/peers/link.ts
+++ b/src/peers/link.ts
@@ -8,10 +8,10 @@
 import type * as telemetry from "../telemetry/mod.ts";
 import * as connections from "./connection.ts";
 import * as frames from "./frame.ts";
-import * as queue from "./queue.ts";
+import * as queue from "./send_queue.ts";
 
 /** Milliseconds in which a batch is answered, or the connection is silent. */
-export const ANSWER_TIMEOUT = 1000;
+export const ACK_TIMEOUT_MS = 1000;
 /** Milliseconds of rest after which an empty batch probes the connection. */
 const PROBE = 5000;
 /** Milliseconds without messages after which the connection is closed. */
@@ -44,7 +44,7 @@
 /** Sends messages to one host. */
 export class Link {
   readonly #options: LinkOptions;
-  readonly #queue: queue.Queue;
+  readonly #queue: queue.SendQueue;
   readonly #underWay = new Map<number, UnderWay>();
   #connection: connections.Connection;
   #open = false;
@@ -58,7 +58,7 @@
   private constructor(options: LinkOptions) {
     const { clock, metrics } = options;
     this.#options = options;
-    this.#queue = queue.Queue.create(
+    this.#queue = queue.SendQueue.create(
       BOUNDS,
       (reason) => metrics.count("peer.dropped", 1, { reason }),
     );
@@ -90,18 +90,18 @@
     const now = this.#options.clock.now();
     const [oldest] = this.#underWay.values();
     const silent = oldest !== undefined &&
-      now - oldest.sentAt >= ANSWER_TIMEOUT;
+      now - oldest.sentAt >= ACK_TIMEOUT_MS;
     if (silent && !late) {
       this.#options.metrics.count("peer.silent");
-      this.replace("silent");
+      this.reconnect("silent");
     } else if (this.#open && now - this.#lastBatch >= PROBE) {
-      this.#deliver({ parcels: [], bytes: 0 });
+      this.#deliver({ messages: [], bytes: 0 });
     }
     return now - this.#lastMessage < IDLE;
   }
 
   /** Exchanges the connection for a new one. */
-  replace(reason: string): void {
+  reconnect(reason: string): void {
     const { logger, host } = this.#options;
     logger.info({ peer: host, reason }, "Connection replaced");
     this.#connection.close();
@@ -111,10 +111,10 @@
 
   /** Dials at once where it would wait for its next try: the other host has
    * just shown that it is there. */
-  wake(): void {
+  reconnectNow(): void {
     const now = this.#options.clock.now();
     const isDialling = now - this.#dialledAt < WAKE_LEAST;
-    if (!this.#open && !this.#closed && !isDialling) this.replace("awake");
+    if (!this.#open && !this.#closed && !isDialling) this.reconnect("awake");
   }
 
   /** Closes the connection and drops what waits. */
@@ -144,7 +144,7 @@
         this.#flush();
       },
       close: () => this.#lose("connection"),
-      answer: (id) => {
+      acknowledged: (id) => {
         this.#underWay.delete(id);
         this.#flush();
       },
@@ -163,12 +163,12 @@
   #flush(): void {
     while (this.#open && this.#underWay.size < WINDOW) {
       const load = this.#queue.take(this.#options.clock.now());
-      if (load.parcels.length === 0) return;
+      if (load.messages.length === 0) return;
       this.#deliver(load);
     }
   }
 
-  #deliver({ parcels, bytes }: queue.Load): void {
+  #deliver({ messages: parcels, bytes }: queue.Batch): void {
     const { clock, metrics } = this.#options;
     const id = this.#batches++;
     this.#lastBatch = clock.now();
--- a/src/peers/listener.ts
+++ b/src/peers/listener.ts
@@ -88,7 +88,7 @@
     heard.set(socket, performance.now());
     try {
       const { id, batch } = frames.decode(`${data}`);
-      socket.send(frames.encodeAnswer(id));
+      socket.send(frames.encodeAck(id));
       receive(host, batch);
     } catch (err) {
       logger.warn({ peer: host, err }, "Frame could not be read");
--- a/src/peers/mod.ts
+++ b/src/peers/mod.ts
@@ -1,8 +1,8 @@
 /** The transport between the system's hosts.
  * @module */
 
-export * from "./calls.ts";
+export * from "./rpc.ts";
 export { PeerError } from "./errors.ts";
-export * from "./left_out.ts";
+export * from "./unresponsive_hosts.ts";
 export * from "./peers.ts";
-export * from "./left_out.ts";
+export * from "./unresponsive_hosts.ts";
--- a/src/peers/peers.ts
+++ b/src/peers/peers.ts
@@ -120,7 +120,7 @@
 
   /** Exchanges the connection to `host`, which may be dead. */
   redial(host: string): void {
-    this.#links.get(host)?.replace("redial");
+    this.#links.get(host)?.reconnect("redial");
   }
 
   /** Follows a change of the fleet: connections to other addresses end. */
@@ -166,7 +166,7 @@
     const { self: to, key } = this.#options;
     const host = handshake.verify(headers, { to, key, hosts: this.#hosts });
     if (host !== undefined) {
-      this.#links.get(host)?.wake();
+      this.#links.get(host)?.reconnectNow();
       return host;
     }
     this.#refused++;
--- a/src/peers/peers_test.ts
+++ b/src/peers/peers_test.ts
@@ -5,8 +5,8 @@
 import * as frames from "./frame.ts";
 import * as peers from "./mod.ts";
 import * as handshake from "./handshake.ts";
-import * as queue from "./queue.ts";
-import * as relays from "./relay.ts";
+import * as queue from "./send_queue.ts";
+import * as relays from "./tcp_proxy.ts";
 
 const POLL = 5;
 
@@ -122,11 +122,11 @@
 
 test("exchanges a connection that has gone silent", async (t) => {
   const b = await createNode("b", [hostAt("a", 0)]);
-  const relay = await relays.Relay.create(() => b.peers.port);
+  const relay = await relays.TcpProxy.create(() => b.peers.port);
   const a = await createNode("a", [hostAt("b", relay.port)]);
   a.peers.send(envelopeTo("b", { pos: 1 }));
   await until(() => b.got.length === 1);
-  relay.silence();
+  relay.blackhole();
   a.peers.send(envelopeTo("b", { pos: 2 }));
   await new Promise((done) => setImmediate(done));
   a.clock.advance(1500);
@@ -201,10 +201,13 @@
 
 test("a queue is bounded in bytes and age, and drops the oldest", (t) => {
   const drops: string[] = [];
-  const size = frames.encodeParcel({ channel: "control", body: { pos: 0 } })
+  const size = frames.encodeMessage({ channel: "control", body: { pos: 0 } })
     .length;
   const bounds = { bytes: 5 * size, message: 100, batch: 100, age: 1000 };
-  const waiting = queue.Queue.create(bounds, (reason) => drops.push(reason));
+  const waiting = queue.SendQueue.create(
+    bounds,
+    (reason) => drops.push(reason),
+  );
   for (let pos = 0; pos < 5; pos++) {
     waiting.push({ channel: "control", body: { pos } }, pos * 100);
   }
@@ -214,7 +217,7 @@
   waiting.push({ channel: "control", body: { pos: 5 } }, 500);
   t.is(waiting.bytes, 5 * size);
   t.deepEqual(drops, ["too-large", "queue-full"]);
-  const { parcels } = waiting.take(1150);
+  const { messages: parcels } = waiting.take(1150);
   const bodies = parcels.map((text) => JSON.parse(text).body);
   t.deepEqual(bodies, [{ pos: 2 }, { pos: 3 }]);
   t.is(drops.at(-1), "stale");
@@ -225,7 +228,7 @@
     { channel: "control", body: { text: 'quote " and \u2028' } },
     { channel: "log", body: {} },
   ];
-  const text = frames.encode(7, batch.map(frames.encodeParcel));
+  const text = frames.encode(7, batch.map(frames.encodeMessage));
   t.deepEqual(frames.decode(text), { id: 7, batch });
   t.deepEqual(frames.decode(frames.encode(8, [])), { id: 8, batch: [] });
 });
--- a/src/peers/calls.ts
+++ b/src/peers/rpc.ts
@@ -27,14 +27,14 @@
 };
 
 /** What calls need of their host. */
-export interface CallsOptions {
+export interface RpcOptions {
   self: string;
   clock: runtime.Clock;
   transport: runtime.Transport;
   handlers: Handlers;
   onNotice?(notice: schema.Notice, from: string): void;
   /** A handler failed, which is a fault of this program. */
-  onFault(error: unknown, question: schema.Question): void;
+  onHandlerError(error: unknown, question: schema.Question): void;
 }
 
 interface Pending {
@@ -46,20 +46,20 @@
 }
 
 /** Questions of one host and its answers to those of others. */
-export class Calls {
-  readonly #options: CallsOptions;
+export class Rpc {
+  readonly #options: RpcOptions;
   readonly #pending = new Map<number, Pending>();
   /** Numbers of the questions being worked on, by the host that asked. */
   readonly #working = new Map<string, Set<number>>();
   #last = 0;
   #ticking = false;
 
-  private constructor(options: CallsOptions) {
+  private constructor(options: RpcOptions) {
     this.#options = options;
   }
 
-  static create(options: CallsOptions): Calls {
-    return new Calls(options);
+  static create(options: RpcOptions): Rpc {
+    return new Rpc(options);
   }
 
   /** Asks a host. Rejects with `PeerError` when no answer comes within
@@ -124,7 +124,7 @@
     try {
       return await handler(body, from);
     } catch (error) {
-      this.#options.onFault(error, body);
+      this.#options.onHandlerError(error, body);
       return { type: "failed", reason: "unknown" };
     }
   }
--- a/src/peers/queue.ts
+++ b/src/peers/send_queue.ts
@@ -6,7 +6,7 @@
 import * as frames from "./frame.ts";
 
 /** Why a message was dropped. */
-export type Drop = "too-large" | "queue-full" | "stale";
+export type DropReason = "too-large" | "queue-full" | "stale";
 
 /** Bounds of a queue. */
 export interface Bounds {
@@ -28,27 +28,27 @@
 }
 
 /** Messages to send at once. */
-export interface Load {
+export interface Batch {
   /** Texts in a frame. */
-  parcels: string[];
+  messages: string[];
   bytes: number;
 }
 
 /** Messages that wait, in order; changed in place. */
-export class Queue {
+export class SendQueue {
   readonly #bounds: Bounds;
-  readonly #drop: (reason: Drop) => void;
+  readonly #drop: (reason: DropReason) => void;
   #items: Item[] = [];
   #bytes = 0;
 
-  private constructor(bounds: Bounds, drop: (reason: Drop) => void) {
+  private constructor(bounds: Bounds, drop: (reason: DropReason) => void) {
     this.#bounds = bounds;
     this.#drop = drop;
   }
 
   /** An empty queue that calls `drop` for each message it gives up. */
-  static create(bounds: Bounds, drop: (reason: Drop) => void): Queue {
-    return new Queue(bounds, drop);
+  static create(bounds: Bounds, drop: (reason: DropReason) => void): SendQueue {
+    return new SendQueue(bounds, drop);
   }
 
   /** Number of messages that wait. */
@@ -63,7 +63,7 @@
 
   /** Adds a message and drops the oldest past the bound. */
   push(parcel: schema.Parcel, at: number): void {
-    const text = frames.encodeParcel(parcel);
+    const text = frames.encodeMessage(parcel);
     const bytes = Buffer.byteLength(text);
     if (bytes > this.#bounds.message) return this.#drop("too-large");
     this.#items.push({ parcel: text, bytes, at });
@@ -75,19 +75,19 @@
   }
 
   /** Takes out the next messages, leaving out those that are too old. */
-  take(now: number): Load {
-    const load: Load = { parcels: [], bytes: 0 };
+  take(now: number): Batch {
+    const load: Batch = { messages: [], bytes: 0 };
     while (this.#items.length > 0) {
       const { parcel, bytes, at } = this.#items[0];
       const stale = now - at > this.#bounds.age;
       const full = load.bytes + bytes > this.#bounds.batch;
-      if (!stale && full && load.parcels.length > 0) break;
+      if (!stale && full && load.messages.length > 0) break;
       this.#shift();
       if (stale) {
         this.#drop("stale");
         continue;
       }
-      load.parcels.push(parcel);
+      load.messages.push(parcel);
       load.bytes += bytes;
     }
     return load;
