--- a/src/peers/relay.ts
+++ b/src/peers/tcp_proxy.ts
@@ -5,7 +5,7 @@
 import * as net from "node:net";
 
 /** Relays connections to one port of this machine. */
-export class Relay {
+export class TcpProxy {
   readonly #server: net.Server;
   readonly #sockets = new Set<net.Socket>();
   /** Bytes relayed in both directions. */
@@ -23,8 +23,8 @@
   }
 
   /** A relay to the port that `target` says when a connection comes. */
-  static async create(target: () => number): Promise<Relay> {
-    const relay = new Relay(target);
+  static async create(target: () => number): Promise<TcpProxy> {
+    const relay = new TcpProxy(target);
     await new Promise<void>((resolve) =>
       relay.#server.listen(0, "127.0.0.1", resolve)
     );
@@ -37,7 +37,7 @@
   }
 
   /** Leaves all present connections open, but carries nothing any more. */
-  silence(): void {
+  blackhole(): void {
     for (const socket of this.#sockets) {
       socket.removeAllListeners("data");
       socket.removeAllListeners("close");
--- a/src/peers/left_out.ts
+++ b/src/peers/unresponsive_hosts.ts
@@ -8,7 +8,7 @@
 const LEFT_OUT = 2000;
 
 /** Hosts that are left out; changed in place. */
-export class LeftOut {
+export class UnresponsiveHosts {
   readonly #clock: runtime.Clock;
   readonly #until = new Map<string, number>();
 
@@ -16,8 +16,8 @@
     this.#clock = clock;
   }
 
-  static create(clock: runtime.Clock): LeftOut {
-    return new LeftOut(clock);
+  static create(clock: runtime.Clock): UnresponsiveHosts {
+    return new UnresponsiveHosts(clock);
   }
 
   /** Notes that a host did not answer. */
@@ -30,7 +30,7 @@
   }
 
   /** Hosts in their order, those that are left out last. */
-  last(hosts: readonly string[]): string[] {
+  deprioritize(hosts: readonly string[]): string[] {
     return [
       ...hosts.filter((host) => !this.has(host)),
       ...hosts.filter((host) => this.has(host)),
--- a/src/policies/routed.ts
+++ b/src/policies/routing_policy.ts
@@ -6,14 +6,14 @@
 import type * as request from "../request/mod.ts";
 import type * as runtime from "../runtime/mod.ts";
 import * as routing from "../routing/mod.ts";
-import * as paces from "./paces.ts";
+import * as paces from "./progress_tracker.ts";
 
 /** What routes are made from. */
-export interface Options {
+export interface RoutingPolicyOptions {
   dataCentre: string;
   random: runtime.Random;
   /** Estimates of work, and the budget for extra cost. */
-  controls: admission.controls.Controls;
+  controls: admission.controller.AdmissionController;
 }
 
 /** Share of an engine's call that the prefill takes. */
@@ -32,22 +32,22 @@
 const BLAMELESS: ReadonlySet<request.FailureReason> = new Set(["deadline"]);
 
 /** Decisions of routing; changes its containers in place. */
-export class Routes implements policySet.Choice {
-  readonly #options: Options;
+export class RoutingPolicy implements policySet.Choice {
+  readonly #options: RoutingPolicyOptions;
   readonly #router: routing.router.Router;
   /** Last call of a stage that started, and last that failed. */
   readonly #started = new WeakMap<policySet.Work, request.Attempt>();
   readonly #failed = new WeakMap<policySet.Work, request.Attempt>();
-  readonly #paces = paces.Paces.create();
+  readonly #paces = paces.ProgressTracker.create();
 
-  private constructor(options: Options) {
+  private constructor(options: RoutingPolicyOptions) {
     this.#options = options;
     const { dataCentre, random } = options;
     this.#router = routing.router.Router.create({ dataCentre, random });
   }
 
-  static create(options: Options): Routes {
-    return new Routes(options);
+  static create(options: RoutingPolicyOptions): RoutingPolicy {
+    return new RoutingPolicy(options);
   }
 
   choose(
@@ -73,7 +73,7 @@
   }
 
   /** Milliseconds before a failed stage is tried again; undefined for never. */
-  retry(
+  retryDelay(
     work: policySet.Work,
     failure: request.Failure,
     now: number,
@@ -81,7 +81,7 @@
     const attempt = this.#failed.get(work);
     if (attempt === undefined) return undefined;
     const { service } = stageOf(work);
-    const { group, retries } = this.#router.service(service, now);
+    const { group, retryBudget: retries } = this.#router.service(service, now);
     const call = {
       attempt,
       failure,
@@ -98,21 +98,21 @@
 
   /** Milliseconds after which a call may be raced against a second one: a
    * straggler where its flow has budget, or else a hang. */
-  hedgeAfter(work: policySet.Work, now: number): number | undefined {
+  hedgeDelay(work: policySet.Work, now: number): number | undefined {
     const { cost } = this.#options.controls;
-    const { hedges } = this.#serviceOf(work, now);
+    const { hedgePolicy: hedges } = this.#serviceOf(work, now);
     const hang = this.#hang(work, now);
     const mean = this.#options.controls.predict(work).mean;
     if (cost.budget(work.request) < mean) return hang;
-    return Math.min(hang, hedges.straggling(work.size) ?? Infinity);
+    return Math.min(hang, hedges.stragglerThreshold(work.size) ?? Infinity);
   }
 
   /** Whether the second call may start: a hang is paid as a retry is, a
    * straggler by the extra cost that the table grants. */
-  mayHedge(work: policySet.Work, now: number): boolean {
+  allowHedge(work: policySet.Work, now: number): boolean {
     const started = this.#started.get(work)?.started ?? now;
     if (now - started >= this.#hang(work, now)) {
-      return this.#serviceOf(work, now).retries.take(now);
+      return this.#serviceOf(work, now).retryBudget.take(now);
     }
     const { controls } = this.#options;
     return controls.cost.spend(work.request, controls.predict(work).mean);
@@ -124,13 +124,13 @@
     { attempt, at, receiving }: policySet.Progress,
     now: number,
   ): number {
-    const { hedges } = this.#serviceOf(work, now);
+    const { hedgePolicy: hedges } = this.#serviceOf(work, now);
     const { size } = work;
     const hang = hedges.hangsAt({ size, receiving, progressed: at });
     // A stream that trickles is moved once; one that has not begun is hedged.
     if (!receiving || attempt.attempt > 1) return hang;
     const { mean, high } = this.#options.controls.predict(work);
-    const straggling = hedges.straggling(size) ?? Infinity;
+    const straggling = hedges.stragglerThreshold(size) ?? Infinity;
     // What is learnt by size takes long: the estimate tells the last moment
     // at which another endpoint can finish in time.
     const last = work.request.deadline - LAST * high;
@@ -139,12 +139,12 @@
   }
 
   /** Whether a hung call may be replaced; paid as a retry is. */
-  mayReplace(work: policySet.Work, now: number): boolean {
+  allowReplacement(work: policySet.Work, now: number): boolean {
     const { low } = this.#options.controls.predict(work);
     const left = work.request.deadline - now;
     // What was received already need not be made again.
     if (work.received === 0 && low > left) return false;
-    const { group, retries } = this.#serviceOf(work, now);
+    const { group, retryBudget: retries } = this.#serviceOf(work, now);
     return this.#pays(group, retries, now);
   }
 
@@ -164,9 +164,9 @@
     const { service, kind } = stageOf(work);
     this.#started.set(work, attempt);
     this.#paces.start(attempt, { service, size: work.size }, now);
-    if (attempt.attempt === 1) this.#router.request(service, undefined, now);
+    if (attempt.attempt === 1) this.#router.deposit(service, undefined, now);
     const blocks = kind === "engine" ? work.prefix : [];
-    this.#router.service(service, now).group.send(
+    this.#router.service(service, now).group.startCall(
       attempt.endpoint,
       blocks,
       now,
@@ -176,8 +176,8 @@
   progressed(attempt: request.Attempt, _received: number, now: number): void {
     const pace = this.#paces.progress(attempt, now);
     if (pace === undefined) return;
-    const { hedges } = this.#router.service(pace.service, now);
-    hedges.progress(pace.size, pace);
+    const { hedgePolicy: hedges } = this.#router.service(pace.service, now);
+    hedges.observeProgress(pace.size, pace);
   }
 
   finished(ended: request.Request): void {
@@ -190,20 +190,20 @@
 
   ended(report: policySet.Report, now: number): void {
     const { attempt, work, elapsed } = report;
-    const { group, hedges } = this.#serviceOf(work, now);
+    const { group, hedgePolicy: hedges } = this.#serviceOf(work, now);
     const mean = this.#options.controls.predict(work).mean;
     const end = ends[report.result](report, elapsed / mean);
-    group.end(attempt.endpoint, end, now);
-    if (report.result === "answered") hedges.finish(work.size, elapsed);
+    group.endCall(attempt.endpoint, end, now);
+    if (report.result === "answered") hedges.observe(work.size, elapsed);
     if (report.result === "failed") this.#failed.set(work, attempt);
   }
 
   /** Engines that prefill only get no calls: their KV cache is not moved. */
   #among(
     service: string,
-    call: Omit<routing.choice.Call, "role">,
+    call: Omit<routing.endpointChoice.Call, "role">,
     now: number,
-  ): routing.choice.Chosen | undefined {
+  ): routing.endpointChoice.Choice | undefined {
     return this.#router.choose(service, { ...call, role: "both" }, now) ??
       this.#router.choose(service, { ...call, role: "decode" }, now);
   }
@@ -211,19 +211,19 @@
   /** Whether a call may be made again: from the budget, which keeps failures
    * from multiplying the load, or while most slots are free anyway. */
   #pays(
-    { utilisation }: routing.group.Group,
-    retries: routing.budget.Budget,
+    { utilisation }: routing.endpointGroup.EndpointGroup,
+    retries: routing.extraCallBudget.ExtraCallBudget,
     now: number,
   ): boolean {
     return retries.take(now) || utilisation < SPARE;
   }
 
   #hang(work: policySet.Work, now: number): number {
-    const { hedges } = this.#serviceOf(work, now);
-    return hedges.hanging({ size: work.size, receiving: false });
+    const { hedgePolicy: hedges } = this.#serviceOf(work, now);
+    return hedges.hangThreshold({ size: work.size, receiving: false });
   }
 
-  #serviceOf(work: policySet.Work, now: number): routing.router.Service {
+  #serviceOf(work: policySet.Work, now: number): routing.router.ServiceState {
     return this.#router.service(stageOf(work).service, now);
   }
 }
@@ -235,17 +235,20 @@
 /** What the end of a call tells of its endpoint, by how it ended. */
 const ends: Record<
   policySet.Report["result"],
-  (report: policySet.Report, slowness: number) => routing.group.Ended
+  (
+    report: policySet.Report,
+    slowness: number,
+  ) => routing.endpointGroup.CallResult
 > = {
   answered: ({ elapsed }, slowness) => {
-    return { seen: { ok: true, slowness }, service: elapsed };
+    return { observation: { ok: true, slowness }, serviceTime: elapsed };
   },
   failed: ({ failure }) => {
     const blameless = failure !== undefined && BLAMELESS.has(failure.reason);
-    return blameless ? {} : { seen: { ok: false } };
+    return blameless ? {} : { observation: { ok: false } };
   },
   // The time so far is a lower bound.
   cancelled: (_report, slowness) => {
-    return slowness > 1 ? { seen: { ok: true, slowness } } : {};
+    return slowness > 1 ? { observation: { ok: true, slowness } } : {};
   },
 };
--- a/src/quarantine/coordinator.ts
+++ b/src/quarantine/coordinator.ts
@@ -31,7 +31,7 @@
   readonly clock: runtime.Clock;
   readonly logger: telemetry.Logger;
   readonly metrics: telemetry.Metrics;
-  readonly calls: Pick<peers.Calls, "cast">;
+  readonly calls: Pick<peers.Rpc, "cast">;
   /** Milliseconds between the heartbeats of an endpoint. */
   readonly heartbeat: number;
   /** The other hosts with disks that are there. */
@@ -39,7 +39,7 @@
   /** Entry hosts that follow this host. */
   followers(): readonly string[];
   /** When an incarnation of an endpoint was last heard, if it is known. */
-  heardAt(endpoint: string): number | undefined;
+  lastHeartbeatAt(endpoint: string): number | undefined;
 }
 
 interface Lease {
@@ -65,7 +65,7 @@
   }
 
   /** Takes what another host knows. */
-  take(told: readonly schema.Suspect[]): void {
+  merge(told: readonly schema.Suspect[]): void {
     const now = this.#options.clock.now();
     this.#announce(
       told.map((each) => this.#table.merge(codec.decode(each, now), now)),
@@ -73,22 +73,22 @@
   }
 
   /** What has changed since a revision, for a host that asks. */
-  since(revision: number): {
+  changesSince(revision: number): {
     suspectRevision: number;
     suspects: schema.Suspect[];
   } {
     const now = this.#options.clock.now();
-    const suspects = codec.encodeAll(this.#table.since(revision), now);
+    const suspects = codec.encodeAll(this.#table.changedSince(revision), now);
     return { suspectRevision: this.#table.revision, suspects };
   }
 
   /** Tells a host everything, where there is anything. */
-  tellAll(host: string): void {
+  sendAll(host: string): void {
     this.#tell([host], this.#table.all);
   }
 
   /** Judges whether a host may run a suspected request now. */
-  allow(
+  requestLease(
     { fingerprint, endpoint, remaining }: schema.LeaseQuestion,
     host: string,
   ): schema.LeaseReply {
@@ -106,7 +106,7 @@
       }
     }
     metrics.count("quarantine.trials", 1, { granted: `${granted}` });
-    const { standing, counted, trials } = suspect;
+    const { standing, activeCrashes: counted, trials } = suspect;
     const crashes = counted.length;
     logger.info(
       { fingerprint, host, endpoint, granted, wait, standing, crashes, trials },
@@ -121,7 +121,7 @@
   }
 
   /** Notes that a run under a lease has ended. */
-  end(fingerprint: string, host: string): void {
+  endLease(fingerprint: string, host: string): void {
     if (this.#leases.get(fingerprint)?.host !== host) return;
     this.#leases.delete(fingerprint);
   }
@@ -130,7 +130,7 @@
   release(fingerprint: string): boolean {
     const now = this.#options.clock.now();
     const suspect = this.#table.get(fingerprint);
-    if (suspect.counted.length === 0) return false;
+    if (suspect.activeCrashes.length === 0) return false;
     this.#options.logger.info({ fingerprint }, "Request released by operator");
     this.#announce([this.#table.put(suspect.acquit(), now)]);
     return true;
@@ -162,7 +162,7 @@
     const lease = this.#leases.get(suspect.fingerprint);
     if (lease !== undefined && lease.until > now) return WAIT;
     if (suspect.standing !== "quarantined") return 0;
-    return Math.max(0, this.#table.trialAt(suspect) - now);
+    return Math.max(0, this.#table.nextTrialAt(suspect) - now);
   }
 
   /** Whether another suspected request runs at an endpoint: if it crashed, each
@@ -176,7 +176,7 @@
   /** An endpoint that crashed says nothing more; a heartbeat that it had sent
    * before may still be on its way. */
   #wasHeard({ endpoint, at }: suspects.Crash): boolean {
-    const { heardAt, heartbeat } = this.#options;
+    const { lastHeartbeatAt: heardAt, heartbeat } = this.#options;
     const heard = heardAt(endpoint);
     return heard !== undefined && heard > at + heartbeat;
   }
@@ -193,7 +193,8 @@
   }
 
   #log(
-    { fingerprint, standing, counted, acquittals, trials }: suspects.Suspect,
+    { fingerprint, standing, activeCrashes: counted, acquittals, trials }:
+      suspects.Suspect,
   ) {
     const { logger, metrics } = this.#options;
     metrics.count("quarantine.changes", 1, { standing });
--- a/src/quarantine/coordinator_test.ts
+++ b/src/quarantine/coordinator_test.ts
@@ -18,7 +18,7 @@
     heartbeat: 1000,
     cores: () => ["core"],
     followers: () => ["entry"],
-    heardAt: (endpoint) => heard.get(endpoint),
+    lastHeartbeatAt: (endpoint) => heard.get(endpoint),
     calls: {
       cast(to, notice) {
         if (notice.type === "suspects") {
@@ -28,7 +28,7 @@
     },
   });
   const ask = (fingerprint: string, endpoint: string, host = "entry") =>
-    coordinator.allow(
+    coordinator.requestLease(
       { type: "lease", fingerprint, endpoint, remaining: 2000 },
       host,
     );
@@ -45,15 +45,15 @@
 
 test("news is told to all hosts at once, what is known to none", (t) => {
   const { coordinator, told } = coordinatorOf();
-  coordinator.take([crashed("f", "a")]);
+  coordinator.merge([crashed("f", "a")]);
   t.deepEqual(told.map(({ to }) => to), ["core", "entry"]);
-  coordinator.take([crashed("f", "a")]);
+  coordinator.merge([crashed("f", "a")]);
   t.is(told.length, 2);
 });
 
 test("a message that is lost comes again, and nothing later", (t) => {
   const { coordinator, clock, told } = coordinatorOf();
-  coordinator.take([crashed("f", "a")]);
+  coordinator.merge([crashed("f", "a")]);
   const at: number[] = [];
   for (let turn = 0; turn < 20; turn++) {
     const before = told.length;
@@ -67,23 +67,23 @@
 test("an endpoint that is heard a heartbeat later has not crashed", (t) => {
   const { coordinator, clock, heard } = coordinatorOf();
   clock.advance(500);
-  coordinator.take([crashed("f", "a")]);
+  coordinator.merge([crashed("f", "a")]);
   heard.set("a", 1400);
   coordinator.tick();
-  t.is(coordinator.since(0).suspects[0].crashes[0].refuted, undefined);
+  t.is(coordinator.changesSince(0).suspects[0].crashes[0].refuted, undefined);
   heard.set("a", 1600);
   coordinator.tick();
-  t.true(coordinator.since(0).suspects[0].crashes[0].refuted);
+  t.true(coordinator.changesSince(0).suspects[0].crashes[0].refuted);
 });
 
 test("a suspected request runs at one endpoint at a time", (t) => {
   const { coordinator, clock, ask } = coordinatorOf();
-  coordinator.take([crashed("f", "a", "b")]);
+  coordinator.merge([crashed("f", "a", "b")]);
   t.true(ask("f", "c", "one").granted);
   t.like(ask("f", "d", "other"), { granted: false, wait: 500 });
-  coordinator.end("f", "other");
+  coordinator.endLease("f", "other");
   t.false(ask("f", "d", "other").granted);
-  coordinator.end("f", "one");
+  coordinator.endLease("f", "one");
   t.true(ask("f", "d", "other").granted);
   clock.advance(2501);
   t.true(ask("f", "d", "one").granted, "a lease ends by itself");
@@ -91,7 +91,7 @@
 
 test("two suspected requests don't meet at an endpoint", (t) => {
   const { coordinator, ask } = coordinatorOf();
-  coordinator.take([crashed("f", "a", "b"), crashed("g", "a", "b")]);
+  coordinator.merge([crashed("f", "a", "b"), crashed("g", "a", "b")]);
   t.true(ask("f", "c").granted);
   t.like(ask("g", "c"), { granted: false, taken: true, wait: 0 });
   t.true(ask("g", "d").granted);
@@ -99,11 +99,11 @@
 
 test("a quarantined request is tried twice, minutes later", (t) => {
   const { coordinator, clock, ask } = coordinatorOf();
-  coordinator.take([crashed("f", "a", "b", "c")]);
+  coordinator.merge([crashed("f", "a", "b", "c")]);
   const granted: number[] = [];
   for (let minute = 0; minute < 59; minute++) {
     if (ask("f", "d").granted) granted.push(minute);
-    coordinator.end("f", "entry");
+    coordinator.endLease("f", "entry");
     clock.advance(60_000);
   }
   t.deepEqual(granted, [5, 10]);
@@ -111,7 +111,7 @@
 
 test("an operator's release is told to all", (t) => {
   const { coordinator, told, ask } = coordinatorOf();
-  coordinator.take([crashed("f", "a", "b", "c")]);
+  coordinator.merge([crashed("f", "a", "b", "c")]);
   t.false(ask("f", "d").granted);
   t.true(coordinator.release("f"));
   t.deepEqual(told.at(-1)!.suspects[0].crashes, []);
--- a/src/quarantine/fingerprint.ts
+++ b/src/quarantine/fingerprint.ts
@@ -6,7 +6,7 @@
 
 /** What belongs to a request's identity. Headers do not: callers change ids,
  * deadlines and hints from attempt to attempt. */
-export interface Content {
+export interface RequestContent {
   readonly method: string;
   readonly host: string;
   /** Path and query. */
@@ -22,7 +22,7 @@
 /** Digest of a request's content. The account is its key, so that no account
  * can make a request that is taken for another's. */
 export function of(
-  { method, host, target, account = "", body }: Content,
+  { method, host, target, account = "", body }: RequestContent,
 ): string {
   return crypto.createHmac("sha256", account)
     .update(JSON.stringify([method, host, target]))
--- a/src/quarantine/fingerprint_test.ts
+++ b/src/quarantine/fingerprint_test.ts
@@ -3,7 +3,7 @@
 import test from "ava";
 import * as fingerprints from "./fingerprint.ts";
 
-const CONTENT: fingerprints.Content = {
+const CONTENT: fingerprints.RequestContent = {
   method: "POST",
   host: "app.example",
   target: "/book?seat=1",
@@ -17,7 +17,7 @@
 });
 
 test("each part of a request's content counts", (t) => {
-  const changes: Partial<fingerprints.Content>[] = [
+  const changes: Partial<fingerprints.RequestContent>[] = [
     { method: "PUT" },
     { host: "other.example" },
     { target: "/book?seat=2" },
--- a/src/quarantine/fixture.ts
+++ b/src/quarantine/fixture.ts
@@ -5,16 +5,21 @@
 import type * as guards from "./guard.ts";
 
 /** A guard that knows of no suspect and keeps nothing back. */
-export function openGuard(): Pick<
+export function permissiveGuard(): Pick<
   guards.Guard,
-  "isCalm" | "refusal" | "admit" | "noteCrash" | "noteAnswer" | "noteEnd"
+  | "hasNoSuspects"
+  | "refusal"
+  | "admit"
+  | "recordCrash"
+  | "recordSuccess"
+  | "endRun"
 > {
   return {
-    isCalm: true,
+    hasNoSuspects: true,
     refusal: () => undefined,
     admit: () => Promise.resolve({ type: "admitted" }),
-    noteCrash() {},
-    noteAnswer() {},
-    noteEnd() {},
+    recordCrash() {},
+    recordSuccess() {},
+    endRun() {},
   };
 }
--- a/src/quarantine/guard.ts
+++ b/src/quarantine/guard.ts
@@ -47,7 +47,7 @@
   | { type: "refused" } & Refusal;
 
 /** A run that is asked for. */
-export interface Run {
+export interface LeaseRequest {
   readonly fingerprint: string;
   /** Incarnation of the endpoint that is to run it. */
   readonly endpoint: string;
@@ -60,7 +60,7 @@
   readonly clock: runtime.Clock;
   readonly logger: telemetry.Logger;
   readonly metrics: telemetry.Metrics;
-  readonly calls: Pick<peers.Calls, "ask" | "cast">;
+  readonly calls: Pick<peers.Rpc, "ask" | "cast">;
   /** Hosts with disks, the one that answered last before the others. */
   cores(): readonly string[];
 }
@@ -82,22 +82,24 @@
   }
 
   /** Whether no request is suspected: none needs to be identified. */
-  get isCalm(): boolean {
-    return this.#table.isCalm;
+  get hasNoSuspects(): boolean {
+    return this.#table.hasNoSuspects;
   }
 
   /** Why a request can't run now, as far as this host knows by itself. */
   refusal(fingerprint: string): Refusal | undefined {
     const suspect = this.#table.get(fingerprint);
     if (suspect.standing !== "quarantined") return undefined;
-    const wait = this.#table.trialAt(suspect) - this.#options.clock.now();
+    const wait = this.#table.nextTrialAt(suspect) - this.#options.clock.now();
     if (wait <= 0) return undefined;
     return refusalOf(suspect, wait);
   }
 
   /** Judges a request before a call. A suspected one needs a lease, so that it
    * runs at one endpoint at a time. */
-  async admit({ fingerprint, endpoint, remaining }: Run): Promise<Admission> {
+  async admit(
+    { fingerprint, endpoint, remaining }: LeaseRequest,
+  ): Promise<Admission> {
     const suspect = this.#table.get(fingerprint);
     if (suspect.standing === "free") return ADMITTED;
     const refusal = this.refusal(fingerprint);
@@ -134,13 +136,13 @@
   }
 
   /** Notes that a call broke as if its endpoint had crashed. */
-  noteCrash(fingerprint: string, endpoint: string): void {
+  recordCrash(fingerprint: string, endpoint: string): void {
     const { clock, logger, metrics } = this.#options;
     const now = clock.now();
     const suspect = this.#table.get(fingerprint).addCrash(endpoint, now);
     this.#put(suspect);
     metrics.count("quarantine.breaks");
-    const { standing, counted } = suspect;
+    const { standing, activeCrashes: counted } = suspect;
     const crashes = counted.length;
     logger.info(
       { fingerprint, endpoint, crashes, standing },
@@ -150,21 +152,21 @@
   }
 
   /** Notes that an endpoint has run a request and lives. */
-  noteAnswer(fingerprint: string): void {
+  recordSuccess(fingerprint: string): void {
     const suspect = this.#table.get(fingerprint);
-    if (suspect.counted.length === 0) return;
+    if (suspect.activeCrashes.length === 0) return;
     const acquitted = suspect.acquit();
     this.#put(acquitted);
     this.#endLease(fingerprint, acquitted);
   }
 
   /** Notes that a run has ended, and says nothing. */
-  noteEnd(fingerprint: string): void {
+  endRun(fingerprint: string): void {
     this.#endLease(fingerprint);
   }
 
   /** Takes what a host with a disk knows. */
-  take(told: readonly schema.Suspect[]): void {
+  merge(told: readonly schema.Suspect[]): void {
     const now = this.#options.clock.now();
     for (const each of told) {
       this.#table.merge(codec.decode(each, now), now);
@@ -173,8 +175,8 @@
   }
 
   /** Tells a host with a disk all: it may have started since. */
-  async tellAll(core: string): Promise<void> {
-    if (this.isCalm) return;
+  async sendAll(core: string): Promise<void> {
+    if (this.hasNoSuspects) return;
     const { all } = this.#table;
     const isTold = await this.#report([core], all);
     const fingerprints = all.map(({ fingerprint }) => fingerprint);
@@ -260,6 +262,9 @@
   return { type: "refused", ...refusalOf(suspect, wait) };
 }
 
-function refusalOf({ counted }: suspects.Suspect, wait: number): Refusal {
+function refusalOf(
+  { activeCrashes: counted }: suspects.Suspect,
+  wait: number,
+): Refusal {
   return { wait, crashes: counted.length };
 }
--- a/src/quarantine/guard_test.ts
+++ b/src/quarantine/guard_test.ts
@@ -40,15 +40,15 @@
 
 test("a request of which nothing is known goes without a question", async (t) => {
   const { guard, asked } = guardOf();
-  guard.noteCrash("other", "a");
+  guard.recordCrash("other", "a");
   t.deepEqual(await guard.admit(RUN), { type: "admitted" });
   t.deepEqual(asked, []);
 });
 
 test("what broke at one endpoint is reported in one message", async (t) => {
   const { guard, asked, elapse } = guardOf();
-  guard.noteCrash("f", "e");
-  guard.noteCrash("g", "e");
+  guard.recordCrash("f", "e");
+  guard.recordCrash("g", "e");
   await elapse(20);
   const [{ question }] = asked;
   t.is(asked.length, 1);
@@ -57,7 +57,7 @@
 
 test("a report that nobody takes is made again", async (t) => {
   const { guard, asked, elapse, up } = guardOf({ up: [] });
-  guard.noteCrash("f", "e");
+  guard.recordCrash("f", "e");
   await elapse(20);
   t.is(asked.length, 2);
   up.push("b");
@@ -68,26 +68,26 @@
 
 test("a suspected request goes under a lease, which is given back", async (t) => {
   const { guard, asked, notices } = guardOf();
-  guard.noteCrash("f", "c");
-  guard.noteCrash("f", "d");
+  guard.recordCrash("f", "c");
+  guard.recordCrash("f", "d");
   t.deepEqual(await guard.admit(RUN), { type: "admitted" });
   t.is(asked.at(-1)!.question.type, "lease");
   t.like(await guard.admit(RUN), { type: "refused" }, "one run at a time");
-  guard.noteAnswer("f");
+  guard.recordSuccess("f");
   t.deepEqual(notices.map(({ type }) => type), ["suspects", "lease-over"]);
-  t.true(guard.isCalm);
+  t.true(guard.hasNoSuspects);
 });
 
 test("without an answer no suspected request goes", async (t) => {
   const { guard } = guardOf({ up: [] });
-  guard.noteCrash("f", "c");
-  guard.noteCrash("f", "d");
+  guard.recordCrash("f", "c");
+  guard.recordCrash("f", "d");
   t.like(await guard.admit(RUN), { type: "refused", crashes: 2 });
 });
 
 test("a request that has crashed three endpoints is kept back at once", async (t) => {
   const { guard, asked } = guardOf();
-  ["c", "d", "e"].forEach((endpoint) => guard.noteCrash("f", endpoint));
+  ["c", "d", "e"].forEach((endpoint) => guard.recordCrash("f", endpoint));
   t.like(guard.refusal("f"), { crashes: 3, wait: 300_000 });
   t.like(await guard.admit(RUN), { type: "refused" });
   t.deepEqual(asked, []);
--- a/src/quarantine/suspect.ts
+++ b/src/quarantine/suspect.ts
@@ -6,9 +6,9 @@
  * @module */
 
 /** Crashes after which a request is kept from endpoints. */
-export const QUARANTINED = 3;
+export const QUARANTINE_CRASH_COUNT = 3;
 /** Crashes after which it runs at one endpoint at a time. */
-const SUSPECTED = QUARANTINED - 1;
+const SUSPECTED = QUARANTINE_CRASH_COUNT - 1;
 
 /** A call that broke as if its endpoint had crashed. */
 export interface Crash {
@@ -60,19 +60,19 @@
   }
 
   /** Crashes that speak against it. */
-  get counted(): readonly Crash[] {
+  get activeCrashes(): readonly Crash[] {
     return this.crashes.filter(({ isRefuted }) => !isRefuted);
   }
 
   get standing(): Standing {
-    const { length } = this.counted;
-    if (length >= QUARANTINED) return "quarantined";
+    const { length } = this.activeCrashes;
+    if (length >= QUARANTINE_CRASH_COUNT) return "quarantined";
     return length >= SUSPECTED ? "suspected" : "free";
   }
 
   /** When an endpoint last crashed under it; endless before any did. */
-  get lastAt(): number {
-    return Math.max(...this.counted.map(({ at }) => at));
+  get lastCrashAt(): number {
+    return Math.max(...this.activeCrashes.map(({ at }) => at));
   }
 
   /** Adds a crash of an endpoint under it. */
--- a/src/quarantine/suspect_table.ts
+++ b/src/quarantine/suspect_table.ts
@@ -52,7 +52,7 @@
   }
 
   /** Whether no request is under any suspicion. */
-  get isCalm(): boolean {
+  get hasNoSuspects(): boolean {
     return this.#counted === 0;
   }
 
@@ -85,7 +85,7 @@
   }
 
   /** What has changed after a revision. */
-  since(revision: number): suspects.Suspect[] {
+  changedSince(revision: number): suspects.Suspect[] {
     return [...this.#entries.values()]
       .filter((entry) => entry.revision > revision)
       .map(({ suspect }) => suspect);
@@ -97,7 +97,7 @@
       const { suspect, changedAt } = entry;
       const memory = weightOf(suspect) > 0 ? MEMORY : SHORT_MEMORY;
       if (now - changedAt > memory) this.#drop(suspect);
-      else if (suspect.crashes.length > suspect.counted.length) {
+      else if (suspect.crashes.length > suspect.activeCrashes.length) {
         const pruned = suspect.prune(now - SHORT_MEMORY);
         this.#entries.set(fingerprint, { ...entry, suspect: pruned });
       }
@@ -106,8 +106,8 @@
 
   /** When a quarantined request is let run once more; endless where it is
    * not. */
-  trialAt(suspect: suspects.Suspect): number {
-    const { trials, lastAt, acquittals } = suspect;
+  nextTrialAt(suspect: suspects.Suspect): number {
+    const { trials, lastCrashAt: lastAt, acquittals } = suspect;
     if (trials >= TRIALS) return Infinity;
     if (trials > 0) return lastAt + REST * 2 ** trials;
     if (acquittals > 0) return lastAt + ACQUITTED_REST;
@@ -120,9 +120,11 @@
       fingerprint !== suspect.fingerprint && standing === "quarantined"
     );
     const crashed = new Set(
-      others.flatMap(({ counted }) => counted.map(({ endpoint }) => endpoint)),
+      others.flatMap(({ activeCrashes: counted }) =>
+        counted.map(({ endpoint }) => endpoint)
+      ),
     );
-    const own = suspect.counted.filter(({ endpoint }) =>
+    const own = suspect.activeCrashes.filter(({ endpoint }) =>
       !crashed.has(endpoint)
     );
     return own.length < OWN_CRASHES;
@@ -131,7 +133,10 @@
   /** Drops what is least suspected, of these the oldest. */
   #dropLeast(): void {
     const ranked = [...this.#entries.values()]
-      .map((entry) => ({ ...entry, weight: entry.suspect.counted.length }))
+      .map((entry) => ({
+        ...entry,
+        weight: entry.suspect.activeCrashes.length,
+      }))
       .sort((one, other) =>
         one.weight - other.weight || one.changedAt - other.changedAt
       );
@@ -144,6 +149,6 @@
   }
 }
 
-function weightOf({ counted }: suspects.Suspect): number {
+function weightOf({ activeCrashes: counted }: suspects.Suspect): number {
   return counted.length > 0 ? 1 : 0;
 }
--- a/src/quarantine/suspect_test.ts
+++ b/src/quarantine/suspect_test.ts
@@ -20,7 +20,7 @@
 });
 
 test("an endpoint that breaks twice under a request has crashed once", (t) => {
-  t.is(crashed("a", "a", "a").counted.length, 1);
+  t.is(crashed("a", "a", "a").activeCrashes.length, 1);
 });
 
 test("an endpoint that was heard since has not crashed", (t) => {
@@ -35,7 +35,7 @@
   const acquitted = suspect.acquit();
   t.is(acquitted.standing, "free");
   t.is(suspect.merge(acquitted).standing, "free");
-  t.is(acquitted.addCrash("d", 9).counted.length, 1);
+  t.is(acquitted.addCrash("d", 9).activeCrashes.length, 1);
 });
 
 const crash = fc.record({
--- a/src/rate_limits/endpoint_limit.ts
+++ b/src/rate_limits/endpoint_limit.ts
@@ -26,28 +26,28 @@
   readonly endpoint: string;
   /** Requests a second from all hosts together, as last named. */
   readonly limit: number;
-  readonly namedAt: number;
+  readonly advertisedAt: number;
   /** When an answer first named none again; absent while answers name it. */
   readonly endedAt?: number;
 
   private constructor(
-    { endpoint, limit, namedAt, endedAt }: Pick<
+    { endpoint, limit, advertisedAt: namedAt, endedAt }: Pick<
       EndpointLimit,
-      "endpoint" | "limit" | "namedAt" | "endedAt"
+      "endpoint" | "limit" | "advertisedAt" | "endedAt"
     >,
   ) {
     this.endpoint = endpoint;
     this.limit = limit;
-    this.namedAt = namedAt;
+    this.advertisedAt = namedAt;
     this.endedAt = endedAt;
   }
 
   /** As an answer has named it. */
-  static named(
+  static advertised(
     endpoint: string,
     { limit, now }: { limit: number; now: number },
   ): EndpointLimit {
-    return new EndpointLimit({ endpoint, limit, namedAt: now });
+    return new EndpointLimit({ endpoint, limit, advertisedAt: now });
   }
 
   /** Out of a message. */
@@ -56,12 +56,17 @@
     now: number,
   ): EndpointLimit {
     const endedAt = ended === undefined ? undefined : now - ended;
-    return new EndpointLimit({ endpoint, limit, namedAt: now - age, endedAt });
+    return new EndpointLimit({
+      endpoint,
+      limit,
+      advertisedAt: now - age,
+      endedAt,
+    });
   }
 
   /** As a message carries it. */
   encode(now: number): schema.EndpointLimit {
-    const { endpoint, limit, namedAt, endedAt } = this;
+    const { endpoint, limit, advertisedAt: namedAt, endedAt } = this;
     return {
       endpoint,
       limit,
@@ -73,13 +78,15 @@
 
   /** Notes an answer that names no limit. */
   end(now: number): EndpointLimit {
-    if (this.endedAt !== undefined || now - this.namedAt < NEWER) return this;
+    if (this.endedAt !== undefined || now - this.advertisedAt < NEWER) {
+      return this;
+    }
     return new EndpointLimit({ ...this, endedAt: now });
   }
 
   /** The newer of two statements. */
   merge(other: EndpointLimit): EndpointLimit {
-    const lead = other.lastAt - this.lastAt;
+    const lead = other.updatedAt - this.updatedAt;
     return lead > NEWER ? other : this;
   }
 
@@ -92,14 +99,14 @@
   }
 
   /** Whether nothing need be remembered of it. */
-  isOver(now: number): boolean {
+  isExpired(now: number): boolean {
     return this.endedAt === undefined
-      ? now - this.namedAt > MEMORY
+      ? now - this.advertisedAt > MEMORY
       : now - this.endedAt > TOLD;
   }
 
   /** When an answer last said something of it. */
-  get lastAt(): number {
-    return this.endedAt ?? this.namedAt;
+  get updatedAt(): number {
+    return this.endedAt ?? this.advertisedAt;
   }
 }
--- a/src/rate_limits/endpoint_limit_test.ts
+++ b/src/rate_limits/endpoint_limit_test.ts
@@ -6,7 +6,7 @@
 const { EndpointLimit } = endpointLimits;
 
 function named(limit: number, now: number) {
-  return EndpointLimit.named("e", { limit, now });
+  return EndpointLimit.advertised("e", { limit, now });
 }
 
 test("a limit holds while answers name it", (t) => {
@@ -45,7 +45,7 @@
 });
 
 test("what no answer says any more is forgotten", (t) => {
-  t.false(named(4, 0).isOver(60_000));
-  t.true(named(4, 0).isOver(60_001));
-  t.true(named(4, 0).end(1000).isOver(11_001));
+  t.false(named(4, 0).isExpired(60_000));
+  t.true(named(4, 0).isExpired(60_001));
+  t.true(named(4, 0).end(1000).isExpired(11_001));
 });
--- a/src/rate_limits/fixture.ts
+++ b/src/rate_limits/fixture.ts
@@ -4,15 +4,15 @@
 import type * as quotaClients from "./quota_client.ts";
 
 /** Quotas that withhold nothing. */
-export function openQuotas(): Pick<
+export function unlimitedQuotas(): Pick<
   quotaClients.QuotaClient,
-  "note" | "isLimited" | "isDue" | "withheld" | "take"
+  "recordLimit" | "isLimited" | "needsProbe" | "blockedEndpoints" | "acquire"
 > {
   return {
-    withheld: [],
-    note() {},
+    blockedEndpoints: [],
+    recordLimit() {},
     isLimited: () => false,
-    isDue: () => false,
-    take: () => Promise.resolve(0),
+    needsProbe: () => false,
+    acquire: () => Promise.resolve(0),
   };
 }
--- a/src/rate_limits/quota_client.ts
+++ b/src/rate_limits/quota_client.ts
@@ -35,11 +35,11 @@
   readonly clock: runtime.Clock;
   readonly logger: telemetry.Logger;
   readonly metrics: telemetry.Metrics;
-  readonly calls: Pick<peers.Calls, "ask" | "cast">;
+  readonly calls: Pick<peers.Rpc, "ask" | "cast">;
   /** Hosts with disks. */
   cores(): readonly string[];
   /** Number of entry hosts. */
-  hosts(): number;
+  entryHostCount(): number;
   /** Requests a second that an endpoint bears from all hosts together while it is
    * cold; undefined of one that is not. */
   coldRate(endpoint: string): number | undefined;
@@ -47,7 +47,7 @@
 
 /** A limit that an answer names: requests a second, or text that says
  * nothing. */
-export type NamedLimit = number | "unreadable" | undefined;
+export type AdvertisedLimit = number | "unreadable" | undefined;
 
 /** An endpoint to which requests need a grant. */
 interface Gate {
@@ -86,7 +86,7 @@
   }
 
   /** Notes what an answer of an endpoint says of its limit. */
-  note(endpoint: string, named: NamedLimit): void {
+  recordLimit(endpoint: string, named: AdvertisedLimit): void {
     const known = this.#entries.get(endpoint);
     if (named === undefined && known === undefined) return;
     if (named === "unreadable") return this.#noteUnreadable(endpoint);
@@ -102,7 +102,7 @@
   }
 
   /** Endpoints to which nothing may go now. */
-  get withheld(): string[] {
+  get blockedEndpoints(): string[] {
     if (this.#entries.size + this.#cold.size === 0) return [];
     const now = this.#options.clock.now();
     return [...this.#entries.values(), ...this.#cold.values()]
@@ -112,21 +112,21 @@
 
   /** Whether an endpoint should be asked next: no answer has said for a while
    * whether its limit still holds. */
-  isDue(endpoint: string): boolean {
+  needsProbe(endpoint: string): boolean {
     const entry = this.#entries.get(endpoint);
     if (entry === undefined) return false;
     const now = this.#options.clock.now();
-    return now >= entry.withheldUntil && now - entry.limit.lastAt > UNASKED;
+    return now >= entry.withheldUntil && now - entry.limit.updatedAt > UNASKED;
   }
 
   /** Takes the right to send a request to an endpoint. Resolves with 0, or with
    * the milliseconds after which there may be one. */
-  async take(endpoint: string): Promise<number> {
+  async acquire(endpoint: string): Promise<number> {
     return await this.#takeCold(endpoint) || await this.#takeLimited(endpoint);
   }
 
   /** Takes what a host with a disk knows of limits. */
-  follow(told: readonly schema.EndpointLimit[]): void {
+  mergeLimits(told: readonly schema.EndpointLimit[]): void {
     const now = this.#options.clock.now();
     for (const each of told) {
       const limit = endpointLimits.EndpointLimit.decode(each, now);
@@ -157,7 +157,7 @@
   }
 
   #add(limit: endpointLimits.EndpointLimit, now: number): Entry {
-    const part = limit.rate(now) / Math.max(1, this.#options.hosts());
+    const part = limit.rate(now) / Math.max(1, this.#options.entryHostCount());
     const entry: Entry = {
       endpoint: limit.endpoint,
       limit,
@@ -174,7 +174,10 @@
     endpoint: string,
     { limit, now }: { limit: number; now: number },
   ): void {
-    const named = endpointLimits.EndpointLimit.named(endpoint, { limit, now });
+    const named = endpointLimits.EndpointLimit.advertised(endpoint, {
+      limit,
+      now,
+    });
     const known = this.#entries.get(endpoint);
     const isNews = known?.limit.limit !== limit ||
       known.limit.endedAt !== undefined;
@@ -218,7 +221,7 @@
   }
 
   #addCold(endpoint: string, rate: number): Gate {
-    const { clock, hosts, logger } = this.#options;
+    const { clock, entryHostCount: hosts, logger } = this.#options;
     const part = rate / Math.max(1, hosts());
     const bucket = tokenBuckets.TokenBucket.create(part, clock.now());
     const gate = { endpoint, bucket, withheldUntil: -Infinity };
@@ -240,7 +243,7 @@
   /** Asks who grants for an endpoint; where nobody answers, this host keeps to
    * its even part. */
   async #ask(gate: Gate, { question, rate }: Grant): Promise<number> {
-    const { calls, clock, logger, hosts } = this.#options;
+    const { calls, clock, logger, entryHostCount: hosts } = this.#options;
     const { endpoint, bucket } = gate;
     for (const owner of this.#ownersOf(endpoint)) {
       try {
--- a/src/rate_limits/quota_server.ts
+++ b/src/rate_limits/quota_server.ts
@@ -17,10 +17,10 @@
   readonly clock: runtime.Clock;
   readonly logger: telemetry.Logger;
   readonly metrics: telemetry.Metrics;
-  readonly calls: Pick<peers.Calls, "cast">;
+  readonly calls: Pick<peers.Rpc, "cast">;
   /** Hosts that are told at once: the others with disks, and entry hosts that
    * follow this one. */
-  others(): readonly string[];
+  recipients(): readonly string[];
 }
 
 /** Milliseconds after which the bucket of a cold endpoint is forgotten that
@@ -53,7 +53,7 @@
   }
 
   /** Takes what another host knows of limits. */
-  take(told: readonly schema.EndpointLimit[]): void {
+  mergeLimits(told: readonly schema.EndpointLimit[]): void {
     const now = this.#options.clock.now();
     for (const each of told) {
       this.#put(endpointLimits.EndpointLimit.decode(each, now));
@@ -61,8 +61,8 @@
   }
 
   /** Whether a host may send a request to an endpoint now. */
-  allow({ limit }: schema.QuotaQuestion): schema.QuotaReply {
-    this.take([limit]);
+  request({ limit }: schema.QuotaQuestion): schema.QuotaReply {
+    this.mergeLimits([limit]);
     const { metrics, clock } = this.#options;
     const now = clock.now();
     const entry = this.#entries.get(limit.endpoint);
@@ -78,7 +78,7 @@
   }
 
   /** Whether a host may send a request to a cold endpoint now. */
-  allowCold({ endpoint, rate }: schema.WarmupQuestion): schema.QuotaReply {
+  requestCold({ endpoint, rate }: schema.WarmupQuestion): schema.QuotaReply {
     const { metrics, clock } = this.#options;
     const now = clock.now();
     const entry = this.#cold.get(endpoint) ?? this.#addCold(endpoint, rate);
@@ -91,7 +91,7 @@
   }
 
   /** Limits that hosts should know. */
-  get told(): schema.EndpointLimit[] {
+  get limits(): schema.EndpointLimit[] {
     const now = this.#options.clock.now();
     return [...this.#entries.values()].map(({ limit }) => limit.encode(now));
   }
@@ -100,7 +100,7 @@
   tick(): void {
     const now = this.#options.clock.now();
     for (const [endpoint, { limit }] of this.#entries) {
-      if (limit.isOver(now)) this.#entries.delete(endpoint);
+      if (limit.isExpired(now)) this.#entries.delete(endpoint);
     }
     for (const [endpoint, { askedAt }] of this.#cold) {
       if (now - askedAt > COLD_MEMORY) this.#cold.delete(endpoint);
@@ -116,7 +116,7 @@
   }
 
   #tell(limit: endpointLimits.EndpointLimit): void {
-    const { calls, clock, others } = this.#options;
+    const { calls, clock, recipients: others } = this.#options;
     const limits = [limit.encode(clock.now())];
     others().forEach((host) => calls.cast(host, { type: "limits", limits }));
   }
@@ -126,7 +126,7 @@
     const now = clock.now();
     const known = this.#entries.get(told.endpoint);
     const limit = known?.limit.merge(told) ?? told;
-    if (limit === known?.limit || limit.isOver(now)) return;
+    if (limit === known?.limit || limit.isExpired(now)) return;
     const rate = limit.rate(now);
     const bucket = known?.bucket ?? tokenBuckets.TokenBucket.create(rate, now);
     this.#entries.set(told.endpoint, { limit, bucket });
--- a/src/routing/quantile.ts
+++ b/src/routing/duration_histogram.ts
@@ -11,13 +11,13 @@
 const CAPACITY = 1024;
 
 /** Histogram of durations in milliseconds, on a logarithmic scale. */
-export class Durations {
+export class DurationHistogram {
   #counts = new Float32Array(BUCKETS);
   #total = 0;
 
   /** A histogram without samples. */
-  static create(): Durations {
-    return new Durations();
+  static create(): DurationHistogram {
+    return new DurationHistogram();
   }
 
   /** Weight of the samples that still count. */
@@ -45,7 +45,7 @@
   }
 
   /** Share of the samples that do not exceed `ms`. */
-  share(ms: number): number {
+  fractionUpTo(ms: number): number {
     if (this.#total === 0) return 0;
     let below = 0;
     for (let pos = 0; pos <= bucketOf(ms); pos++) below += this.#counts[pos];
--- a/src/routing/choice.ts
+++ b/src/routing/endpoint_choice.ts
@@ -6,9 +6,9 @@
  * @module */
 
 import type * as endpoint from "../schema/endpoint_types.ts";
-import type * as group from "./group.ts";
+import type * as group from "./endpoint_group.ts";
 import type * as pool from "./pool.ts";
-import * as finish from "./finish.ts";
+import * as finish from "./finish_time.ts";
 
 /** A call that needs an endpoint. */
 export interface Call {
@@ -27,7 +27,7 @@
 }
 
 /** An endpoint chosen for a call. */
-export interface Chosen {
+export interface Choice {
   endpoint: string;
   /** Milliseconds until the call is expected to finish. */
   finish: number;
@@ -50,40 +50,40 @@
 
 /** Chooses among the members of `from`; undefined when none has room. */
 export function choose(
-  from: group.Group,
+  from: group.EndpointGroup,
   call: Call,
   now: number,
-): Chosen | undefined {
+): Choice | undefined {
   const search = new Search(from, call, now);
   return search.probe() ?? search.run();
 }
 
 /** One choice under way. */
 class Search {
-  #from: group.Group;
+  #from: group.EndpointGroup;
   #call: Call;
   #now: number;
-  #best: Chosen | undefined;
-  #spare: Chosen | undefined;
+  #best: Choice | undefined;
+  #spare: Choice | undefined;
 
-  constructor(from: group.Group, call: Call, now: number) {
+  constructor(from: group.EndpointGroup, call: Call, now: number) {
     this.#from = from;
     this.#call = call;
     this.#now = now;
   }
 
   /** An ejected endpoint whose time for a probe has come. */
-  probe(): Chosen | undefined {
+  probe(): Choice | undefined {
     if (!this.#call.probe) return undefined;
-    const id = this.#from.ejection.due(this.#now);
+    const id = this.#from.outliers.dueProbe(this.#now);
     const member = id === undefined ? undefined : this.#from.member(id);
     if (member === undefined || !this.#usable(member)) return undefined;
     return this.#weigh(member, 0);
   }
 
-  run(): Chosen | undefined {
+  run(): Choice | undefined {
     const pools = [...this.#from.pools(this.#call.role)];
-    this.#from.refresh(pools, this.#now);
+    this.#from.recheckUnavailable(pools, this.#now);
     this.#considerHolders();
     this.#considerPools(pools);
     this.#considerHome();
@@ -93,7 +93,7 @@
   #considerHolders(): void {
     const { prefix, prefill } = this.#call;
     if (prefix.length === 0 || prefill === 0) return;
-    for (const one of this.#from.prefixes.holders(prefix, this.#now)) {
+    for (const one of this.#from.prefixIndex.holders(prefix, this.#now)) {
       const member = this.#from.member(one.endpoint);
       if (member === undefined || !this.#bounded(member)) continue;
       this.#consider(member, one.blocks);
@@ -102,7 +102,7 @@
 
   #considerPools(pools: readonly pool.Pool[]): void {
     let open = 0;
-    for (const one of pools) open += one.open.length;
+    for (const one of pools) open += one.available.length;
     if (open <= WHOLE) {
       for (const one of pools) this.#considerAll(one);
     } else this.#sample(pools, open);
@@ -111,7 +111,7 @@
   /** Begins anywhere, so that hosts that know nothing do not agree. */
   #considerAll(from: pool.Pool): void {
     // A copy, as members without room leave the list on the way.
-    const members = [...from.open];
+    const members = [...from.available];
     const start = this.#from.random.below(members.length);
     for (let pos = 0; pos < members.length; pos++) {
       this.#consider(members[(start + pos) % members.length], 0);
@@ -120,7 +120,7 @@
 
   /** Draws one half nearby, where there is any, the rest from all. */
   #sample(pools: readonly pool.Pool[], open: number): void {
-    const near = pools.find((one) => one.near);
+    const near = pools.find((one) => one.isLocal);
     let taken = 0;
     for (let draw = 0; draw < DRAWS && taken < SAMPLE; draw++) {
       const nearby = draw % 2 === 0 ? near : undefined;
@@ -134,7 +134,7 @@
   #draw(pools: readonly pool.Pool[], open: number): pool.Pool {
     let left = this.#from.random.below(open);
     for (const one of pools) {
-      left -= one.open.length;
+      left -= one.available.length;
       if (left < 0) return one;
     }
     return pools[0];
@@ -146,7 +146,7 @@
     const best = this.#best;
     if (best === undefined || best.blocks > 0) return;
     if (this.#call.prefix.length === 0 || this.#call.prefill === 0) return;
-    const id = this.#from.ring.member(this.#call.prefix[0]);
+    const id = this.#from.ring.lookup(this.#call.prefix[0]);
     const member = id === undefined ? undefined : this.#from.member(id);
     if (member === undefined || !this.#usable(member)) return;
     if (!this.#bounded(member) || !this.#accept(member)) return;
@@ -168,12 +168,12 @@
   }
 
   /** Members that may be chosen when none with full weight was drawn. */
-  #lastResort(pools: readonly pool.Pool[]): Chosen | undefined {
+  #lastResort(pools: readonly pool.Pool[]): Choice | undefined {
     for (const one of pools) {
-      const length = Math.min(one.open.length, DRAWS);
-      const start = this.#from.random.below(one.open.length);
+      const length = Math.min(one.available.length, DRAWS);
+      const start = this.#from.random.below(one.available.length);
       for (let pos = 0; pos < length; pos++) {
-        const member = one.open[(start + pos) % one.open.length];
+        const member = one.available[(start + pos) % one.available.length];
         if (member === undefined) continue;
         if (!this.#usable(member) || this.#held(member)) continue;
         return this.#weigh(member, 0);
@@ -188,45 +188,45 @@
       return false;
     }
     if (this.#call.avoid.includes(endpoint.id)) return false;
-    return this.#from.settle(member, this.#now);
+    return this.#from.updateAvailability(member, this.#now);
   }
 
   /** By chance, as often as the member's weight says. */
   #accept(member: pool.Member): boolean {
-    const weight = this.#from.ejection.weight(member.endpoint.id, this.#now);
+    const weight = this.#from.outliers.weight(member.endpoint.id, this.#now);
     return weight >= 1 || this.#from.random.next() < weight;
   }
 
   #held(member: pool.Member): boolean {
-    return this.#from.ejection.weight(member.endpoint.id, this.#now) === 0;
+    return this.#from.outliers.weight(member.endpoint.id, this.#now) === 0;
   }
 
   /** Whether affinity may add to a member's load. */
   #bounded(member: pool.Member): boolean {
-    const load = this.#from.load(member, this.#now);
+    const load = this.#from.predictLoad(member, this.#now);
     const { slots } = member.endpoint;
     if (load < LIGHT * slots) return true;
-    const mean = (this.#from.total + 1) / this.#from.slots;
+    const mean = (this.#from.totalCalls + 1) / this.#from.slots;
     return load <= BOUND * mean * slots;
   }
 
-  #weigh(member: pool.Member, blocks: number): Chosen {
+  #weigh(member: pool.Member, blocks: number): Choice {
     const { endpoint } = member;
     const { work, prefill, prefix } = this.#call;
     const predicted = finish.predict({
       latency: member.pool?.latency ?? 0,
       work,
       saved: blocks === 0 ? 0 : prefill * blocks / prefix.length,
-      load: this.#from.load(member, this.#now),
+      load: this.#from.predictLoad(member, this.#now),
       slots: endpoint.slots,
-      service: this.#from.service || work,
-      slowness: this.#from.ejection.slowness(endpoint.id),
+      service: this.#from.meanServiceTime || work,
+      slowness: this.#from.outliers.slowness(endpoint.id),
       kvUsed: member.kvUsed,
     });
     return { endpoint: endpoint.id, finish: predicted, blocks };
   }
 }
 
-function sooner(best: Chosen | undefined, other: Chosen): Chosen {
+function sooner(best: Choice | undefined, other: Choice): Choice {
   return best === undefined || other.finish < best.finish ? other : best;
 }
--- a/src/routing/choice_test.ts
+++ b/src/routing/endpoint_choice_test.ts
@@ -3,9 +3,9 @@
 import * as fc from "fast-check";
 import type * as event from "../request/event.ts";
 import * as runtime from "../runtime/mod.ts";
-import * as choice from "./choice.ts";
-import * as finish from "./finish.ts";
-import * as group from "./group.ts";
+import * as choice from "./endpoint_choice.ts";
+import * as finish from "./finish_time.ts";
+import * as group from "./endpoint_group.ts";
 
 function endpoint(
   id: string,
@@ -23,10 +23,10 @@
   };
 }
 
-function create(size: number, seed = 1): group.Group {
+function create(size: number, seed = 1): group.EndpointGroup {
   const random = runtime.createRandom(seed);
-  const one = group.Group.create({ dataCentre: "near", random });
-  for (let pos = 0; pos < size; pos++) one.put(endpoint(`e${pos}`));
+  const one = group.EndpointGroup.create({ dataCentre: "near", random });
+  for (let pos = 0; pos < size; pos++) one.upsert(endpoint(`e${pos}`));
   return one;
 }
 
@@ -42,8 +42,8 @@
   };
 }
 
-function busy(one: group.Group, id: string, calls: number): void {
-  for (let count = 0; count < calls; count++) one.send(id, [], 0);
+function busy(one: group.EndpointGroup, id: string, calls: number): void {
+  for (let count = 0; count < calls; count++) one.startCall(id, [], 0);
 }
 
 test("chooses the least loaded of a small group", (t) => {
@@ -55,7 +55,7 @@
 
 test("prefers its own data centre until load outweighs the way", (t) => {
   const one = create(1);
-  one.put(endpoint("far", { dataCentre: "other" }));
+  one.upsert(endpoint("far", { dataCentre: "other" }));
   t.is(choice.choose(one, call(), 0)?.endpoint, "e0");
   busy(one, "e0", 2);
   t.is(choice.choose(one, call(), 0)?.endpoint, "far");
@@ -64,7 +64,7 @@
 test("follows the prefix, but not onto a loaded endpoint", (t) => {
   const one = create(4);
   const prefix = ["p0", "p1", "p2", "p3"];
-  one.send("e2", prefix, 0);
+  one.startCall("e2", prefix, 0);
   const wanted = call({ prefix, prefill: 80 });
   t.like(choice.choose(one, wanted, 0), { endpoint: "e2", blocks: 4 });
   busy(one, "e2", 2);
@@ -84,8 +84,8 @@
 test("probes an ejected endpoint with what can be repeated only", (t) => {
   const one = create(3);
   for (let count = 0; count < 3; count++) {
-    one.send("e0", [], 0);
-    one.end("e0", { seen: { ok: false } }, 0);
+    one.startCall("e0", [], 0);
+    one.endCall("e0", { observation: { ok: false } }, 0);
   }
   t.is(choice.choose(one, call({ probe: true }), 3000)?.endpoint, "e0");
   for (let count = 0; count < 50; count++) {
@@ -96,10 +96,10 @@
 test("finds the one endpoint with room, and again when a report fades", (t) => {
   const one = create(200);
   for (const id of one.ids()) {
-    one.report(id, { running: 4, waiting: 2, kvUsed: 0, at: 0 }, 0);
+    one.reportLoad(id, { running: 4, waiting: 2, kvUsed: 0, at: 0 }, 0);
   }
   t.is(choice.choose(one, call(), 0), undefined);
-  one.report("e77", { running: 1, waiting: 0, kvUsed: 0, at: 10 }, 10);
+  one.reportLoad("e77", { running: 1, waiting: 0, kvUsed: 0, at: 10 }, 10);
   t.is(choice.choose(one, call(), 10)?.endpoint, "e77");
 });
 
@@ -124,41 +124,41 @@
       const now = count * 50;
       if (taken.type === "end") {
         const id = sent.shift();
-        if (id) one.end(id, { seen: { ok: taken.ok } }, now);
+        if (id) one.endCall(id, { observation: { ok: taken.ok } }, now);
       } else if (taken.type === "choose") {
         const found = choice.choose(one, call({ probe: taken.probe }), now);
         if (found === undefined) continue;
         const member = one.member(found.endpoint);
         t.is(member?.endpoint.state, "ready");
-        t.true(member !== undefined && member.load.own < 4);
+        t.true(member !== undefined && member.load.ownCalls < 4);
         t.true(member !== undefined && member.load.predict(now) < 5);
-        const state = one.ejection.state(found.endpoint);
+        const state = one.outliers.state(found.endpoint);
         t.true(taken.probe || state === "used" || state === "returning");
-        one.send(found.endpoint, [], now);
+        one.startCall(found.endpoint, [], now);
         sent.push(found.endpoint);
       } else if (taken.type === "report") {
         const load = { running: taken.running, waiting: 0, kvUsed: 0, at: now };
-        one.report(`e${taken.pos}`, load, now);
+        one.reportLoad(`e${taken.pos}`, load, now);
       } else if (taken.type === "leave") one.remove(`e${taken.pos}`);
       else {
         const state = taken.type === "drain" ? "draining" : "ready";
-        one.put(endpoint(`e${taken.pos}`, { state }));
+        one.upsert(endpoint(`e${taken.pos}`, { state }));
       }
     }
     let total = 0;
     for (const id of one.ids()) {
       const member = one.member(id);
-      total += (member?.load.own ?? 0) + (member?.foreign ?? 0);
+      total += (member?.load.ownCalls ?? 0) + (member?.otherHostCalls ?? 0);
     }
-    t.is(one.total, total);
+    t.is(one.totalCalls, total);
   }));
 });
 
 /** The naive twin: all endpoints with room and their predicted finishes. */
-function scan(one: group.Group): choice.Chosen[] {
-  const found: choice.Chosen[] = [];
+function scan(one: group.EndpointGroup): choice.Choice[] {
+  const found: choice.Choice[] = [];
   for (const id of one.ids()) {
-    const load = one.member(id)?.load.own ?? 4;
+    const load = one.member(id)?.load.ownCalls ?? 4;
     if (load >= 4) continue;
     const idle = { latency: 0, work: 100, saved: 0, kvUsed: 0 };
     const usual = { slots: 4, service: 100, slowness: 1 };
@@ -169,9 +169,9 @@
 }
 
 type Pick = (
-  one: group.Group,
-  scanned: choice.Chosen[],
-) => choice.Chosen | undefined;
+  one: group.EndpointGroup,
+  scanned: choice.Choice[],
+) => choice.Choice | undefined;
 
 const picks: Record<string, Pick> = {
   sampled: (one) => choice.choose(one, call(), 0),
@@ -193,11 +193,11 @@
     const same = scanned.find((other) => other.endpoint === found.endpoint);
     t.is(same?.finish, found.finish);
     total += found.finish;
-    one.send(found.endpoint, [], 0);
+    one.startCall(found.endpoint, [], 0);
     running.push(found.endpoint);
     if (running.length <= 0.7 * 4 * size) continue;
     for (const id of running.splice(random.below(running.length), 1)) {
-      one.end(id, {}, 0);
+      one.endCall(id, {}, 0);
     }
   }
   return total / 4000;
@@ -219,7 +219,7 @@
   for (let count = 0; count < 160; count++) {
     const found = choice.choose(one, call(), 0);
     t.not(found, undefined);
-    one.send(found?.endpoint ?? "", [], 0);
+    one.startCall(found?.endpoint ?? "", [], 0);
   }
   t.is(choice.choose(one, call(), 0), undefined);
 });
--- a/src/routing/group.ts
+++ b/src/routing/endpoint_group.ts
@@ -5,15 +5,15 @@
 import type * as endpoint from "../schema/endpoint_types.ts";
 import type * as event from "../request/event.ts";
 import type * as runtime from "../runtime/mod.ts";
-import * as ejection from "./ejection.ts";
+import * as ejection from "./outlier_detector.ts";
 import type * as health from "./health.ts";
-import * as load from "./load.ts";
+import * as load from "./load_estimate.ts";
 import * as pool from "./pool.ts";
-import * as prefix from "./prefix.ts";
-import * as ring from "./ring.ts";
+import * as prefix from "./prefix_index.ts";
+import * as ring from "./hash_ring.ts";
 
 /** Where a host is and what it draws random numbers from. */
-export interface GroupOptions {
+export interface Options {
   dataCentre: string;
   random: runtime.Random;
   /** Milliseconds to another data centre and back. */
@@ -21,11 +21,11 @@
 }
 
 /** How a call ended. */
-export interface Ended {
+export interface CallResult {
   /** Undefined where the end says nothing of the endpoint's health. */
-  seen?: health.Observation;
+  observation?: health.Observation;
   /** Milliseconds that the call took, where it ended well. */
-  service?: number;
+  serviceTime?: number;
 }
 
 /** Milliseconds to another data centre and back. */
@@ -34,10 +34,10 @@
 const ALPHA = 0.02;
 
 /** Members of one service; changed in place. */
-export class Group {
-  readonly ejection = ejection.Ejection.create();
-  readonly prefixes = prefix.Prefixes.create();
-  readonly ring = ring.Ring.create();
+export class EndpointGroup {
+  readonly outliers = ejection.OutlierDetector.create();
+  readonly prefixIndex = prefix.PrefixIndex.create();
+  readonly ring = ring.HashRing.create();
   readonly random: runtime.Random;
   #dataCentre: string;
   #latency: number;
@@ -48,15 +48,15 @@
   #slots = 0;
   #service = 0;
 
-  private constructor(options: GroupOptions) {
+  private constructor(options: Options) {
     this.random = options.random;
     this.#dataCentre = options.dataCentre;
     this.#latency = options.latency ?? FAR;
   }
 
   /** A group without members. */
-  static create(options: GroupOptions): Group {
-    return new Group(options);
+  static create(options: Options): EndpointGroup {
+    return new EndpointGroup(options);
   }
 
   /** Number of members, draining ones included. */
@@ -65,17 +65,17 @@
   }
 
   /** Mean time of a call in milliseconds; 0 before the first. */
-  get service(): number {
+  get meanServiceTime(): number {
     return this.#service;
   }
 
   /** Calls in the group over those it runs side by side. */
   get utilisation(): number {
-    return this.#slots === 0 ? 0 : this.total / this.#slots;
+    return this.#slots === 0 ? 0 : this.totalCalls / this.#slots;
   }
 
   /** Calls in the group, of this and of other hosts. */
-  get total(): number {
+  get totalCalls(): number {
     return this.#own + this.#foreign;
   }
 
@@ -108,11 +108,11 @@
   }
 
   /** Adds an endpoint, or takes in what changed of it. */
-  put(described: event.Endpoint): void {
+  upsert(described: event.Endpoint): void {
     const known = this.#members.get(described.id);
     if (known !== undefined && same(known.endpoint, described)) return;
     if (known !== undefined && restarted(known.endpoint, described)) {
-      this.prefixes.forget(described.id);
+      this.prefixIndex.removeEngine(described.id);
     }
     const member = known ?? this.#enter(described);
     this.#slots += described.slots - (known?.endpoint.slots ?? 0);
@@ -128,84 +128,84 @@
     member.pool?.remove(member);
     this.#members.delete(id);
     this.#slots -= member.endpoint.slots;
-    this.#own -= member.load.own;
-    this.#foreign -= member.foreign;
-    this.ejection.remove(id);
-    this.prefixes.forget(id);
+    this.#own -= member.load.ownCalls;
+    this.#foreign -= member.otherHostCalls;
+    this.outliers.remove(id);
+    this.prefixIndex.removeEngine(id);
     this.ring.remove(id);
   }
 
   /** Takes a load report. */
-  report(id: string, seen: event.Load, now: number): void {
+  reportLoad(id: string, seen: event.Load, now: number): void {
     const member = this.#members.get(id);
     if (member === undefined) return;
     member.load.report(seen, now);
     member.kvUsed = seen.kvUsed;
-    const foreign = member.load.reportedForeign;
-    this.#foreign += foreign - member.foreign;
-    member.foreign = foreign;
-    this.settle(member, now);
+    const foreign = member.load.reportedOtherHostCalls;
+    this.#foreign += foreign - member.otherHostCalls;
+    member.otherHostCalls = foreign;
+    this.updateAvailability(member, now);
   }
 
   /** Counts a call that is sent to a member. */
-  send(id: string, blocks: readonly string[], now: number): void {
+  startCall(id: string, blocks: readonly string[], now: number): void {
     const member = this.#members.get(id);
     if (member === undefined) return;
-    member.load.send(now);
+    member.load.startCall(now);
     this.#own++;
-    this.ejection.send(id, now);
-    if (blocks.length > 0) this.prefixes.send(id, blocks, now);
-    this.settle(member, now);
+    this.outliers.startCall(id, now);
+    if (blocks.length > 0) this.prefixIndex.recordPrompt(id, blocks, now);
+    this.updateAvailability(member, now);
   }
 
   /** Counts the end of a call that was sent to a member. */
-  end(id: string, ended: Ended, now: number): void {
-    if (ended.service !== undefined) this.#learn(ended.service);
+  endCall(id: string, ended: CallResult, now: number): void {
+    if (ended.serviceTime !== undefined) this.#learn(ended.serviceTime);
     const member = this.#members.get(id);
     if (member === undefined) return;
-    if (member.load.own > 0) this.#own--;
-    member.load.end(now);
-    if (ended.seen) this.ejection.observe(id, ended.seen, now);
-    this.settle(member, now);
+    if (member.load.ownCalls > 0) this.#own--;
+    member.load.endCall(now);
+    if (ended.observation) this.outliers.observe(id, ended.observation, now);
+    this.updateAvailability(member, now);
   }
 
   /** Calls that a member is believed to have. */
-  load(member: pool.Member, now: number): number {
+  predictLoad(member: pool.Member, now: number): number {
     const prior = this.#foreign * member.endpoint.slots / this.#slots;
-    return member.load.predict(now, { prior, service: this.#service });
+    return member.load.predict(now, { prior, serviceTime: this.#service });
   }
 
   /** Whether a member may take one more call; moves it in its pool. Only
    * what was reported of others counts here, not what is usual: else all
    * hosts would wait for a report when the group is busy. */
-  settle(member: pool.Member, now: number): boolean {
+  updateAvailability(member: pool.Member, now: number): boolean {
     const { slots } = member.endpoint;
-    const load = member.load.predict(now, { service: this.#service });
-    const open = member.load.own < slots && load < slots;
-    member.pool?.place(member, open);
+    const load = member.load.predict(now, { serviceTime: this.#service });
+    const open = member.load.ownCalls < slots && load < slots;
+    member.pool?.setAvailable(member, open);
     return open && member.pool !== undefined;
   }
 
   /** Looks again at one member without room in each pool: reports fade. */
-  refresh(pools: Iterable<pool.Pool>, now: number): void {
+  recheckUnavailable(pools: Iterable<pool.Pool>, now: number): void {
     for (const one of pools) {
-      const member = one.next();
-      if (member !== undefined) this.settle(member, now);
+      const member = one.nextUnavailable();
+      if (member !== undefined) this.updateAvailability(member, now);
     }
   }
 
   #enter(described: event.Endpoint): pool.Member {
     const member: pool.Member = {
       endpoint: described,
-      load: load.Load.create(),
+      load: load.LoadEstimate.create(),
       kvUsed: 0,
-      foreign: 0,
+      otherHostCalls: 0,
       pool: undefined,
-      open: false,
+      available: false,
       pos: 0,
     };
     this.#members.set(described.id, member);
-    this.ejection.add(described.id);
+    this.outliers.add(described.id);
     this.ring.add(described.id);
     return member;
   }
--- a/src/routing/budget.ts
+++ b/src/routing/extra_call_budget.ts
@@ -3,9 +3,9 @@
  * @module */
 
 /** What a budget grants. */
-export interface BudgetLimits {
+export interface Options {
   /** Extra calls for each request, such as 0.1. */
-  share: number;
+  ratio: number;
   /** Extra calls a second that are granted even without requests. */
   floor?: number;
   /** Most extra calls that can be saved up. */
@@ -20,15 +20,15 @@
 const BURST = 20;
 
 /** Budget of extra calls of one service; changed in place. */
-export class Budget {
+export class ExtraCallBudget {
   #share: number;
   #floor: number;
   #burst: number;
   #balance: number;
   #updated: number;
 
-  private constructor(limits: BudgetLimits, now: number) {
-    this.#share = limits.share;
+  private constructor(limits: Options, now: number) {
+    this.#share = limits.ratio;
     this.#floor = limits.floor ?? FLOOR;
     this.#burst = limits.burst ?? BURST;
     this.#balance = this.#floor > 0 ? Math.min(1, this.#burst) : 0;
@@ -36,8 +36,8 @@
   }
 
   /** A budget that holds one call to start with, unless its floor is 0. */
-  static create(limits: BudgetLimits, now: number): Budget {
-    return new Budget(limits, now);
+  static create(limits: Options, now: number): ExtraCallBudget {
+    return new ExtraCallBudget(limits, now);
   }
 
   /** Counts a request, not a repeated call; `scale` scales its share. */
--- a/src/routing/budget_test.ts
+++ b/src/routing/extra_call_budget_test.ts
@@ -1,6 +1,6 @@
 import test from "ava";
 import * as fc from "fast-check";
-import * as budget from "./budget.ts";
+import * as budget from "./extra_call_budget.ts";
 
 test("never grants more than its share, its floor and its start", (t) => {
   const step = fc.record({
@@ -8,7 +8,7 @@
     request: fc.boolean(),
   });
   fc.assert(fc.property(fc.array(step, { maxLength: 400 }), (steps) => {
-    const one = budget.Budget.create({ share: 0.1, floor: 0.5 }, 0);
+    const one = budget.ExtraCallBudget.create({ ratio: 0.1, floor: 0.5 }, 0);
     let now = 0;
     let requests = 0;
     let granted = 0;
@@ -23,14 +23,14 @@
 });
 
 test("forgets what was saved up long ago", (t) => {
-  const one = budget.Budget.create({ share: 1, floor: 0 }, 0);
+  const one = budget.ExtraCallBudget.create({ ratio: 1, floor: 0 }, 0);
   for (let count = 0; count < 20; count++) one.deposit(0);
   t.is(one.available(0), 20);
   t.is(one.available(10_000), 10);
 });
 
 test("grants nothing where nothing may be spent", (t) => {
-  const one = budget.Budget.create({ share: 1, floor: 0 }, 0);
+  const one = budget.ExtraCallBudget.create({ ratio: 1, floor: 0 }, 0);
   for (let now = 0; now < 1000; now++) one.deposit(now, 0);
   t.false(one.take(1000));
 });
--- a/src/routing/finish.ts
+++ b/src/routing/finish_time.ts
@@ -2,7 +2,7 @@
  * @module */
 
 /** What a prediction rests on; times in milliseconds. */
-export interface Prospect {
+export interface Conditions {
   /** Way to the endpoint and back. */
   latency: number;
   /** Time of the call at an idle, typical endpoint. */
@@ -29,7 +29,7 @@
 const KV_FULL = 1;
 
 /** Milliseconds until the call would finish. */
-export function predict(prospect: Prospect): number {
+export function predict(prospect: Conditions): number {
   const { load, slots } = prospect;
   const waiting = Math.max(0, load + 1 - slots) / slots;
   const batch = 1 + BATCHING * Math.min(1, load / slots);
--- a/src/routing/hash.ts
+++ b/src/routing/hash.ts
@@ -2,7 +2,7 @@
  * @module */
 
 /** Hash of a text, 32 bits without a sign. */
-export function text(value: string, seed = 0): number {
+export function ofString(value: string, seed = 0): number {
   let hash = (0x811c9dc5 ^ seed) >>> 0;
   for (let pos = 0; pos < value.length; pos++) {
     hash = Math.imul(hash ^ value.charCodeAt(pos), 0x01000193);
@@ -11,7 +11,7 @@
 }
 
 /** Hash of two hashes, 32 bits without a sign. */
-export function pair(a: number, b: number): number {
+export function combine(a: number, b: number): number {
   return mix(a ^ Math.imul(b, 0x9e3779b1));
 }
 
--- a/src/routing/ring.ts
+++ b/src/routing/hash_ring.ts
@@ -7,21 +7,21 @@
 const POINTS = 4;
 
 /** Ring of members; changed in place. */
-export class Ring {
+export class HashRing {
   /** Places of the points in order, apart from the ids, so that a search
    * reads one block of numbers. */
   #places: number[] = [];
   #ids: string[] = [];
 
   /** A ring without members. */
-  static create(): Ring {
-    return new Ring();
+  static create(): HashRing {
+    return new HashRing();
   }
 
   /** Adds a member. */
   add(id: string): void {
     for (let seed = 0; seed < POINTS; seed++) {
-      const place = hash.text(id, seed);
+      const place = hash.ofString(id, seed);
       const pos = this.#find(place);
       this.#places.splice(pos, 0, place);
       this.#ids.splice(pos, 0, id);
@@ -31,14 +31,14 @@
   /** Removes a member. */
   remove(id: string): void {
     for (let seed = 0; seed < POINTS; seed++) {
-      this.#drop(id, hash.text(id, seed));
+      this.#drop(id, hash.ofString(id, seed));
     }
   }
 
   /** Member that a name belongs to. */
-  member(name: string): string | undefined {
+  lookup(name: string): string | undefined {
     if (this.#ids.length === 0) return undefined;
-    const pos = this.#find(hash.text(name));
+    const pos = this.#find(hash.ofString(name));
     return this.#ids[pos % this.#ids.length];
   }
 
--- a/src/routing/health.ts
+++ b/src/routing/health.ts
@@ -18,12 +18,12 @@
   /** End of an ejection, of a probe or of a return. */
   until: number;
   ejections: number;
-  inARow: number;
-  failures: number;
+  consecutiveFailures: number;
+  failureRate: number;
   samples: number;
   /** Mean of the logarithms of slowness, and how many it rests on. */
-  slowness: number;
-  timed: number;
+  meanLogSlowness: number;
+  timedSamples: number;
   probes: number;
   suspect: boolean;
   heldUntil: number;
@@ -32,13 +32,13 @@
 /** Weight of the newest call in the means. */
 const ALPHA = 0.1;
 /** Milliseconds in which the weight of a returning endpoint grows to 1. */
-export const RAMP = 10_000;
+export const RETURN_RAMP_MS = 10_000;
 /** Weight at the start of a return, and of an endpoint that would be ejected
  * if the group could spare it. */
 const LOW_WEIGHT = 0.1;
 
 /** Share of its usual calls that an endpoint gets, by its state. */
-export const weights: Record<
+export const weightByState: Record<
   HealthState,
   (health: Health, now: number) => number
 > = {
@@ -47,22 +47,22 @@
   probing: () => 0,
   returning: (health, now) => {
     if (health.suspect) return LOW_WEIGHT;
-    const done = 1 - (health.until - now) / RAMP;
+    const done = 1 - (health.until - now) / RETURN_RAMP_MS;
     return Math.min(1, Math.max(LOW_WEIGHT, done));
   },
 };
 
 /** Health of an endpoint of which nothing is known. */
-export function healthy(): Health {
+export function createHealth(): Health {
   return {
     state: "used",
     until: 0,
     ejections: 0,
-    inARow: 0,
-    failures: 0,
+    consecutiveFailures: 0,
+    failureRate: 0,
     samples: 0,
-    slowness: 0,
-    timed: 0,
+    meanLogSlowness: 0,
+    timedSamples: 0,
     probes: 0,
     suspect: false,
     heldUntil: 0,
@@ -70,14 +70,14 @@
 }
 
 /** Moves the means; the first calls count alike, later ones fade. */
-export function learn(health: Health, seen: Observation): void {
-  health.inARow = seen.ok ? 0 : health.inARow + 1;
+export function record(health: Health, seen: Observation): void {
+  health.consecutiveFailures = seen.ok ? 0 : health.consecutiveFailures + 1;
   health.samples++;
   const alpha = Math.max(ALPHA, 1 / health.samples);
-  health.failures += alpha * ((seen.ok ? 0 : 1) - health.failures);
+  health.failureRate += alpha * ((seen.ok ? 0 : 1) - health.failureRate);
   if (seen.slowness === undefined) return;
-  health.timed++;
+  health.timedSamples++;
   const log = Math.log(Math.max(1e-3, seen.slowness));
-  const step = Math.max(ALPHA, 1 / health.timed);
-  health.slowness += step * (log - health.slowness);
+  const step = Math.max(ALPHA, 1 / health.timedSamples);
+  health.meanLogSlowness += step * (log - health.meanLogSlowness);
 }
--- a/src/routing/hedge.ts
+++ b/src/routing/hedge.ts
@@ -3,8 +3,8 @@
  * @module */
 
 import type * as request from "../request/request.ts";
-import type * as budget from "./budget.ts";
-import * as quantile from "./quantile.ts";
+import type * as budget from "./extra_call_budget.ts";
+import * as quantile from "./duration_histogram.ts";
 
 /** Quantile of finished calls past which a call is a straggler. */
 const STRAGGLER = 0.95;
@@ -40,7 +40,7 @@
 }
 
 /** What to do with a call in flight. */
-export type HedgeDecision =
+export type Decision =
   | { type: "hedge" }
   /** Cancel it and make it again elsewhere, from its offset. */
   | { type: "replace" }
@@ -48,34 +48,34 @@
   | { type: "wait"; until: number };
 
 /** Learnt bounds of one service; changed in place. */
-export class Hedges {
-  #finished: (quantile.Durations | undefined)[] = [];
-  #first: (quantile.Durations | undefined)[] = [];
-  #pauses = quantile.Durations.create();
+export class HedgePolicy {
+  #finished: (quantile.DurationHistogram | undefined)[] = [];
+  #first: (quantile.DurationHistogram | undefined)[] = [];
+  #pauses = quantile.DurationHistogram.create();
 
   /** Nothing learnt yet. */
-  static create(): Hedges {
-    return new Hedges();
+  static create(): HedgePolicy {
+    return new HedgePolicy();
   }
 
   /** Learns from a call that ended well. */
-  finish(size: number, ms: number): void {
+  observe(size: number, ms: number): void {
     classOf(this.#finished, size).add(ms);
   }
 
   /** Learns from a sign of progress; the first one of a call is apart. */
-  progress(size: number, pause: { ms: number; first: boolean }): void {
+  observeProgress(size: number, pause: { ms: number; first: boolean }): void {
     if (pause.first) classOf(this.#first, size).add(pause.ms);
     else this.#pauses.add(pause.ms);
   }
 
   /** Milliseconds past which a call of this size is a straggler. */
-  straggling(size: number): number | undefined {
+  stragglerThreshold(size: number): number | undefined {
     return learnt(this.#finished[sizeClass(size)], STRAGGLER);
   }
 
   /** Milliseconds without progress past which a call hangs. */
-  hanging(call: Pick<RunningCall, "size" | "receiving">): number {
+  hangThreshold(call: Pick<RunningCall, "size" | "receiving">): number {
     const durations = call.receiving
       ? this.#pauses
       : this.#first[sizeClass(call.size)] ??
@@ -89,16 +89,20 @@
   hangsAt(
     call: Pick<RunningCall, "size" | "receiving" | "progressed">,
   ): number {
-    return call.progressed + this.hanging(call);
+    return call.progressed + this.hangThreshold(call);
   }
 
   /** Decides on a call in flight; a hedge takes from the budget. */
-  decide(call: RunningCall, spend: budget.Budget, now: number): HedgeDecision {
+  decide(
+    call: RunningCall,
+    spend: budget.ExtraCallBudget,
+    now: number,
+  ): Decision {
     const hang = this.hangsAt(call);
     const movable = call.idempotent && call.others && !call.hedged;
     if (!movable) return { type: "wait", until: call.deadline };
     if (now >= hang) return { type: "replace" };
-    const bound = this.straggling(call.size);
+    const bound = this.stragglerThreshold(call.size);
     const due = bound === undefined ? Infinity : call.attempt.started + bound;
     if (now < due) return wait(call, Math.min(due, hang));
     if (this.#pays(call, now) && spend.take(now)) return { type: "hedge" };
@@ -116,25 +120,28 @@
 }
 
 /** Milliseconds of endpoint time that the loser of a race cost. */
-export function wasted(loser: request.Attempt, now: number): number {
+export function wastedTime(loser: request.Attempt, now: number): number {
   return Math.max(0, now - loser.started);
 }
 
 /** Median time still to go of a call that has run for `elapsed`; unbounded
  * where no sample ran as long. */
-function remaining(durations: quantile.Durations, elapsed: number): number {
-  const done = durations.share(elapsed);
+function remaining(
+  durations: quantile.DurationHistogram,
+  elapsed: number,
+): number {
+  const done = durations.fractionUpTo(elapsed);
   if (done >= 1) return Infinity;
   const total = durations.quantile(1 - (1 - done) / 2) ?? Infinity;
   return total - elapsed;
 }
 
-function wait(call: RunningCall, until: number): HedgeDecision {
+function wait(call: RunningCall, until: number): Decision {
   return { type: "wait", until: Math.min(until, call.deadline) };
 }
 
 function learnt(
-  durations: quantile.Durations | undefined,
+  durations: quantile.DurationHistogram | undefined,
   q: number,
 ): number | undefined {
   if (durations === undefined || durations.total < ENOUGH) return undefined;
@@ -146,8 +153,8 @@
 }
 
 function classOf(
-  classes: (quantile.Durations | undefined)[],
+  classes: (quantile.DurationHistogram | undefined)[],
   size: number,
-): quantile.Durations {
-  return classes[sizeClass(size)] ??= quantile.Durations.create();
+): quantile.DurationHistogram {
+  return classes[sizeClass(size)] ??= quantile.DurationHistogram.create();
 }
--- a/src/routing/hedge_test.ts
+++ b/src/routing/hedge_test.ts
@@ -1,14 +1,14 @@
 import test from "ava";
-import * as budget from "./budget.ts";
+import * as budget from "./extra_call_budget.ts";
 import * as hedge from "./hedge.ts";
-import * as quantile from "./quantile.ts";
+import * as quantile from "./duration_histogram.ts";
 
-function learnt(): hedge.Hedges {
-  const hedges = hedge.Hedges.create();
+function learnt(): hedge.HedgePolicy {
+  const hedges = hedge.HedgePolicy.create();
   for (let count = 0; count < 100; count++) {
-    hedges.finish(500, count < 97 ? 100 : 2000);
-    hedges.progress(500, { ms: 50, first: true });
-    hedges.progress(500, { ms: 20, first: false });
+    hedges.observe(500, count < 97 ? 100 : 2000);
+    hedges.observeProgress(500, { ms: 50, first: true });
+    hedges.observeProgress(500, { ms: 20, first: false });
   }
   return hedges;
 }
@@ -35,8 +35,8 @@
   };
 }
 
-function spend(tokens: number): budget.Budget {
-  const one = budget.Budget.create({ share: 1, floor: 0 }, 0);
+function spend(tokens: number): budget.ExtraCallBudget {
+  const one = budget.ExtraCallBudget.create({ ratio: 1, floor: 0 }, 0);
   for (let count = 0; count < tokens; count++) one.deposit(0);
   return one;
 }
@@ -74,12 +74,12 @@
 });
 
 test("calls nothing a hang early before it has learnt", (t) => {
-  const fresh = hedge.Hedges.create();
+  const fresh = hedge.HedgePolicy.create();
   t.like(fresh.decide(call(), spend(2), 4000), { type: "wait", until: 5000 });
 });
 
 test("keeps quantiles within a bucket and forgets old samples", (t) => {
-  const durations = quantile.Durations.create();
+  const durations = quantile.DurationHistogram.create();
   for (let ms = 1; ms <= 1000; ms++) durations.add(ms);
   const median = durations.quantile(0.5) ?? 0;
   t.true(median >= 500 && median <= 500 * 2 ** 0.25);
--- a/src/routing/transfer.ts
+++ b/src/routing/kv_transfer.ts
@@ -24,7 +24,7 @@
 const SHARE = 0.2;
 
 /** Milliseconds that a transfer saves; negative where it costs. */
-export function gain(transfer: Transfer): number {
+export function savedTime(transfer: Transfer): number {
   const prefill = transfer.tokens / transfer.prefillRate * 1000;
   const bytes = transfer.tokens * transfer.tokenBytes;
   const move = transfer.overhead + bytes / transfer.bandwidth * 1000;
@@ -32,7 +32,7 @@
 }
 
 /** Whether a transfer pays. */
-export function pays(transfer: Transfer): boolean {
+export function isWorthwhile(transfer: Transfer): boolean {
   const prefill = transfer.tokens / transfer.prefillRate * 1000;
-  return gain(transfer) > Math.max(MARGIN, SHARE * prefill);
+  return savedTime(transfer) > Math.max(MARGIN, SHARE * prefill);
 }
--- a/src/routing/transfer_test.ts
+++ b/src/routing/kv_transfer_test.ts
@@ -1,6 +1,6 @@
 import test from "ava";
-import * as finish from "./finish.ts";
-import * as transfer from "./transfer.ts";
+import * as finish from "./finish_time.ts";
+import * as transfer from "./kv_transfer.ts";
 
 function move(changes: Partial<transfer.Transfer> = {}): transfer.Transfer {
   return {
@@ -15,14 +15,14 @@
 }
 
 test("moves KV cache where that is faster than computing it", (t) => {
-  t.is(transfer.gain(move()), 1000 - 430);
-  t.true(transfer.pays(move()));
-  t.false(transfer.pays(move({ bandwidth: 1e8 })));
-  t.false(transfer.pays(move({ tokens: 40 })));
+  t.is(transfer.savedTime(move()), 1000 - 430);
+  t.true(transfer.isWorthwhile(move()));
+  t.false(transfer.isWorthwhile(move({ bandwidth: 1e8 })));
+  t.false(transfer.isWorthwhile(move({ tokens: 40 })));
 });
 
 test("predicts a later finish for each thing that delays it", (t) => {
-  const idle: finish.Prospect = {
+  const idle: finish.Conditions = {
     latency: 0,
     work: 100,
     saved: 0,
--- a/src/routing/load.ts
+++ b/src/routing/load_estimate.ts
@@ -16,15 +16,15 @@
 const GRAIN = 50;
 
 /** What a prediction assumes of the group. */
-export interface Outlook {
+export interface Assumptions {
   /** Calls of other hosts at a usual endpoint; 0 when absent. */
   prior?: number;
   /** Mean milliseconds of a call. */
-  service?: number;
+  serviceTime?: number;
 }
 
 /** Calls that an endpoint has running and waiting; changed in place. */
-export class Load {
+export class LoadEstimate {
   #own = 0;
   #foreign = 0;
   #reported = -Infinity;
@@ -32,32 +32,32 @@
   #counts: number[] = [];
 
   /** Load of an endpoint of which nothing is known yet. */
-  static create(): Load {
-    return new Load();
+  static create(): LoadEstimate {
+    return new LoadEstimate();
   }
 
   /** Calls of other hosts when the last report was made. */
-  get reportedForeign(): number {
+  get reportedOtherHostCalls(): number {
     return this.#foreign;
   }
 
   /** Calls of this host in flight. */
-  get own(): number {
+  get ownCalls(): number {
     return this.#own;
   }
 
   /** When the last report was made; minus infinity before the first. */
-  get reported(): number {
+  get reportedAt(): number {
     return this.#reported;
   }
 
   /** Counts a call that this host sends. */
-  send(now: number): void {
+  startCall(now: number): void {
     this.#set(this.#own + 1, now);
   }
 
   /** Counts a call of this host that ended, however it did. */
-  end(now: number): void {
+  endCall(now: number): void {
     this.#set(Math.max(0, this.#own - 1), now);
   }
 
@@ -67,11 +67,11 @@
     if (at < this.#reported) return;
     this.#reported = at;
     const total = load.running + load.waiting;
-    this.#foreign = Math.max(0, total - this.ownAt(at));
+    this.#foreign = Math.max(0, total - this.ownCallsAt(at));
   }
 
   /** Own calls that were in flight at an earlier time, as far as kept. */
-  ownAt(at: number): number {
+  ownCallsAt(at: number): number {
     let pos = this.#times.length - 1;
     while (pos >= 0 && this.#times[pos] > at) pos--;
     if (pos >= 0) return this.#counts[pos];
@@ -81,7 +81,10 @@
   /** Calls of other hosts. What a report saw has ended by and by, as calls
    * of `service` milliseconds do; `prior`, where given, is what came
    * instead, and half counts from the start. */
-  foreign(now: number, { prior, service }: Outlook = {}): number {
+  otherHostCalls(
+    now: number,
+    { prior, serviceTime: service }: Assumptions = {},
+  ): number {
     const age = Math.max(0, now - this.#reported);
     const ended = Math.exp(-age / (service || SERVICE));
     const left = prior === undefined ? ended : TRUST * ended;
@@ -89,8 +92,8 @@
   }
 
   /** All calls that the endpoint is believed to have. */
-  predict(now: number, outlook: Outlook = {}): number {
-    return this.#own + this.foreign(now, outlook);
+  predict(now: number, outlook: Assumptions = {}): number {
+    return this.#own + this.otherHostCalls(now, outlook);
   }
 
   #set(own: number, now: number): void {
--- a/src/routing/mod.ts
+++ b/src/routing/mod.ts
@@ -3,17 +3,17 @@
  * hot path changes its containers in place.
  * @module */
 
-export * as budget from "./budget.ts";
-export * as choice from "./choice.ts";
-export * as ejection from "./ejection.ts";
-export * as finish from "./finish.ts";
-export * as group from "./group.ts";
+export * as extraCallBudget from "./extra_call_budget.ts";
+export * as endpointChoice from "./endpoint_choice.ts";
+export * as outlierDetector from "./outlier_detector.ts";
+export * as finishTime from "./finish_time.ts";
+export * as endpointGroup from "./endpoint_group.ts";
 export * as health from "./health.ts";
 export * as hedge from "./hedge.ts";
-export * as load from "./load.ts";
-export * as prefix from "./prefix.ts";
-export * as quantile from "./quantile.ts";
+export * as loadEstimate from "./load_estimate.ts";
+export * as prefixIndex from "./prefix_index.ts";
+export * as durationHistogram from "./duration_histogram.ts";
 export * as retry from "./retry.ts";
 export * as router from "./router.ts";
 export * as subset from "./subset.ts";
-export * as transfer from "./transfer.ts";
+export * as kvTransfer from "./kv_transfer.ts";
--- a/src/routing/ejection.ts
+++ b/src/routing/outlier_detector.ts
@@ -44,7 +44,7 @@
 const LOOK_AT = 256;
 
 /** Health of the endpoints of one service; changed in place. */
-export class Ejection {
+export class OutlierDetector {
   #members = new Map<string, record.Health>();
   #out = new Map<string, record.Health>();
   #nextProbe = Infinity;
@@ -56,12 +56,12 @@
   #comparable = false;
 
   /** A group without members. */
-  static create(): Ejection {
-    return new Ejection();
+  static create(): OutlierDetector {
+    return new OutlierDetector();
   }
 
   /** Endpoints that get no calls but probes now. */
-  get ejected(): number {
+  get ejectedCount(): number {
     return this.#out.size;
   }
 
@@ -72,7 +72,7 @@
 
   /** Adds an endpoint. */
   add(id: string): void {
-    if (!this.#members.has(id)) this.#members.set(id, record.healthy());
+    if (!this.#members.has(id)) this.#members.set(id, record.createHealth());
   }
 
   /** Removes an endpoint and what is known of it. */
@@ -93,22 +93,22 @@
     const health = this.#members.get(id);
     if (health === undefined) return 0;
     if (now < health.heldUntil) return 0;
-    return record.weights[health.state](health, now);
+    return record.weightByState[health.state](health, now);
   }
 
   /** Time that the endpoint takes over what its group's median takes; 1
    * within the noise, since calls differ more than endpoints do. */
   slowness(id: string): number {
     const health = this.#members.get(id);
-    if (health === undefined || health.timed < ENOUGH) return 1;
+    if (health === undefined || health.timedSamples < ENOUGH) return 1;
     if (!this.#comparable) return 1;
-    const against = health.slowness - this.#median;
+    const against = health.meanLogSlowness - this.#median;
     const noise = Math.max(NOISE, 2 * this.#deviation);
     return against > noise ? Math.exp(against) : 1;
   }
 
   /** Notes that a call is sent; a probe when the endpoint is ejected. */
-  send(id: string, now: number): void {
+  startCall(id: string, now: number): void {
     const health = this.#out.get(id);
     if (health === undefined) return;
     health.state = "probing";
@@ -117,7 +117,7 @@
   }
 
   /** An ejected endpoint that one call may try now. */
-  due(now: number): string | undefined {
+  dueProbe(now: number): string | undefined {
     if (now < this.#nextProbe) return undefined;
     for (const [id, health] of this.#out) {
       if (now >= health.until && now >= health.heldUntil) return id;
@@ -137,13 +137,13 @@
   observe(id: string, seen: record.Observation, now: number): void {
     const health = this.#members.get(id);
     if (health === undefined) return;
-    record.learn(health, seen);
+    record.record(health, seen);
     this.#look(now);
     judges[health.state](this, { id, health, seen, now });
   }
 
   /** Judges an endpoint in use by its means. */
-  judgeUse({ id, health, now }: Judgement): void {
+  evaluateInUse({ id, health, now }: Judgement): void {
     if (health.state === "returning" && now >= health.until) {
       health.state = "used";
       health.ejections = Math.max(0, health.ejections - 1);
@@ -153,7 +153,7 @@
   }
 
   /** Judges an ejected endpoint by its probe alone. */
-  judgeProbe({ id, health, seen, now }: Judgement): void {
+  evaluateProbe({ id, health, seen, now }: Judgement): void {
     const against = Math.log(seen.slowness ?? 1) - this.#median;
     const slow = this.#comparable && against > SLOW;
     if (!seen.ok || slow) return this.#eject(id, health, { now });
@@ -165,12 +165,12 @@
   }
 
   #bad(health: record.Health): boolean {
-    if (health.inARow >= IN_A_ROW) return true;
-    const failing = health.failures - this.#failing > FAILING;
+    if (health.consecutiveFailures >= IN_A_ROW) return true;
+    const failing = health.failureRate - this.#failing > FAILING;
     if (health.samples >= ENOUGH && failing) return true;
     const bound = Math.max(SLOW, DEVIATIONS * this.#deviation);
-    const slow = health.slowness - this.#median > bound;
-    return this.#comparable && health.timed >= ENOUGH && slow;
+    const slow = health.meanLogSlowness - this.#median > bound;
+    return this.#comparable && health.timedSamples >= ENOUGH && slow;
   }
 
   #spare(): boolean {
@@ -189,9 +189,9 @@
 
   #restore(id: string, health: record.Health, { now }: { now: number }): void {
     const { ejections, heldUntil } = health;
-    Object.assign(health, record.healthy(), { ejections, heldUntil });
+    Object.assign(health, record.createHealth(), { ejections, heldUntil });
     health.state = "returning";
-    health.until = now + record.RAMP;
+    health.until = now + record.RETURN_RAMP_MS;
     this.#out.delete(id);
   }
 
@@ -220,8 +220,8 @@
     const failures: number[] = [];
     for (const health of this.#members.values()) {
       if (slowness.length >= LOOK_AT || failures.length >= LOOK_AT) break;
-      if (health.timed >= ENOUGH) slowness.push(health.slowness);
-      if (health.samples >= ENOUGH) failures.push(health.failures);
+      if (health.timedSamples >= ENOUGH) slowness.push(health.meanLogSlowness);
+      if (health.samples >= ENOUGH) failures.push(health.failureRate);
     }
     this.#median = median(slowness);
     const looked = Math.min(LOOK_AT, this.#members.size);
@@ -236,11 +236,11 @@
  * after it; they do not make it longer. */
 const judges: Record<
   record.HealthState,
-  (group: Ejection, judgement: Judgement) => void
+  (group: OutlierDetector, judgement: Judgement) => void
 > = {
-  used: (group, judgement) => group.judgeUse(judgement),
-  returning: (group, judgement) => group.judgeUse(judgement),
-  probing: (group, judgement) => group.judgeProbe(judgement),
+  used: (group, judgement) => group.evaluateInUse(judgement),
+  returning: (group, judgement) => group.evaluateInUse(judgement),
+  probing: (group, judgement) => group.evaluateProbe(judgement),
   ejected: () => {},
 };
 
--- a/src/routing/ejection_test.ts
+++ b/src/routing/outlier_detector_test.ts
@@ -1,14 +1,14 @@
 import test from "ava";
 import * as fc from "fast-check";
-import * as ejection from "./ejection.ts";
+import * as ejection from "./outlier_detector.ts";
 
-function group(size: number): ejection.Ejection {
-  const one = ejection.Ejection.create();
+function group(size: number): ejection.OutlierDetector {
+  const one = ejection.OutlierDetector.create();
   for (let pos = 0; pos < size; pos++) one.add(`e${pos}`);
   return one;
 }
 
-function fail(one: ejection.Ejection, id: string, now: number): void {
+function fail(one: ejection.OutlierDetector, id: string, now: number): void {
   for (let count = 0; count < 3; count++) one.observe(id, { ok: false }, now);
 }
 
@@ -17,12 +17,12 @@
   fail(one, "e0", 0);
   t.is(one.state("e0"), "ejected");
   t.is(one.weight("e0", 0), 0);
-  t.is(one.due(1999), undefined);
-  t.is(one.due(2000), "e0");
-  one.send("e0", 2000);
-  t.is(one.due(2001), undefined);
+  t.is(one.dueProbe(1999), undefined);
+  t.is(one.dueProbe(2000), "e0");
+  one.startCall("e0", 2000);
+  t.is(one.dueProbe(2001), undefined);
   one.observe("e0", { ok: true }, 2100);
-  one.send("e0", 2100);
+  one.startCall("e0", 2100);
   one.observe("e0", { ok: true }, 2200);
   t.is(one.state("e0"), "returning");
   t.true(one.weight("e0", 2200) <= 0.1);
@@ -35,11 +35,11 @@
   const one = group(3);
   fail(one, "e0", 0);
   one.observe("e0", { ok: false }, 100);
-  t.is(one.due(2000), "e0");
-  one.send("e0", 2000);
+  t.is(one.dueProbe(2000), "e0");
+  one.startCall("e0", 2000);
   one.observe("e0", { ok: false }, 2000);
-  t.is(one.due(5999), undefined);
-  t.is(one.due(6000), "e0");
+  t.is(one.dueProbe(5999), undefined);
+  t.is(one.dueProbe(6000), "e0");
 });
 
 test("ejects what is slow against its group, not a slow group", (t) => {
@@ -51,12 +51,12 @@
     }
   }
   t.is(one.state("e2"), "ejected");
-  t.is(one.ejected, 1);
+  t.is(one.ejectedCount, 1);
   const slow = group(6);
   for (let count = 0; count < 120; count++) {
     slow.observe(`e${count % 6}`, { ok: true, slowness: 10 }, count * 100);
   }
-  t.is(slow.ejected, 0);
+  t.is(slow.ejectedCount, 0);
 });
 
 test("never ejects more than half, whatever happens", (t) => {
@@ -70,7 +70,7 @@
       else if (what === "join") one.add(id), present.add(id);
       else one.remove(id), present.delete(id);
       const out = [...present].filter((id) => one.weight(id, now) === 0);
-      t.is(out.length, one.ejected);
+      t.is(out.length, one.ejectedCount);
       t.true(out.length <= present.size / 2);
     }
   }));
--- a/src/routing/pool.ts
+++ b/src/routing/pool.ts
@@ -4,25 +4,25 @@
 
 import type * as event from "../request/event.ts";
 import type * as runtime from "../runtime/mod.ts";
-import type * as load from "./load.ts";
+import type * as load from "./load_estimate.ts";
 
 /** An endpoint with what routing knows of it. */
 export interface Member {
   endpoint: event.Endpoint;
-  load: load.Load;
+  load: load.LoadEstimate;
   /** Share of KV memory in use, as last reported. */
   kvUsed: number;
   /** Calls of others, as last reported. */
-  foreign: number;
+  otherHostCalls: number;
   pool: Pool | undefined;
-  open: boolean;
+  available: boolean;
   pos: number;
 }
 
 /** Members that may be chosen; changed in place. */
 export class Pool {
   /** Whether it is in the host's own data centre. */
-  readonly near: boolean;
+  readonly isLocal: boolean;
   /** Milliseconds to its endpoints and back. */
   readonly latency: number;
   #open: Member[] = [];
@@ -30,7 +30,7 @@
   #cursor = 0;
 
   private constructor(near: boolean, latency: number) {
-    this.near = near;
+    this.isLocal = near;
     this.latency = latency;
   }
 
@@ -40,7 +40,7 @@
   }
 
   /** Members with room when last looked at. */
-  get open(): readonly Member[] {
+  get available(): readonly Member[] {
     return this.#open;
   }
 
@@ -52,7 +52,7 @@
   /** Adds a member that is in no pool. */
   add(member: Member): void {
     member.pool = this;
-    member.open = true;
+    member.available = true;
     member.pos = this.#open.push(member) - 1;
   }
 
@@ -63,10 +63,10 @@
   }
 
   /** Notes whether one of its members has room. */
-  place(member: Member, open: boolean): void {
-    if (member.open === open) return;
+  setAvailable(member: Member, open: boolean): void {
+    if (member.available === open) return;
     this.#take(member);
-    member.open = open;
+    member.available = open;
     member.pos = this.#list(open).push(member) - 1;
   }
 
@@ -76,14 +76,14 @@
   }
 
   /** A member without room, another one each time, to be looked at again. */
-  next(): Member | undefined {
+  nextUnavailable(): Member | undefined {
     if (this.#closed.length === 0) return undefined;
     this.#cursor = (this.#cursor + 1) % this.#closed.length;
     return this.#closed[this.#cursor];
   }
 
   #take(member: Member): void {
-    const list = this.#list(member.open);
+    const list = this.#list(member.available);
     const last = list.pop();
     if (last === undefined || last === member) return;
     list[member.pos] = last;
--- a/src/routing/prefix.ts
+++ b/src/routing/prefix_index.ts
@@ -47,7 +47,7 @@
 const LATE = 16;
 
 /** Beliefs about the engines of one service; changed in place. */
-export class Prefixes {
+export class PrefixIndex {
   /** Least recently used first. */
   #blocks = new Map<string, Belief[]>();
   #engines = new Map<string, Engine>();
@@ -58,8 +58,8 @@
   }
 
   /** No beliefs yet. */
-  static create(capacity = CAPACITY): Prefixes {
-    return new Prefixes(capacity);
+  static create(capacity = CAPACITY): PrefixIndex {
+    return new PrefixIndex(capacity);
   }
 
   /** Blocks that are remembered. */
@@ -68,7 +68,7 @@
   }
 
   /** Notes that a prompt was sent to an engine. */
-  send(endpoint: string, prefix: readonly string[], now: number): void {
+  recordPrompt(endpoint: string, prefix: readonly string[], now: number): void {
     const engine = this.#engine(endpoint);
     // The first blocks come last, so that the last ones are forgotten first.
     for (let rank = ranks(prefix.length) - 1; rank >= 0; rank--) {
@@ -77,7 +77,7 @@
   }
 
   /** Takes a cache event; returns whether beliefs had to be discarded. */
-  event(endpoint: string, seen: CacheEvent, now: number): boolean {
+  applyEvent(endpoint: string, seen: CacheEvent, now: number): boolean {
     const engine = this.#engine(endpoint);
     const last = engine.sequence;
     if (late(seen.sequence, last)) return false;
@@ -90,7 +90,7 @@
   }
 
   /** Discards what is believed of an engine, such as one that left. */
-  forget(endpoint: string): void {
+  removeEngine(endpoint: string): void {
     const engine = this.#engines.get(endpoint);
     if (engine === undefined) return;
     engine.epoch++;
--- a/src/routing/prefix_test.ts
+++ b/src/routing/prefix_index_test.ts
@@ -1,6 +1,6 @@
 import test from "ava";
 import * as fc from "fast-check";
-import * as prefix from "./prefix.ts";
+import * as prefix from "./prefix_index.ts";
 
 function blocks(length: number, name = "b"): string[] {
   return Array.from({ length }, (_, pos) => `${name}${pos}`);
@@ -11,9 +11,9 @@
 }
 
 test("finds the engines with the most blocks of a prompt", (t) => {
-  const one = prefix.Prefixes.create();
-  one.send("a", blocks(100), 0);
-  one.send("b", blocks(4), 0);
+  const one = prefix.PrefixIndex.create();
+  one.recordPrompt("a", blocks(100), 0);
+  one.recordPrompt("b", blocks(4), 0);
   t.deepEqual(one.holders(blocks(10), 1)[0], { endpoint: "a", blocks: 10 });
   t.deepEqual(one.holders(blocks(300), 1)[0], { endpoint: "a", blocks: 96 });
   t.true(one.holders(blocks(10), 1).some((found) => found.endpoint === "b"));
@@ -21,27 +21,27 @@
 });
 
 test("discards what it believed of an engine after a gap", (t) => {
-  const one = prefix.Prefixes.create();
-  one.event("a", event(1, ["x"]), 0);
-  one.event("b", event(1, ["x"]), 0);
-  t.true(one.event("a", event(3, ["y"]), 0));
+  const one = prefix.PrefixIndex.create();
+  one.applyEvent("a", event(1, ["x"]), 0);
+  one.applyEvent("b", event(1, ["x"]), 0);
+  t.true(one.applyEvent("a", event(3, ["y"]), 0));
   t.false(one.holds("a", "x", 0));
   t.true(one.holds("a", "y", 0));
   t.true(one.holds("b", "x", 0));
 });
 
 test("ignores events that were overtaken, not those of a restart", (t) => {
-  const one = prefix.Prefixes.create();
-  one.event("a", event(7, ["x"]), 0);
-  t.false(one.event("a", event(6, [], ["x"]), 0));
+  const one = prefix.PrefixIndex.create();
+  one.applyEvent("a", event(7, ["x"]), 0);
+  t.false(one.applyEvent("a", event(6, [], ["x"]), 0));
   t.true(one.holds("a", "x", 0));
-  t.true(one.event("a", event(0, []), 0));
+  t.true(one.applyEvent("a", event(0, []), 0));
   t.false(one.holds("a", "x", 0));
 });
 
 test("remembers no more blocks than it may, the first ones longest", (t) => {
-  const one = prefix.Prefixes.create(10);
-  one.send("a", blocks(16), 0);
+  const one = prefix.PrefixIndex.create(10);
+  one.recordPrompt("a", blocks(16), 0);
   t.is(one.size, 10);
   t.true(one.holds("a", "b0", 0));
   t.false(one.holds("a", "b15", 0));
@@ -56,14 +56,14 @@
     removed: fc.array(block, { maxLength: 2 }),
   });
   fc.assert(fc.property(fc.array(step, { maxLength: 40 }), (steps) => {
-    const one = prefix.Prefixes.create();
+    const one = prefix.PrefixIndex.create();
     const record = new Map<string, Set<string>>();
     const sequences = new Map<string, number>();
     for (const { engine, skip, stored, removed } of steps) {
       const known = sequences.get(engine);
       const sequence = (known ?? 0) + (skip ? 2 : 1);
       sequences.set(engine, sequence);
-      one.event(engine, event(sequence, stored, removed), 0);
+      one.applyEvent(engine, event(sequence, stored, removed), 0);
       const kept = record.get(engine) ?? new Set();
       if (skip && known !== undefined) kept.clear();
       for (const name of stored) kept.add(name);
--- a/src/routing/rendezvous.ts
+++ b/src/routing/rendezvous.ts
@@ -6,7 +6,7 @@
 
 /** Weight of a candidate for a key. */
 export function weight(key: string, candidate: string): number {
-  return hash.pair(hash.text(candidate), hash.text(key));
+  return hash.combine(hash.ofString(candidate), hash.ofString(key));
 }
 
 /** Candidates in the order in which they stand for a key. */
--- a/src/routing/retry.ts
+++ b/src/routing/retry.ts
@@ -3,7 +3,7 @@
 
 import type * as request from "../request/request.ts";
 import type * as runtime from "../runtime/mod.ts";
-import type * as budget from "./budget.ts";
+import type * as budget from "./extra_call_budget.ts";
 
 /** What a decision about a failed call rests on. */
 export interface FailedCall {
@@ -26,7 +26,7 @@
   | "budget";
 
 /** What becomes of a failed call. */
-export type Retry =
+export type Decision =
   | {
     type: "retry";
     /** Milliseconds of the host's monotonic clock. */
@@ -52,17 +52,17 @@
 const MOST_BACKOFF = 1000;
 
 /** Sources that a decision draws on. */
-export interface RetrySources {
-  budget: Pick<budget.Budget, "take">;
+export interface Dependencies {
+  budget: Pick<budget.ExtraCallBudget, "take">;
   random: runtime.Random;
   now: number;
 }
 
 /** Decides what becomes of a failed call; takes from the budget for a retry.
  * A call that is given up gets its final answer at once. */
-export function decide(call: FailedCall, sources: RetrySources): Retry {
+export function decide(call: FailedCall, sources: Dependencies): Decision {
   const { attempt, failure } = call;
-  if (!repeatable(call)) return giveUp(call, "may-have-run");
+  if (!isRetryable(call)) return giveUp(call, "may-have-run");
   if (attempt.attempt >= MOST_ATTEMPTS) {
     return giveUp(call, "too-many-attempts");
   }
@@ -74,7 +74,7 @@
 }
 
 /** Whether a second call cannot run the work twice where that matters. */
-export function repeatable(
+export function isRetryable(
   call: Pick<FailedCall, "idempotent" | "failure">,
 ): boolean {
   return call.idempotent || call.failure.outcome === "not-run";
@@ -97,7 +97,7 @@
   return jittered + (call.failure.retryAfter ?? 0);
 }
 
-function giveUp(call: FailedCall, reason: GiveUpReason): Retry {
+function giveUp(call: FailedCall, reason: GiveUpReason): Decision {
   return {
     type: "give-up",
     reason,
--- a/src/routing/retry_test.ts
+++ b/src/routing/retry_test.ts
@@ -2,7 +2,7 @@
 import * as fc from "fast-check";
 import type * as request from "../request/request.ts";
 import * as runtime from "../runtime/mod.ts";
-import * as budget from "./budget.ts";
+import * as budget from "./extra_call_budget.ts";
 import * as retry from "./retry.ts";
 
 function attempt(changes: Partial<request.Attempt> = {}): request.Attempt {
@@ -34,9 +34,9 @@
   };
 }
 
-function sources(share = 1): retry.RetrySources {
+function sources(share = 1): retry.Dependencies {
   return {
-    budget: budget.Budget.create({ share, floor: share }, 0),
+    budget: budget.ExtraCallBudget.create({ ratio: share, floor: share }, 0),
     random: runtime.createRandom(1),
     now: 0,
   };
--- a/src/routing/router.ts
+++ b/src/routing/router.ts
@@ -3,9 +3,9 @@
  * @module */
 
 import type * as event from "../request/event.ts";
-import * as budget from "./budget.ts";
-import * as choice from "./choice.ts";
-import * as group from "./group.ts";
+import * as budget from "./extra_call_budget.ts";
+import * as choice from "./endpoint_choice.ts";
+import * as group from "./endpoint_group.ts";
 import * as hedge from "./hedge.ts";
 
 /** Events that routing learns from. */
@@ -15,12 +15,12 @@
 >;
 
 /** What routing keeps of one service. */
-export interface Service {
-  group: group.Group;
-  retries: budget.Budget;
+export interface ServiceState {
+  group: group.EndpointGroup;
+  retryBudget: budget.ExtraCallBudget;
   /** Fed with the table's `spend` for each request. */
-  spend: budget.Budget;
-  hedges: hedge.Hedges;
+  hedgeBudget: budget.ExtraCallBudget;
+  hedgePolicy: hedge.HedgePolicy;
 }
 
 /** Retries for each request. */
@@ -30,17 +30,17 @@
 
 /** Services by name; changed in place. */
 export class Router {
-  #options: group.GroupOptions;
-  #services = new Map<string, Service>();
+  #options: group.Options;
+  #services = new Map<string, ServiceState>();
   /** Name of the service by endpoint. */
   #homes = new Map<string, string>();
 
-  private constructor(options: group.GroupOptions) {
+  private constructor(options: group.Options) {
     this.#options = options;
   }
 
   /** A router that knows no endpoint. */
-  static create(options: group.GroupOptions): Router {
+  static create(options: group.Options): Router {
     return new Router(options);
   }
 
@@ -50,19 +50,19 @@
     const service = this.#homes.get(seen.endpoint);
     if (service === undefined) return;
     const { group } = this.service(service, now);
-    if (seen.type === "load") group.report(seen.endpoint, seen.load, now);
-    else group.prefixes.event(seen.endpoint, seen, now);
+    if (seen.type === "load") group.reportLoad(seen.endpoint, seen.load, now);
+    else group.prefixIndex.applyEvent(seen.endpoint, seen, now);
   }
 
   /** What is kept of a service; made when first asked for. */
-  service(name: string, now: number): Service {
+  service(name: string, now: number): ServiceState {
     let found = this.#services.get(name);
     if (found === undefined) {
       found = {
-        group: group.Group.create(this.#options),
-        retries: budget.Budget.create({ share: RETRIES }, now),
-        spend: budget.Budget.create({ share: 1, floor: 0 }, now),
-        hedges: hedge.Hedges.create(),
+        group: group.EndpointGroup.create(this.#options),
+        retryBudget: budget.ExtraCallBudget.create({ ratio: RETRIES }, now),
+        hedgeBudget: budget.ExtraCallBudget.create({ ratio: 1, floor: 0 }, now),
+        hedgePolicy: hedge.HedgePolicy.create(),
       };
       this.#services.set(name, found);
     }
@@ -71,10 +71,10 @@
 
   /** Counts the first call of a request's stage; retries and hedges are paid
    * from what such calls bring in. */
-  request(name: string, spend: number | undefined, now: number): void {
+  deposit(name: string, spend: number | undefined, now: number): void {
     const service = this.service(name, now);
-    service.retries.deposit(now);
-    service.spend.deposit(now, spend ?? SPEND);
+    service.retryBudget.deposit(now);
+    service.hedgeBudget.deposit(now, spend ?? SPEND);
   }
 
   /** Chooses an endpoint of a service; undefined when none has room. */
@@ -82,20 +82,20 @@
     name: string,
     call: choice.Call,
     now: number,
-  ): choice.Chosen | undefined {
+  ): choice.Choice | undefined {
     return choice.choose(this.service(name, now).group, call, now);
   }
 
   /** Plain JSON of what is kept of each service. */
   dump(now: number): unknown {
     const services = [...this.#services].map(([name, service]) => {
-      const { group, retries, spend } = service;
+      const { group, retryBudget: retries, hedgeBudget: spend } = service;
       return [name, {
         endpoints: group.size,
-        ejected: group.ejection.ejectedIds,
+        ejected: group.outliers.ejectedIds,
         utilisation: group.utilisation,
-        service: group.service,
-        blocks: group.prefixes.size,
+        service: group.meanServiceTime,
+        blocks: group.prefixIndex.size,
         retries: retries.available(now),
         hedges: spend.available(now),
       }];
@@ -112,7 +112,7 @@
         this.service(home, now).group.remove(one.id);
       }
       this.#homes.set(one.id, one.service);
-      this.service(one.service, now).group.put(one);
+      this.service(one.service, now).group.upsert(one);
     }
     for (const [id, service] of this.#homes) {
       if (present.has(id)) continue;
--- a/src/routing/router_test.ts
+++ b/src/routing/router_test.ts
@@ -37,8 +37,8 @@
 test("spends on hedges what the table allows, on retries a share", (t) => {
   const random = runtime.createRandom(1);
   const one = router.Router.create({ dataCentre: "here", random });
-  for (let count = 0; count < 20; count++) one.request("x", 0.5, 0);
-  const { retries, spend } = one.service("x", 0);
+  for (let count = 0; count < 20; count++) one.deposit("x", 0.5, 0);
+  const { retryBudget: retries, hedgeBudget: spend } = one.service("x", 0);
   t.is(spend.available(0), 10);
   t.true(Math.abs(retries.available(0) - 3) < 1e-9);
 });
@@ -47,7 +47,7 @@
   const random = runtime.createRandom(1);
   const one = router.Router.create({ dataCentre: "here", random });
   one.update({ type: "endpoints", endpoints: [endpoint("a", "x")] }, 0);
-  one.service("x", 0).group.send("a", [], 0);
+  one.service("x", 0).group.startCall("a", [], 0);
   const dump = JSON.parse(JSON.stringify(one.dump(0)));
   t.like(dump, { x: { endpoints: 1, ejected: [], utilisation: 1 } });
 });
@@ -59,9 +59,9 @@
     const described = { ...endpoint("a", "x"), generation };
     one.update({ type: "endpoints", endpoints: [described] }, 0);
   };
-  const holders = () => one.service("x", 0).group.prefixes.holders(["p"], 0);
+  const holders = () => one.service("x", 0).group.prefixIndex.holders(["p"], 0);
   announce(1);
-  one.service("x", 0).group.send("a", ["p"], 0);
+  one.service("x", 0).group.startCall("a", ["p"], 0);
   announce(1);
   t.is(holders().length, 1);
   announce(2);
--- a/src/routing/subset_test.ts
+++ b/src/routing/subset_test.ts
@@ -2,22 +2,26 @@
 import * as fc from "fast-check";
 import * as subset from "./subset.ts";
 
-function places(name: string, size: number, dataCentres = 3): subset.Place[] {
+function places(
+  name: string,
+  size: number,
+  dataCentres = 3,
+): subset.Location[] {
   return Array.from({ length: size }, (_, pos) => ({
     id: `${name}-${pos}`,
     dataCentre: `dc-${pos % dataCentres}`,
   }));
 }
 
-function coverage(hosts: subset.Place[], endpoints: subset.Place[]) {
-  const fleet = subset.Fleet.create(hosts);
+function coverage(hosts: subset.Location[], endpoints: subset.Location[]) {
+  const fleet = subset.SubsetSelector.create(hosts);
   const counts = new Map(endpoints.map(({ id }) => [id, 0]));
   for (const { id } of hosts) {
     for (const one of fleet.select(id, endpoints)) {
       counts.set(one, (counts.get(one) ?? 0) + 1);
     }
   }
-  return { covers: fleet.covers(endpoints.length), counts };
+  return { covers: fleet.hostsPerEndpoint(endpoints.length), counts };
 }
 
 test("covers each endpoint by the same number of hosts", (t) => {
@@ -32,13 +36,13 @@
 });
 
 test("knows all endpoints in a small fleet", (t) => {
-  const fleet = subset.Fleet.create(places("h", 6));
+  const fleet = subset.SubsetSelector.create(places("h", 6));
   t.is(fleet.select("h-0", places("e", 18)).size, 18);
   t.is(fleet.select("stranger", places("e", 18)).size, 0);
 });
 
 test("keeps most hosts of an endpoint in its data centre", (t) => {
-  const fleet = subset.Fleet.create(places("h", 30));
+  const fleet = subset.SubsetSelector.create(places("h", 30));
   const endpoints = places("e", 900);
   const chosen = fleet.select("h-0", endpoints);
   const near = endpoints.filter((one) =>
@@ -50,8 +54,8 @@
 test("does not depend on the order of hosts", (t) => {
   const hosts = places("h", 30);
   const endpoints = places("e", 900);
-  const one = subset.Fleet.create(hosts).select("h-7", endpoints);
-  const other = subset.Fleet.create(hosts.toReversed()).select(
+  const one = subset.SubsetSelector.create(hosts).select("h-7", endpoints);
+  const other = subset.SubsetSelector.create(hosts.toReversed()).select(
     "h-7",
     endpoints,
   );
@@ -61,8 +65,8 @@
 test("moves only what a leaving host had", (t) => {
   const hosts = places("h", 30);
   const endpoints = places("e", 900);
-  const before = subset.Fleet.create(hosts);
-  const after = subset.Fleet.create(hosts.slice(1));
+  const before = subset.SubsetSelector.create(hosts);
+  const after = subset.SubsetSelector.create(hosts.slice(1));
   const left = before.select("h-0", endpoints);
   for (const { id } of hosts.slice(1)) {
     const old = before.select(id, endpoints);
--- a/src/runtime/fading_mean.ts
+++ b/src/runtime/decaying_mean.ts
@@ -5,13 +5,13 @@
  * @module */
 
 /** How fast a mean follows new values, and how long it is believed. */
-export interface FadingMeanOptions {
+export interface DecayingMeanOptions {
   /** Part of a new value in the mean. */
   readonly gain: number;
   /** Milliseconds after a value during which the mean keeps its full weight. */
-  readonly fresh: number;
+  readonly freshMs: number;
   /** Milliseconds over which it then loses half of its weight. */
-  readonly halfLife: number;
+  readonly halfLifeMs: number;
 }
 
 /** When a mean is looked at, and what is believed without values. */
@@ -21,17 +21,17 @@
 }
 
 /** A mean of values; changed in place. */
-export class FadingMean {
-  readonly #options: FadingMeanOptions;
+export class DecayingMean {
+  readonly #options: DecayingMeanOptions;
   #mean = 0;
   #notedAt?: number;
 
-  private constructor(options: FadingMeanOptions) {
+  private constructor(options: DecayingMeanOptions) {
     this.#options = options;
   }
 
-  static create(options: FadingMeanOptions): FadingMean {
-    return new FadingMean(options);
+  static create(options: DecayingMeanOptions): DecayingMean {
+    return new DecayingMean(options);
   }
 
   /** Milliseconds since the last value; undefined before the first. */
@@ -45,7 +45,7 @@
   }
 
   /** Takes a new value in. */
-  note(value: number, { now, prior }: Prior): void {
+  add(value: number, { now, prior }: Prior): void {
     const known = this.value({ now, prior });
     this.#mean = known + this.#options.gain * (value - known);
     this.#notedAt = now;
@@ -54,7 +54,7 @@
   #weight(now: number): number {
     const age = this.age(now);
     if (age === undefined) return 0;
-    const { fresh, halfLife } = this.#options;
+    const { freshMs: fresh, halfLifeMs: halfLife } = this.#options;
     return age <= fresh ? 1 : 0.5 ** ((age - fresh) / halfLife);
   }
 }
--- a/src/runtime/fading_mean_test.ts
+++ b/src/runtime/decaying_mean_test.ts
@@ -1,23 +1,23 @@
 /** @module */
 
 import test from "ava";
-import * as fadingMeans from "./fading_mean.ts";
+import * as fadingMeans from "./decaying_mean.ts";
 
-const OPTIONS = { gain: 0.5, fresh: 1000, halfLife: 2000 };
+const OPTIONS = { gain: 0.5, freshMs: 1000, halfLifeMs: 2000 };
 
 test("a mean follows its values from the prior on", (t) => {
-  const mean = fadingMeans.FadingMean.create(OPTIONS);
+  const mean = fadingMeans.DecayingMean.create(OPTIONS);
   t.is(mean.value({ now: 0, prior: 4 }), 4);
-  mean.note(8, { now: 0, prior: 4 });
+  mean.add(8, { now: 0, prior: 4 });
   t.is(mean.value({ now: 500, prior: 4 }), 6);
-  mean.note(8, { now: 500, prior: 4 });
+  mean.add(8, { now: 500, prior: 4 });
   t.is(mean.value({ now: 1500, prior: 4 }), 7);
 });
 
 test("a mean that nothing renews gives way to the prior", (t) => {
-  const mean = fadingMeans.FadingMean.create(OPTIONS);
+  const mean = fadingMeans.DecayingMean.create(OPTIONS);
   t.is(mean.age(100), undefined);
-  mean.note(100, { now: 0, prior: 100 });
+  mean.add(100, { now: 0, prior: 100 });
   t.is(mean.value({ now: 1000, prior: 0 }), 100);
   t.is(mean.value({ now: 3000, prior: 0 }), 50);
   t.is(mean.value({ now: 5000, prior: 0 }), 25);
--- a/src/runtime/mod.ts
+++ b/src/runtime/mod.ts
@@ -5,10 +5,10 @@
 export * from "./clock.ts";
 export * from "./storage.ts";
 export * from "./transport.ts";
-export { Alarm } from "./alarm.ts";
+export { Timer as Timer } from "./timer.ts";
 export { FakeClock } from "./fake_clock.ts";
 export {
   create as createRandom,
-  createSpread as createSpreadRandom,
+  createMixed as createMixedRandom,
   type Random,
 } from "./random.ts";
--- a/src/runtime/random.ts
+++ b/src/runtime/random.ts
@@ -17,7 +17,7 @@
 
 /** As `create`, with seeds spread first: those of small seeds begin much alike,
  * so that a run over seeds 1, 2, 3 draws the same first choice each time. */
-export function createSpread(seed: number): Random {
+export function createMixed(seed: number): Random {
   return create(Math.imul(seed, SPREAD));
 }
 
--- a/src/runtime/alarm.ts
+++ b/src/runtime/timer.ts
@@ -4,7 +4,7 @@
 import type * as clock from "./clock.ts";
 
 /** Rings once at the time it was last set to. */
-export class Alarm {
+export class Timer {
   readonly #clock: clock.Clock;
   readonly #ring: () => void;
   #cancel: clock.Cancel | undefined;
@@ -16,8 +16,8 @@
   }
 
   /** An alarm that is not set yet. */
-  static create(source: clock.Clock, ring: () => void): Alarm {
-    return new Alarm(source, ring);
+  static create(source: clock.Clock, ring: () => void): Timer {
+    return new Timer(source, ring);
   }
 
   /** Sets it to `at`, milliseconds of the clock, in place of any other. */
--- a/src/shares/fake_host.ts
+++ b/src/shares/fake_host.ts
@@ -45,8 +45,8 @@
     return this.allocate(event, now);
   }
 
-  wake(now: number): fakeFleet.Outgoing[] {
-    const outgoing: fakeFleet.Outgoing[] = [];
+  wake(now: number): fakeFleet.OutgoingMessage[] {
+    const outgoing: fakeFleet.OutgoingMessage[] = [];
     if (now >= this.#allocatorAt) {
       outgoing.push(...this.allocate({ type: "wake" }, now));
     }
@@ -59,7 +59,7 @@
   }
 
   /** Gives an event to the shares of this host. */
-  hold(event: holders.Event, now: number): fakeFleet.Outgoing[] {
+  hold(event: holders.Event, now: number): fakeFleet.OutgoingMessage[] {
     const { state, effects } = this.holder.step(event, now);
     this.holder = state;
     return effects.flatMap((effect) => {
@@ -69,10 +69,10 @@
   }
 
   /** Gives an event to the allocator of this host. */
-  allocate(event: allocators.Event, now: number): fakeFleet.Outgoing[] {
+  allocate(event: allocators.Event, now: number): fakeFleet.OutgoingMessage[] {
     const { state, effects } = this.allocator.step(event, now);
     this.allocator = state;
-    const outgoing: fakeFleet.Outgoing[] = [];
+    const outgoing: fakeFleet.OutgoingMessage[] = [];
     for (const effect of effects) {
       if (effect.type === "wake") this.#allocatorAt = effect.at;
       else outgoing.push({ ...effect, channel: "shares" });
