--- a/src/gateway/active_request.ts
+++ b/src/gateway/active_request.ts
@@ -1,70 +1,73 @@
-/** The life of one request: read, judged, its pieces made, sent, answered.
+/** Serves one caller's request: decodes and admits it, runs the stages of its
+ * route, calls endpoints with retries, and relays the answer.
  * @module */
 
 import type * as http from "node:http";
 import * as configurations from "../configuration/mod.ts";
 import type * as telemetry from "../telemetry/mod.ts";
-import * as admission from "./admission.ts";
+import * as admissions from "./admission.ts";
 import * as attempts from "./attempt.ts";
 import * as bodies from "./body.ts";
-import * as callTerms from "./call_limits.ts";
+import * as callLimits from "./call_limits.ts";
 import type * as contexts from "./context.ts";
-import type * as endpoint from "./endpoint.ts";
-import * as endpointAdmission from "./endpoint_admission.ts";
-import type * as eventText from "./event_buffer.ts";
+import type * as endpoints from "./endpoint.ts";
+import * as endpointAdmissions from "./endpoint_admission.ts";
+import type * as eventBuffers from "./event_buffer.ts";
 import type * as placements from "./placement.ts";
 import type * as protocols from "./protocol.ts";
-import * as readings from "./call_load.ts";
+import * as callLoads from "./call_load.ts";
 import * as refusals from "./refusal.ts";
 import * as replies from "./reply.ts";
-import * as retry from "./retry.ts";
-import * as staging from "./pipeline_run.ts";
+import * as retries from "./retry.ts";
+import * as pipelineRuns from "./pipeline_run.ts";
 import * as targetChoices from "./target_choice.ts";
-import * as verdicts from "./health_signal.ts";
+import * as healthSignals from "./health_signal.ts";
 
-/** Times that lost results are made again. */
-const REMAKES = 1;
+/** Times that the stages of a request are run again after results are lost. */
+const MAX_STAGE_RERUNS = 1;
 
-type Phase = "reading" | "pieces" | "sent" | "streaming" | "over";
+/** Phase of a request: "pieces" while its stages run, "sent" while a call runs
+ * whose answer is not relayed yet. */
+type Phase = "reading" | "pieces" | "sent" | "streaming" | "finished";
 
-/** What one call was, for the log line of its request. */
-interface CallNote {
+/** One call to an endpoint, for the log line of its request. */
+interface CallRecord {
   endpoint: string;
   ms: number;
   outcome: string;
-  /** Who chose the engine. */
+  /** Which host chose the engine. */
   placedBy?: placements.PlacementSource;
   /** Milliseconds to the first event of a stream. */
   first?: number;
 }
 
-/** A request under way. */
+/** A caller's request, from its arrival until it is answered or abandoned. */
 export class ActiveRequest {
   readonly #context: contexts.Context;
-  readonly #request: http.IncomingMessage;
+  readonly #message: http.IncomingMessage;
   readonly #reply: replies.Reply;
-  readonly #arrival: number;
-  readonly #calls: CallNote[] = [];
+  readonly #arrivedAt: number;
+  readonly #calls: CallRecord[] = [];
   #phase: Phase = "reading";
-  #ask?: protocols.IncomingRequest;
+  #incoming?: protocols.IncomingRequest;
   #route?: configurations.Route;
   #account?: configurations.Account;
   #rank = 0;
-  #body: Buffer = NOTHING;
-  #admission?: endpointAdmission.EndpointAdmission;
-  #until = Infinity;
-  /** Milliseconds for which its caller had waited before this attempt. */
-  #waited = 0;
+  #body: Buffer = EMPTY_BODY;
+  #endpointAdmission?: endpointAdmissions.EndpointAdmission;
+  #deadline = Infinity;
+  /** Milliseconds that the caller waited before this attempt of it. */
+  #priorWait = 0;
   #cancelTimer = () => {};
   #attempt?: attempts.Attempt;
   #runs = 0;
-  /** Milliseconds from its arrival to the first event that was passed on. */
-  #firstMs?: number;
-  #lastId?: string;
-  #fallback?: { head: protocols.ReplyHead; body: Buffer };
-  #staging?: staging.PipelineRun;
-  #resolveOver!: () => void;
-  /** Resolves when the request is answered or given up. */
+  /** Milliseconds from arrival to the first event sent to the caller. */
+  #firstEventMs?: number;
+  #lastEventId?: string;
+  #errorAnswer?: { head: protocols.ReplyHead; body: Buffer };
+  #pipelineRun?: pipelineRuns.PipelineRun;
+  #resolveFinished!: () => void;
+  /** Resolves when the request is answered, refused or abandoned. */
   readonly finished: Promise<void>;
 
   private constructor(
@@ -72,27 +75,30 @@
     { request, response }: HttpExchange,
   ) {
     this.#context = context;
-    this.#request = request;
+    this.#message = request;
     const { isDraining } = context;
     this.#reply = replies.Reply.create({ request, response, isDraining });
-    this.#arrival = context.clock.now();
-    this.finished = new Promise((resolve) => this.#resolveOver = resolve);
+    this.#arrivedAt = context.clock.now();
+    this.finished = new Promise((resolve) => this.#resolveFinished = resolve);
   }
 
-  /** Serves a request. */
-  static start(context: contexts.Context, pair: HttpExchange): ActiveRequest {
-    const passage = new ActiveRequest(context, pair);
-    pair.response.once("close", () => passage.#closed());
-    void passage.#serve();
-    return passage;
+  /** Starts to serve a request. */
+  static start(
+    context: contexts.Context,
+    exchange: HttpExchange,
+  ): ActiveRequest {
+    const active = new ActiveRequest(context, exchange);
+    exchange.response.once("close", () => active.#onClose());
+    void active.#serve();
+    return active;
   }
 
-  /** Whether a caller still waits for it. */
+  /** Whether the request is answered, refused or abandoned. */
   get isFinished(): boolean {
-    return this.#phase === "over";
+    return this.#phase === "finished";
   }
 
-  /** Gives the request up: the host must end now. */
+  /** Ends the request at once because the host stops. */
   abort(): void {
     if (this.isFinished) return;
     this.#refuse(this.#mayHaveRun ? "failed" : "stopping");
@@ -103,99 +109,111 @@
       const body = await this.#admit();
       if (this.isFinished) return;
       this.#body = body;
-      this.#admission = endpointAdmission.EndpointAdmission.create(
+      this.#endpointAdmission = endpointAdmissions.EndpointAdmission.create(
         this.#context,
-        { ...this.#ask!, account: this.#account?.name, body },
+        { ...this.#incoming!, account: this.#account?.name, body },
       );
-      const denial = this.#admission.denial();
+      const denial = this.#endpointAdmission.denial();
       if (denial !== undefined) {
         return this.#refuse(denial.reason, denial.details);
       }
       const { random } = this.#context;
-      const service = admission.pickService(this.#route!, random);
-      const inputs = await this.#prepare(service);
+      const service = admissions.pickService(this.#route!, random);
+      const inputs = await this.#runStages(service);
       if (this.isFinished) return;
-      await this.#send({ service, inputs });
+      await this.#callEndpoints({ service, inputs });
     } catch (error) {
-      const request = this.#ask?.id;
+      const request = this.#incoming?.id;
       this.#context.logger.error({ err: error, request }, "Request failed");
       this.#refuse(this.#mayHaveRun ? "failed" : "not-run");
     }
   }
 
-  /** Whether an endpoint may have begun to work on it, or may be at it now. */
+  /** Whether an endpoint may have executed the request or may be executing
+   * it. */
   get #mayHaveRun(): boolean {
     return this.#runs > 0 || this.#phase === "sent";
   }
 
-  /** Reads the request and judges whether it may pass. */
+  /** Decodes the request, admits it and reads its body. */
   async #admit(): Promise<Buffer> {
-    const { protocol, fleetView: knowledge, clock } = this.#context;
-    const reading = protocol.decodeRequest(this.#request);
-    if (reading.type === "malformed") {
-      return this.#stop("malformed", { detail: reading.detail });
+    const { protocol, fleetView, clock } = this.#context;
+    const decoded = protocol.decodeRequest(this.#message);
+    if (decoded.type === "malformed") {
+      return this.#refuseStep("malformed", { detail: decoded.detail });
     }
-    const { request: ask } = reading;
-    this.#ask = ask;
-    const reason = this.#context.isStopping() ? "stopping" : this.#judge(ask);
+    const { request: incoming } = decoded;
+    this.#incoming = incoming;
+    const reason = this.#context.isStopping()
+      ? "stopping"
+      : this.#evaluate(incoming);
     if (reason !== undefined) {
-      return this.#stop(reason, this.#returnFor(reason));
+      return this.#refuseStep(reason, this.#retryDetails(reason));
     }
     const route = this.#route!;
-    this.#waited = this.#context.priorWait.estimate(route.name, ask.timeout);
-    const patience = Math.min(route.timeout, ask.timeout ?? Infinity);
-    this.#until = this.#arrival + patience;
-    this.#cancelTimer = clock.after(patience, () => this.#timeOut());
-    const { limits } = knowledge.catalogue()!.configuration;
-    const body = await bodies.read(this.#request, limits.bodyBytes);
-    if (typeof body === "string") return this.#stop(body);
-    // The version may have changed while a slow body came in.
-    const now = this.#judge(ask);
-    if (now !== undefined && !this.isFinished) return this.#stop(now);
+    this.#priorWait = this.#context.priorWait.estimate(
+      route.name,
+      incoming.timeout,
+    );
+    const timeout = Math.min(route.timeout, incoming.timeout ?? Infinity);
+    this.#deadline = this.#arrivedAt + timeout;
+    this.#cancelTimer = clock.after(timeout, () => this.#timeOut());
+    const { limits } = fleetView.catalogue()!.configuration;
+    const body = await bodies.read(this.#message, limits.bodyBytes);
+    if (typeof body === "string") return this.#refuseStep(body);
+    // The configuration may have changed while a slow body was received.
+    const laterReason = this.#evaluate(incoming);
+    if (laterReason !== undefined && !this.isFinished) {
+      return this.#refuseStep(laterReason);
+    }
     return body;
   }
 
-  /** Why a request may not pass; notes route, account and rank when it may. */
-  #judge(ask: protocols.IncomingRequest): refusals.RefusalReason | undefined {
-    const judged = admission.admit(ask, this.#context);
-    this.#route = judged.route;
-    this.#account = judged.account;
-    this.#rank = judged.rank ?? 0;
-    return judged.reason;
+  /** Sets the request's route, account and rank; returns the reason when it is
+   * refused. */
+  #evaluate(
+    incoming: protocols.IncomingRequest,
+  ): refusals.RefusalReason | undefined {
+    const decision = admissions.admit(incoming, this.#context);
+    this.#route = decision.route;
+    this.#account = decision.account;
+    this.#rank = decision.rank ?? 0;
+    return decision.reason;
   }
 
-  /** When to come back, where that hangs on more than the reason. */
-  #returnFor(reason: refusals.RefusalReason): About {
+  /** The retry delay of a refusal where it does not follow from the reason
+   * alone. */
+  #retryDetails(reason: refusals.RefusalReason): RefusalDetails {
     if (reason !== "no-configuration") return {};
-    const { clock, startedAt: started } = this.#context;
-    const uptime = clock.now() - started;
+    const { clock, startedAt } = this.#context;
+    const uptime = clock.now() - startedAt;
     return { retryAfter: refusals.retryAfterUnconfigured(uptime) };
   }
 
-  /** Has the pieces of the request's stages made. */
-  async #prepare(service: string): Promise<readonly string[] | undefined> {
+  /** Runs the stages of the request's route; resolves with their results. */
+  async #runStages(service: string): Promise<readonly string[] | undefined> {
     const route = this.#route!;
     if (route.stages.length === 0) return undefined;
     this.#phase = "pieces";
-    const made = this.#staging;
-    this.#staging ??= await staging.PipelineRun.create(this.#context, {
-      request: this.#ask!,
+    const earlier = this.#pipelineRun;
+    this.#pipelineRun ??= await pipelineRuns.PipelineRun.create(this.#context, {
+      request: this.#incoming!,
       route,
       rank: this.#rank,
       service,
-      arrival: this.#arrival,
-      priorWait: this.#waited,
-      deadline: this.#until,
+      arrival: this.#arrivedAt,
+      priorWait: this.#priorWait,
+      deadline: this.#deadline,
     });
     if (this.isFinished) return undefined;
-    const result = await (made?.rerun() ?? this.#staging.run());
+    const result = await (earlier?.rerun() ?? this.#pipelineRun.run());
     if (this.isFinished) return undefined;
     if (result.type === "made") return result.inputs;
-    return this.#stop(result.reason, result.about);
+    return this.#refuseStep(result.reason, result.about);
   }
 
-  /** Calls endpoints until one gives the answer or no other may be asked. */
-  async #send(
+  /** Calls endpoints until one answers or no further call is allowed. */
+  async #callEndpoints(
     { service, inputs: first }: {
       service: string;
       inputs: readonly string[] | undefined;
@@ -203,86 +221,92 @@
   ): Promise<void> {
     const { clock } = this.#context;
     let inputs = first;
-    let remakes = 0;
+    let reruns = 0;
     this.#context.retryBudget(service).deposit(clock.now());
-    const targets = this.#targets(service);
+    const targets = this.#createTargetChoice(service);
     for (;;) {
       const chosen = await targets.choose({
         called: this.#calls.map(({ endpoint }) => endpoint),
-        planned: this.#staging?.planned,
+        planned: this.#pipelineRun?.planned,
         isFinished: () => this.isFinished,
       });
       if (this.isFinished) return;
       if (chosen.type === "none") {
-        return this.#conclude(chosen.reason, chosen.about);
+        return this.#endUnanswered(chosen.reason, chosen.about);
       }
       const outcome = await this.#call(chosen.target, inputs);
       if (this.isFinished) return;
       if (outcome.type === "ended") return this.#endStream();
       if (outcome.type === "answer") {
-        // A refusal of a stream that has begun elsewhere is no answer to it.
-        if (this.#reply.head !== undefined) return this.#conclude("failed");
-        if (!this.#mayRepeatAnswer(outcome, service)) {
+        // The caller already has the head of a stream: another endpoint's plain
+        // answer can't continue it.
+        if (this.#reply.head !== undefined) {
+          return this.#endUnanswered("failed");
+        }
+        if (!this.#mayRetryAnswer(outcome, service)) {
           return this.#answer(outcome);
         }
         continue;
       }
-      if (!this.#mayRepeat(outcome, service)) return this.#conclude("not-run");
-      if (outcome.cause === "lacks-input" || this.#staging?.isReleased) {
-        if (remakes++ >= REMAKES) return this.#conclude("not-run");
-        inputs = await this.#prepare(service);
+      if (!this.#mayRetry(outcome, service)) {
+        return this.#endUnanswered("not-run");
+      }
+      if (outcome.cause === "lacks-input" || this.#pipelineRun?.isReleased) {
+        if (reruns++ >= MAX_STAGE_RERUNS) return this.#endUnanswered("not-run");
+        inputs = await this.#runStages(service);
         if (this.isFinished) return;
       }
     }
   }
 
-  #targets(service: string): targetChoices.TargetChoice {
+  #createTargetChoice(service: string): targetChoices.TargetChoice {
     return targetChoices.TargetChoice.create(this.#context, {
       service,
-      prompt: this.#ask!.prompt,
+      prompt: this.#incoming!.prompt,
       objective: this.#route!.objective,
-      deadline: this.#until,
-      admission: this.#admission!,
+      deadline: this.#deadline,
+      admission: this.#endpointAdmission!,
     });
   }
 
   async #call(
-    { endpoint: target, placed }: targetChoices.Target,
+    { endpoint: target, placed: placement }: targetChoices.Target,
     inputs: readonly string[] | undefined,
   ): Promise<attempts.Outcome> {
-    const { clock, metrics, loadUpdates: loadGossip } = this.#context;
+    const { clock, metrics, loadUpdates } = this.#context;
     const { id, name, service } = target.identity;
     const started = clock.now();
-    const note: CallNote = { endpoint: id, ms: 0, outcome: "open" };
-    if (placed !== undefined) note.placedBy = placed.source;
-    this.#calls.push(note);
+    const record: CallRecord = { endpoint: id, ms: 0, outcome: "open" };
+    if (placement !== undefined) record.placedBy = placement.source;
+    this.#calls.push(record);
     this.#phase = this.#reply.head === undefined ? "sent" : "streaming";
     metrics.count("gateway.sent", 1, { service });
     if (this.#calls.length > 1) {
       metrics.count("gateway.repeated", 1, { service });
     }
-    const reading = readings.CallLoad.begin(target, {
+    const callLoad = callLoads.CallLoad.begin(target, {
       ...this.#context,
-      prompt: this.#ask!.prompt,
-      prefillTokens: placed?.cacheMiss.prefillTokens ?? 0,
-      ...(placed?.source === "owner" && { pendingWork: placed.pendingWork }),
+      prompt: this.#incoming!.prompt,
+      prefillTokens: placement?.cacheMiss.prefillTokens ?? 0,
+      ...(placement?.source === "owner" &&
+        { pendingWork: placement.pendingWork }),
     });
-    const onFirst = () => {
-      if (reading.firstEventTime === undefined) {
-        this.#noteFirst(target, { reading, note });
+    const onFirstEvent = () => {
+      if (callLoad.firstEventTime === undefined) {
+        this.#recordFirstEvent(target, { callLoad, record });
       }
     };
     this.#attempt = attempts.Attempt.start({
       ...this.#context,
       endpoint: target,
-      request: this.#ask!,
+      request: this.#incoming!,
       metadata: {
-        ...this.#terms(name, inputs),
-        fetchFrom: placed?.cacheMiss.source?.identity.address,
+        ...this.#createMetadata(name, inputs),
+        fetchFrom: placement?.cacheMiss.source?.identity.address,
       },
       body: this.#body.length > 0 ? this.#body : undefined,
-      deadline: this.#until,
-      idleTimeout: callTerms.idleTimeoutOf(
+      deadline: this.#deadline,
+      idleTimeout: callLimits.idleTimeoutOf(
         this.#route!,
         this.#reply.head !== undefined,
       ),
@@ -291,42 +315,44 @@
         target.recordCold(coldFor, clock.now());
       },
       stream: this.#route!.kind === "streaming"
-        ? this.#listener(onFirst)
+        ? this.#createStreamListener(onFirstEvent)
         : undefined,
     });
-    const hold = this.#context.inputRetention.time(service);
+    const retentionTime = this.#context.inputRetention.time(service);
     const cancelRelease = inputs === undefined
       ? () => {}
-      : clock.after(hold, () => this.#staging?.release());
+      : clock.after(retentionTime, () => this.#pipelineRun?.release());
     const outcome = await this.#attempt.outcome;
     cancelRelease();
-    if (this.#lacksReleased(outcome)) {
-      this.#context.inputRetention.recordMissing(service, hold);
+    if (this.#missedReleasedInput(outcome)) {
+      this.#context.inputRetention.recordMissing(service, retentionTime);
     }
-    reading.end();
-    note.ms = Math.round(clock.now() - started);
-    note.outcome = verdicts.outcomeName(outcome);
-    verdicts.record(target, outcome, {
+    callLoad.end();
+    record.ms = Math.round(clock.now() - started);
+    record.outcome = healthSignals.outcomeName(outcome);
+    healthSignals.record(target, outcome, {
       now: clock.now(),
       duration: clock.now() - started,
       metrics,
     });
-    // Who places prompts there must hear of failures that are not its own.
-    if (placed?.source === "owner") {
-      loadGossip.record(target, { signal: verdicts.signalOf(outcome) });
+    // The owner of the partition sees no calls of this host: it has to learn
+    // how the calls that it placed end.
+    if (placement?.source === "owner") {
+      loadUpdates.record(target, { signal: healthSignals.signalOf(outcome) });
     }
     if (outcome.type !== "failed" || outcome.mayHaveRun) this.#runs++;
-    this.#admission!.recordOutcome(id, outcome);
+    this.#endpointAdmission!.recordOutcome(id, outcome);
     return outcome;
   }
 
-  /** Whether a call lacked results that were given up, as it seems, too soon. */
-  #lacksReleased(outcome: attempts.Outcome): boolean {
+  /** Whether a call failed for lack of inputs that were probably released too
+   * early. */
+  #missedReleasedInput(outcome: attempts.Outcome): boolean {
     return outcome.type === "failed" && outcome.cause === "lacks-input" &&
-      this.#staging!.isReleased;
+      this.#pipelineRun!.isReleased;
   }
 
-  #terms(
+  #createMetadata(
     endpoint: string,
     inputs: readonly string[] | undefined,
   ): protocols.CallMetadata {
@@ -334,63 +360,72 @@
     return {
       endpoint,
       account: this.#account?.name,
-      remaining: callTerms.remainingTime(this.#until, clock.now()),
-      urgency: callTerms.urgencyOf(this.#rank, this.#staging?.isLate ?? false),
+      remaining: callLimits.remainingTime(this.#deadline, clock.now()),
+      urgency: callLimits.urgencyOf(
+        this.#rank,
+        this.#pipelineRun?.isLate ?? false,
+      ),
       inputs,
-      resumeAfter: this.#lastId ?? this.#ask!.resumeAfter,
+      resumeAfter: this.#lastEventId ?? this.#incoming!.resumeAfter,
     };
   }
 
-  #noteFirst(
-    target: endpoint.Endpoint,
-    { reading, note }: { reading: readings.CallLoad; note: CallNote },
+  #recordFirstEvent(
+    target: endpoints.Endpoint,
+    { callLoad, record }: { callLoad: callLoads.CallLoad; record: CallRecord },
   ): void {
-    const { clock, metrics, inputRetention: inputHold } = this.#context;
-    reading.recordFirstEvent();
-    note.first = Math.round(reading.firstEventTime!);
-    if (this.#staging?.isReleased) {
-      inputHold.recordSuccess(target.identity.service);
+    const { clock, metrics, inputRetention } = this.#context;
+    callLoad.recordFirstEvent();
+    record.first = Math.round(callLoad.firstEventTime!);
+    if (this.#pipelineRun?.isReleased) {
+      inputRetention.recordSuccess(target.identity.service);
     }
-    metrics.time("gateway.first_event", clock.now() - this.#arrival, {
+    metrics.time("gateway.first_event", clock.now() - this.#arrivedAt, {
       route: this.#route!.name,
     });
   }
 
-  #listener(onFirst: () => void): attempts.StreamListener {
+  #createStreamListener(onFirstEvent: () => void): attempts.StreamListener {
     let head: protocols.ReplyHead;
     return {
-      head: (each) => void (head = each),
-      events: (whole) => {
-        onFirst();
-        this.#passOn(head, whole);
+      head: (received) => void (head = received),
+      events: (complete) => {
+        onFirstEvent();
+        this.#relay(head, complete);
       },
     };
   }
 
-  /** Passes whole events on; the first ones bring the head with them. */
-  #passOn(head: protocols.ReplyHead, whole: eventText.CompleteEvents): void {
+  /** Relays complete events to the caller, and the head before the first. */
+  #relay(
+    head: protocols.ReplyHead,
+    complete: eventBuffers.CompleteEvents,
+  ): void {
     if (this.isFinished) return;
     if (this.#reply.head === undefined) {
-      this.#firstMs = Math.round(this.#context.clock.now() - this.#arrival);
-      this.#beginStream(head);
+      this.#firstEventMs = Math.round(
+        this.#context.clock.now() - this.#arrivedAt,
+      );
+      this.#startStream(head);
     }
-    if (whole.lastId !== undefined) this.#lastId = whole.lastId;
-    this.#reply.write(whole.bytes);
+    if (complete.lastId !== undefined) this.#lastEventId = complete.lastId;
+    this.#reply.write(complete.bytes);
   }
 
-  #beginStream(head: protocols.ReplyHead): void {
+  #startStream(head: protocols.ReplyHead): void {
     this.#phase = "streaming";
-    this.#staging?.release();
+    this.#pipelineRun?.release();
     if (configurations.isIdempotent(this.#route!)) {
-      this.#attempt?.setIdleTimeout(callTerms.EVENT_IDLE_TIMEOUT_MS);
+      this.#attempt?.setIdleTimeout(callLimits.EVENT_IDLE_TIMEOUT_MS);
     }
     this.#reply.startStream(head);
   }
 
   #endStream(): void {
-    // A stream without events has a head all the same.
+    // A stream that ends without any event is no answer: its head was not
+    // relayed.
     const { head } = this.#reply;
-    if (head === undefined) return this.#conclude("failed");
+    if (head === undefined) return this.#endUnanswered("failed");
     this.#finish();
     this.#reply.end();
     this.#log("info", { status: head.status }, "Request answered");
@@ -402,45 +437,49 @@
     this.#log("info", { status: head.status }, "Request answered");
   }
 
-  /** Whether an endpoint's own failure is followed by another call; it is kept
-   * for the case that no other answer comes. */
-  #mayRepeatAnswer(
+  /** Whether an error answer of an endpoint is retried; the answer is kept in
+   * case no other call gives one. */
+  #mayRetryAnswer(
     outcome: Extract<attempts.Outcome, { type: "answer" }>,
     service: string,
   ): boolean {
     const { head } = outcome;
     const sends = this.#calls.length;
     const history = { runs: this.#runs, sends };
-    if (!retry.shouldRetryAnswer(this.#route!, head, history)) return false;
-    this.#fallback = outcome;
-    return this.#spend(service);
+    if (!retries.shouldRetryAnswer(this.#route!, head, history)) return false;
+    this.#errorAnswer = outcome;
+    return this.#withdrawRetry(service);
   }
 
-  #mayRepeat(
+  #mayRetry(
     outcome: Extract<attempts.Outcome, { type: "failed" }>,
     service: string,
   ): boolean {
     const history = { runs: this.#runs, sends: this.#calls.length };
-    const verdict = retry.afterFailure(this.#route!, outcome, history);
-    if (verdict === "again-free") return true;
-    return verdict === "again" && this.#spend(service);
+    const decision = retries.afterFailure(this.#route!, outcome, history);
+    if (decision === "retry-free") return true;
+    return decision === "retry" && this.#withdrawRetry(service);
   }
 
-  #spend(service: string): boolean {
-    const { clock, fleetView: knowledge, metrics } = this.#context;
+  #withdrawRetry(service: string): boolean {
+    const { clock, fleetView, metrics } = this.#context;
     const budget = this.#context.retryBudget(service);
-    const isSpent = budget.tryWithdraw(clock.now(), knowledge.hostCount());
-    if (!isSpent) metrics.count("gateway.no_budget", 1, { service });
-    return isSpent;
+    const isAllowed = budget.tryWithdraw(clock.now(), fleetView.hostCount());
+    if (!isAllowed) metrics.count("gateway.no_budget", 1, { service });
+    return isAllowed;
   }
 
-  /** The end of a request that no call has answered. */
-  #conclude(reason: refusals.RefusalReason, about: About = {}): void {
-    const isOpen = this.#reply.head === undefined;
-    if (isOpen && this.#fallback !== undefined) {
-      return this.#answer(this.#fallback);
+  /** Ends a request for which no further call is made: with an error answer of
+   * an endpoint where there is one, else with a refusal. */
+  #endUnanswered(
+    reason: refusals.RefusalReason,
+    details: RefusalDetails = {},
+  ): void {
+    const isUnstarted = this.#reply.head === undefined;
+    if (isUnstarted && this.#errorAnswer !== undefined) {
+      return this.#answer(this.#errorAnswer);
     }
-    this.#refuse(reason, about);
+    this.#refuse(reason, details);
   }
 
   #timeOut(): void {
@@ -448,44 +487,54 @@
     this.#refuse(this.#mayHaveRun ? "timeout" : "timeout-not-run");
   }
 
-  /** Ends a stream so that it does not look complete. */
-  #breakOff(reason: refusals.RefusalReason): void {
+  /** Aborts the stream, so that the caller can't take it for complete. */
+  #abortStream(reason: refusals.RefusalReason): void {
     this.#finish();
     this.#context.metrics.count("gateway.refused", 1, { reason });
     this.#reply.abort();
-    this.#log("warn", { reason, lastEvent: this.#lastId }, "Stream broken off");
+    this.#log(
+      "warn",
+      { reason, lastEvent: this.#lastEventId },
+      "Stream broken off",
+    );
   }
 
-  #refuse(reason: refusals.RefusalReason, about: About = {}): void {
+  #refuse(reason: refusals.RefusalReason, details: RefusalDetails = {}): void {
     if (this.isFinished) return;
-    // A stream that has begun has its head; its pieces may be made again.
-    if (this.#reply.head !== undefined) return this.#breakOff(reason);
-    // A call may have run before, and its pieces failed to be made again.
+    // The head of a stream is sent once; a refusal can follow it when its
+    // stages are run again and fail.
+    if (this.#reply.head !== undefined) return this.#abortStream(reason);
+    // An earlier call may have run although the stages failed when they were
+    // run again, so the refusal must not guarantee that nothing ran.
     if (this.#runs > 0 && refusals.guaranteesNotRun(reason)) {
-      const { retryAfter: _, ...rest } = about;
+      const { retryAfter: _, ...rest } = details;
       return this.#refuse("failed", { ...rest, after: reason });
     }
     this.#finish();
-    const { status, retryAfter } = { ...refusals.REFUSALS[reason], ...about };
+    const { status, retryAfter } = { ...refusals.REFUSALS[reason], ...details };
     this.#context.metrics.count("gateway.refused", 1, { reason });
     this.#reply.refuse(reason, { status, retryAfter });
-    this.#log("info", { status, reason, ...about }, "Request refused");
+    this.#log("info", { status, reason, ...details }, "Request refused");
   }
 
-  /** Refuses, and says to the caller of a step that it is over. */
-  #stop(reason: refusals.RefusalReason, about: About = {}): never[] & Buffer {
-    this.#refuse(reason, about);
-    return NOTHING as never[] & Buffer;
+  /** Refuses the request; the returned value ends the calling step. */
+  #refuseStep(
+    reason: refusals.RefusalReason,
+    details: RefusalDetails = {},
+  ): never[] & Buffer {
+    this.#refuse(reason, details);
+    return EMPTY_BODY as never[] & Buffer;
   }
 
-  /** The caller's connection has closed. */
-  #closed(): void {
+  /** Handles the end of the caller's connection. */
+  #onClose(): void {
     if (this.isFinished) return;
     this.#reply.isDisconnected = true;
     this.#context.metrics.count("gateway.left");
     const route = this.#route;
     const isSent = this.#phase === "sent";
-    // What must not be repeated goes on: cut off, nobody would know its end.
+    // A non-idempotent call continues: if it were cancelled, its outcome would
+    // stay unknown.
     if (isSent && route !== undefined && !configurations.isCancellable(route)) {
       return;
     }
@@ -494,35 +543,39 @@
   }
 
   #finish(): void {
-    this.#phase = "over";
+    this.#phase = "finished";
     this.#cancelTimer();
     this.#attempt?.cancel();
-    this.#staging?.close();
-    this.#resolveOver();
+    this.#pipelineRun?.close();
+    this.#resolveFinished();
   }
 
-  /** Whether an answer that took so many milliseconds met the objective. */
+  /** Whether an answer after `ms` milliseconds meets the route's objective,
+   * counting the time before this attempt; for a stream the first event
+   * counts. */
   #timeliness(ms: number): "in-time" | "late" {
     const { objective = Infinity } = this.#route ?? {};
-    const took = this.#waited + (this.#firstMs ?? ms);
-    return took <= objective ? "in-time" : "late";
+    const elapsed = this.#priorWait + (this.#firstEventMs ?? ms);
+    return elapsed <= objective ? "in-time" : "late";
   }
 
   #log(
     level: keyof telemetry.Logger,
-    about: About & { readonly reason?: refusals.RefusalReason | "left" },
+    details: RefusalDetails & {
+      readonly reason?: refusals.RefusalReason | "left";
+    },
     message: string,
   ): void {
-    const { clock, logger, metrics, fleetView: knowledge } = this.#context;
-    const ms = Math.round(clock.now() - this.#arrival);
+    const { clock, logger, metrics, fleetView } = this.#context;
+    const ms = Math.round(clock.now() - this.#arrivedAt);
     const route = this.#route?.name;
     metrics.time("gateway.duration", ms, { route: route ?? "none" });
     metrics.count("gateway.ended", 1, {
       route: route ?? "none",
-      ending: about.reason ?? this.#timeliness(ms),
+      ending: details.reason ?? this.#timeliness(ms),
     });
     logger[level]({
-      request: this.#ask?.id,
+      request: this.#incoming?.id,
       route,
       account: this.#account?.name,
       ms,
@@ -530,28 +583,28 @@
       rank: this.#route && this.#rank,
       routePriority: this.#route?.priority,
       accountPriority: this.#account?.priority,
-      firstMs: this.#firstMs,
-      ...(this.#waited > 0 && { waitedMs: Math.round(this.#waited) }),
-      stages: this.#staging?.record,
+      firstMs: this.#firstEventMs,
+      ...(this.#priorWait > 0 && { waitedMs: Math.round(this.#priorWait) }),
+      stages: this.#pipelineRun?.record,
       calls: this.#calls,
-      fingerprint: this.#admission?.fingerprint,
-      version: knowledge.catalogue()?.version,
-      ageMs: Math.round(knowledge.configurationAge()),
-      ...about,
+      fingerprint: this.#endpointAdmission?.fingerprint,
+      version: fleetView.catalogue()?.version,
+      ageMs: Math.round(fleetView.configurationAge()),
+      ...details,
     }, message);
   }
 }
 
-/** What is known of a refusal, for its log line. */
-interface About extends Readonly<Record<string, unknown>> {
-  /** Seconds after which to come back, in place of those of the reason. */
+/** Details of a refusal for its log line. */
+interface RefusalDetails extends Readonly<Record<string, unknown>> {
+  /** Seconds until a retry, in place of the default of the reason. */
   readonly retryAfter?: number;
 }
 
-/** A request, and the way to answer it. */
+/** A request and its response object. */
 export interface HttpExchange {
   readonly request: http.IncomingMessage;
   readonly response: http.ServerResponse;
 }
 
-const NOTHING = Buffer.alloc(0);
+const EMPTY_BODY = Buffer.alloc(0);
--- a/src/gateway/active_request_test.ts
+++ b/src/gateway/active_request_test.ts
@@ -13,10 +13,10 @@
 import * as runtime from "../runtime/mod.ts";
 import * as telemetry from "../telemetry/mod.ts";
 import * as gateway from "./mod.ts";
-import * as passages from "./active_request.ts";
+import * as activeRequests from "./active_request.ts";
 
-/** Headers as they are, with names of this test's own. */
-const PROTOCOL: gateway.GatewayProtocol = {
+/** Decodes answers from this test's own header names. */
+const TEST_PROTOCOL: gateway.GatewayProtocol = {
   decodeRequest: ({ method = "", url = "" }) => ({
     type: "ask",
     request: {
@@ -45,7 +45,7 @@
   holderOf: (handle) => handle,
 };
 
-/** A stream that may be resumed, after pieces of a stage. */
+/** Route of a resumable stream with one stage. */
 const STREAM: Partial<configurations.Route> = {
   kind: "streaming",
   resumable: true,
@@ -54,7 +54,7 @@
   stages: [{ service: "maps", after: [], bytes: 100 }],
 };
 
-/** Listens on loopback; resolves with the place. */
+/** Listens on loopback; resolves with the address. */
 async function listen(
   t: ava.ExecutionContext,
   handle: http.RequestListener,
@@ -68,17 +68,17 @@
   return `127.0.0.1:${(server.address() as net.AddressInfo).port}`;
 }
 
-/** A host before one endpoint that does `endpoint` with each request. */
-async function hostOf(
+/** A gateway host with one endpoint that handles each call with `endpoint`. */
+async function startHost(
   t: ava.ExecutionContext,
   route: Partial<configurations.Route>,
   endpoint: http.RequestListener,
-  make: gateway.Context["maker"]["compute"] = () => Promise.resolve([]),
+  compute: gateway.Context["maker"]["compute"] = () => Promise.resolve([]),
 ) {
-  const seen: (() => void)[] = [];
-  const sent = new Promise<void>((resolve) => seen.push(resolve));
+  const resolvers: (() => void)[] = [];
+  const sent = new Promise<void>((resolve) => resolvers.push(resolve));
   const address = await listen(t, (request, response) => {
-    seen.forEach((resolve) => resolve());
+    resolvers.forEach((resolve) => resolve());
     endpoint(request, response);
   });
   const dispatcher = new undici.Agent({ pipelining: 1 });
@@ -96,18 +96,18 @@
   const entry = endpointFixture.entry({ id: "e-1", address });
   pool.update([entry], () => undefined);
   const bounds = { ratio: 1, burst: 10, window: 1000 };
-  const started: passages.ActiveRequest[] = [];
+  const started: activeRequests.ActiveRequest[] = [];
   const context: gateway.Context = {
     clock: runtime.systemClock,
     random: runtime.createRandom(7),
     logger: telemetry.noLogger,
     metrics: telemetry.noMetrics,
-    protocol: PROTOCOL,
+    protocol: TEST_PROTOCOL,
     dispatcher,
     dataCentre: "town",
     pool,
     maker: {
-      compute: make,
+      compute: compute,
       reserve: () => Promise.resolve({ wait: 0, work: 0 }),
       selectPartition: () => "all",
       release() {},
@@ -131,33 +131,39 @@
     isDraining: () => false,
     isStopping: () => false,
   };
-  const place = await listen(t, (request, response) => {
-    started.push(passages.ActiveRequest.start(context, { request, response }));
+  const gatewayAddress = await listen(t, (request, response) => {
+    started.push(
+      activeRequests.ActiveRequest.start(context, { request, response }),
+    );
   });
   const ask = async () => {
-    const answer = await undici.request(`http://${place}/a/x`);
+    const answer = await undici.request(`http://${gatewayAddress}/a/x`);
     return { status: answer.statusCode, text: await answer.body.text() };
   };
   return { ask, sent, started, pool, context };
 }
 
-test("a call under way when a host ends is not said not to have run", async (t) => {
-  const { ask, sent, started } = await hostOf(t, { kind: "unsafe" }, () => {});
+test("a call in flight when a host stops is not reported as not executed", async (t) => {
+  const { ask, sent, started } = await startHost(
+    t,
+    { kind: "unsafe" },
+    () => {},
+  );
   const answer = ask();
   await sent;
   started[0].abort();
   t.is((await answer).status, 502);
 });
 
-test("a whole answer is passed on", async (t) => {
-  const { ask } = await hostOf(t, { kind: "unsafe" }, (_, response) => {
+test("a complete answer is relayed", async (t) => {
+  const { ask } = await startHost(t, { kind: "unsafe" }, (_, response) => {
     response.writeHead(200, { "test-signature": "s" }).end("done");
   });
   t.deepEqual(await ask(), { status: 200, text: "done" });
 });
 
-// Guards against a kind of request that is served late without a counter that
-// shows it.
+// Guards against requests that are answered late without a metric that shows
+// it.
 test("requests are counted by route and by how they ended", async (t) => {
   const ended: unknown[] = [];
   const metrics: telemetry.Metrics = {
@@ -166,7 +172,7 @@
   };
   for (const objective of [1000, -1]) {
     const change = { kind: "unsafe", objective } as const;
-    const { ask, context } = await hostOf(t, change, (_, response) => {
+    const { ask, context } = await startHost(t, change, (_, response) => {
       response.writeHead(200, { "test-signature": "s" }).end("done");
     });
     Object.assign(context, { metrics });
@@ -178,23 +184,23 @@
   ]);
 });
 
-test("an answer that no endpoint has signed is not passed on", async (t) => {
-  const { ask } = await hostOf(t, { kind: "unsafe" }, (_, response) => {
+test("an answer without an endpoint's signature is not relayed", async (t) => {
+  const { ask } = await startHost(t, { kind: "unsafe" }, (_, response) => {
     response.writeHead(200).end("done");
   });
   t.is((await ask()).status, 502);
 });
 
-test("what an endpoint has not run is refused with that promise", async (t) => {
-  const { ask } = await hostOf(t, { kind: "unsafe" }, (_, response) => {
+test("a call that the endpoint did not execute is refused with 503", async (t) => {
+  const { ask } = await startHost(t, { kind: "unsafe" }, (_, response) => {
     response.writeHead(503, { "test-not-run": "1" }).end();
   });
   t.is((await ask()).status, 503);
 });
 
-test("work that may run once is sent once", async (t) => {
+test("a request that is not idempotent is sent once", async (t) => {
   let count = 0;
-  const { ask } = await hostOf(t, { kind: "unsafe" }, (request) => {
+  const { ask } = await startHost(t, { kind: "unsafe" }, (request) => {
     count++;
     request.socket.destroy();
   });
@@ -202,13 +208,13 @@
   t.is(count, 1);
 });
 
-/** Milliseconds in which a connection that is broken off has closed. */
-const CLOSED = 1500;
+/** Milliseconds within which an aborted connection has closed. */
+const CLOSE_TIMEOUT_MS = 1500;
 
-/** How an answer ends: whole, broken off, or not at all. */
+/** How an answer ends: whole, broken off, or open (not within the time). */
 async function endOf(answer: Promise<unknown>): Promise<string> {
   const late = new Promise<string>((resolve) =>
-    setTimeout(() => resolve("open"), CLOSED)
+    setTimeout(() => resolve("open"), CLOSE_TIMEOUT_MS)
   );
   return await Promise.race([
     answer.then(() => "whole", () => "broken off"),
@@ -216,57 +222,57 @@
   ]);
 }
 
-// What was seen, by reading: where a stream had begun and its pieces could not
-// be made again, a second head was to be written, which throws, and the caller
-// was left with an open connection.
-test("a stream whose pieces can't be made again is broken off", async (t) => {
-  let rounds = 0;
-  const { ask } = await hostOf(t, STREAM, (_, response) => {
+// Guards against a connection that stays open: when a stream had started and
+// its stages failed on the second run, the refusal wrote a second head, which
+// throws.
+test("a started stream is aborted if its stages fail on the second run", async (t) => {
+  let runs = 0;
+  const { ask } = await startHost(t, STREAM, (_, response) => {
     response.writeHead(200, { "test-signature": "s" });
     response.write("id: 1\ndata: 1\n\n");
     setTimeout(() => response.destroy(), 50);
   }, ({ pieces: [piece] }) => {
     const result = { piece, handle: "place/1" };
     const none = { piece, failure: "error" as const };
-    return Promise.resolve(rounds++ === 0 ? [result] : [none]);
+    return Promise.resolve(runs++ === 0 ? [result] : [none]);
   });
   t.is(await endOf(ask()), "broken off");
-  t.true(rounds > 1);
+  t.true(runs > 1);
 });
 
-test("a host that ends while pieces are made again breaks the stream off", async (t) => {
-  let rounds = 0;
-  const { ask, started } = await hostOf(t, STREAM, (_, response) => {
+test("a host that stops during the second run of the stages aborts the stream", async (t) => {
+  let runs = 0;
+  const { ask, started } = await startHost(t, STREAM, (_, response) => {
     response.writeHead(200, { "test-signature": "s" });
     response.write("id: 1\ndata: 1\n\n");
     setTimeout(() => response.destroy(), 50);
   }, ({ pieces: [piece] }) => {
-    if (rounds++ === 0) return Promise.resolve([{ piece, handle: "place/1" }]);
+    if (runs++ === 0) return Promise.resolve([{ piece, handle: "place/1" }]);
     setTimeout(() => started[0].abort(), 10);
     return new Promise(() => {});
   });
   t.is(await endOf(ask()), "broken off");
 });
 
-// What was seen: under load this ended 503. The call broke off after its inputs
-// had been given up, so they were made again, and when that failed the request
-// was refused as one that has not run.
-test("what has run is never said not to have run", async (t) => {
-  let rounds = 0;
-  const { ask } = await hostOf(t, STREAM, (request) => {
-    // Later than inputs are kept for a call.
+// Guards against a 503 for a request that may have run: under load a call broke
+// off after its inputs had been released, the second run of the stages failed,
+// and the request was refused as not executed.
+test("a request that may have run is never refused as not executed", async (t) => {
+  let runs = 0;
+  const { ask } = await startHost(t, STREAM, (request) => {
+    // After the inputs of the call are released.
     setTimeout(() => request.socket.destroy(), 400);
   }, ({ pieces: [piece] }) => {
     const result = { piece, handle: "place/1" };
     const none = { piece, failure: "error" as const };
-    return Promise.resolve(rounds++ === 0 ? [result] : [none]);
+    return Promise.resolve(runs++ === 0 ? [result] : [none]);
   });
   t.is((await ask()).status, 502);
 });
 
-test("what was chosen before an evacuation is not sent after it", async (t) => {
+test("an endpoint chosen before an evacuation is not called after it", async (t) => {
   let count = 0;
-  const host = await hostOf(t, { kind: "safe" }, (_, response) => {
+  const host = await startHost(t, { kind: "safe" }, (_, response) => {
     count++;
     response.writeHead(200, { "test-signature": "s" }).end("done");
   });
--- a/src/gateway/admission.ts
+++ b/src/gateway/admission.ts
@@ -1,4 +1,5 @@
-/** Whether a request may pass, and which service it goes to.
+/** Admits requests by the configuration in force (route and account), and picks
+ * their service.
  * @module */
 
 import type * as configurations from "../configuration/mod.ts";
@@ -7,51 +8,52 @@
 import type * as protocols from "./protocol.ts";
 import type * as refusals from "./refusal.ts";
 
-/** What is known of a request by the configuration in force. */
+/** Result of the admission of a request. */
 export interface AdmissionDecision {
-  /** Why it may not pass; absent when it may. */
+  /** Why the request is refused; absent if it is admitted. */
   readonly reason?: refusals.RefusalReason;
   readonly route?: configurations.Route;
   readonly account?: configurations.Account;
-  /** How urgent it is, where its route is known; 0 is the highest. */
+  /** Priority rank, 0 the highest; absent if no route matches. */
   readonly rank?: number;
 }
 
-/** Judges a request by the configuration in force. */
+/** Matches a request to a route and an account of the configuration in
+ * force. */
 export function admit(
-  ask: protocols.IncomingRequest,
-  { fleetView: knowledge, maxConfigurationAge: greatestAge }: Pick<
+  request: protocols.IncomingRequest,
+  { fleetView, maxConfigurationAge }: Pick<
     contexts.Context,
     "fleetView" | "maxConfigurationAge"
   >,
 ): AdmissionDecision {
-  const catalogue = knowledge.catalogue();
+  const catalogue = fleetView.catalogue();
   if (catalogue === undefined) return { reason: "no-configuration" };
-  if (knowledge.configurationAge() > greatestAge) {
+  if (fleetView.configurationAge() > maxConfigurationAge) {
     return { reason: "stale-configuration" };
   }
-  const route = catalogue.route(ask.host, ask.target);
+  const route = catalogue.route(request.host, request.target);
   if (route === undefined) return { reason: "no-route" };
   if (route.isPublic || !catalogue.hasAccounts) {
     return { route, rank: catalogue.rankOf(route) };
   }
-  const account = ask.apiKey === undefined
+  const account = request.apiKey === undefined
     ? undefined
-    : catalogue.account(ask.apiKey);
+    : catalogue.account(request.apiKey);
   const rank = catalogue.rankOf(route, account);
   return account === undefined
     ? { route, rank, reason: "bad-key" }
     : { route, rank, account };
 }
 
-/** One of a route's services, by their weights. */
+/** Picks one of a route's services at random by weight. */
 export function pickService(
   { targets }: configurations.Route,
   random: runtime.Random,
 ): string {
   if (targets.length === 1) return targets[0].service;
   const total = targets.reduce((sum, { weight }) => sum + weight, 0);
-  let left = random.next() * total;
-  const picked = targets.find(({ weight }) => (left -= weight) < 0);
+  let remainder = random.next() * total;
+  const picked = targets.find(({ weight }) => (remainder -= weight) < 0);
   return (picked ?? targets.at(-1)!).service;
 }
--- a/src/gateway/admission_test.ts
+++ b/src/gateway/admission_test.ts
@@ -23,23 +23,23 @@
   const catalogue = configurations.Catalogue.create(
     fixture.configuration({ routes: [fixture.route()], accounts: [ACCOUNT] }),
   );
-  const knowledge = {
+  const fleetView = {
     catalogue: () => isKnown ? catalogue : undefined,
     configurationAge: () => age,
     hostCount: () => 1,
   };
-  const context = { fleetView: knowledge, maxConfigurationAge: 1000 };
+  const context = { fleetView, maxConfigurationAge: 1000 };
   return admission.admit({ ...ASK, ...change }, context);
 }
 
-test("a request with a known key may pass, as its account", (t) => {
+test("a request with a known API key is admitted for its account", (t) => {
   const { reason, account, route } = judge({ apiKey: "k" });
   t.is(reason, undefined);
   t.is(account?.name, "crews");
   t.is(route?.prefix, "/a/");
 });
 
-test("what may not pass is told why", (t) => {
+test("a refused request has a reason", (t) => {
   t.is(judge({ apiKey: "other" }).reason, "bad-key");
   t.is(judge().reason, "bad-key");
   t.is(judge({ apiKey: "k", target: "/b/" }).reason, "no-route");
@@ -47,7 +47,7 @@
   t.is(judge({ apiKey: "k" }, { isKnown: false }).reason, "no-configuration");
 });
 
-test("services are picked by their weights", (t) => {
+test("services are picked in proportion to their weights", (t) => {
   const targets = [{ service: "a", weight: 3 }, { service: "b", weight: 1 }];
   const random = runtime.createRandom(1);
   const route = fixture.route({ targets });
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -1,22 +1,22 @@
-/** One call to an endpoint for a request: sends it, verifies what comes back,
- * and says what is known when it fails.
+/** One attempt to have an endpoint answer a request: sends the call, verifies
+ * the answer and classifies failures.
  *
- * Nothing of an answer leaves before it is known to be the answer: the attempt
- * echoed, the signature there, a plain body whole. Of a stream whole events
- * leave as they come.
+ * An answer is verified before any of it is relayed: it must echo the attempt's
+ * id and carry a signature, and a plain body must be complete. A stream is
+ * relayed event by event, each once it is complete.
  * @module */
 
 import type * as undici from "undici";
 import * as endpointCalls from "../endpoint_calls/exchange.ts";
 import type * as runtime from "../runtime/mod.ts";
-import * as eventText from "./event_buffer.ts";
-import type * as endpoint from "./endpoint.ts";
-import type * as protocol from "./protocol.ts";
+import * as eventBuffers from "./event_buffer.ts";
+import type * as endpoints from "./endpoint.ts";
+import type * as protocols from "./protocol.ts";
 
-/** Bytes of the largest answer that is kept before it leaves. */
-const MOST_BYTES = 64 * 1024 * 1024;
+/** Bytes of the largest plain answer; it is buffered whole. */
+const MAX_ANSWER_BYTES = 64 * 1024 * 1024;
 
-/** Why there is no answer. */
+/** Why an attempt has no answer. */
 export type FailureCause =
   | "unreachable"
   | "full"
@@ -29,69 +29,69 @@
   | "deadline"
   | "cancelled";
 
-/** How a call ended. */
+/** How an attempt ended. */
 export type Outcome =
-  /** A plain answer, or an endpoint's own refusal of a stream. */
-  | { type: "answer"; head: protocol.ReplyHead; body: Buffer }
-  /** A stream that came to its end. */
+  /** A plain answer, or an endpoint's error answer to a streaming call. */
+  | { type: "answer"; head: protocols.ReplyHead; body: Buffer }
+  /** A complete stream. */
   | { type: "ended" }
   | {
     type: "failed";
     cause: FailureCause;
-    /** False only where it is certain. */
+    /** False only if the endpoint certainly did not execute the call. */
     mayHaveRun: boolean;
   };
 
-/** What comes of a stream while it runs. */
+/** Receives a stream as it arrives. */
 export interface StreamListener {
-  head(head: protocol.ReplyHead): void;
-  events(whole: eventText.CompleteEvents): void;
+  head(head: protocols.ReplyHead): void;
+  events(whole: eventBuffers.CompleteEvents): void;
 }
 
-/** What a call is made of. */
+/** What an attempt sends, where, and its limits. */
 export interface AttemptOptions {
   readonly dispatcher: undici.Dispatcher;
   readonly clock: runtime.Clock;
-  readonly protocol: protocol.GatewayProtocol;
-  readonly endpoint: endpoint.Endpoint;
-  readonly request: protocol.IncomingRequest;
-  readonly metadata: protocol.CallMetadata;
+  readonly protocol: protocols.GatewayProtocol;
+  readonly endpoint: endpoints.Endpoint;
+  readonly request: protocols.IncomingRequest;
+  readonly metadata: protocols.CallMetadata;
   readonly body?: Buffer;
-  /** When it ends at the latest. */
+  /** Time at which the attempt ends at the latest. */
   readonly deadline: number;
-  /** Milliseconds without a byte after which it is given up. */
+  /** Milliseconds without a received byte after which it fails. */
   readonly idleTimeout: number;
   /** Present for a stream. */
   readonly stream?: StreamListener;
-  /** Hears the head of each answer of the endpoint itself, also of one that
-   * refuses. */
-  onHead?(head: protocol.ReplyHead): void;
+  /** Called with the head of every answer of the intended endpoint, refusals
+   * included. */
+  onHead?(head: protocols.ReplyHead): void;
 }
 
-/** A call under way. */
+/** An attempt in progress. */
 export class Attempt implements endpointCalls.Receiver {
-  /** Resolves once; never rejects. */
+  /** Resolves when the attempt ends; never rejects. */
   readonly outcome: Promise<Outcome>;
   readonly #options: AttemptOptions;
-  readonly #text = eventText.EventBuffer.create();
-  readonly #parts: Buffer[] = [];
+  readonly #events = eventBuffers.EventBuffer.create();
+  readonly #chunks: Buffer[] = [];
   #resolve!: (outcome: Outcome) => void;
   #exchange?: endpointCalls.Exchange;
-  #head?: protocol.ReplyHead;
+  #head?: protocols.ReplyHead;
   #isStream = false;
-  #isOver = false;
+  #isFinished = false;
 
   private constructor(options: AttemptOptions) {
     this.#options = options;
     this.outcome = new Promise((resolve) => this.#resolve = resolve);
   }
 
-  /** Sends the request. */
+  /** Sends the call. */
   static start(options: AttemptOptions): Attempt {
     const attempt = new Attempt(options);
     const {
-      request: ask,
-      metadata: terms,
+      request,
+      metadata,
       body,
       protocol,
       endpoint,
@@ -99,9 +99,9 @@
       clock,
     } = options;
     attempt.#exchange = endpointCalls.Exchange.start({
-      method: ask.method,
-      path: ask.target,
-      headers: protocol.callHeaders(ask, terms),
+      method: request.method,
+      path: request.target,
+      headers: protocol.callHeaders(request, metadata),
       body,
     }, {
       dispatcher,
@@ -109,72 +109,73 @@
       url: `http://${endpoint.identity.address}`,
       deadline: options.deadline,
       silence: options.idleTimeout,
-      mostBytes: MOST_BYTES,
+      mostBytes: MAX_ANSWER_BYTES,
       receiver: attempt,
     });
     return attempt;
   }
 
-  /** Gives it up; its endpoint is told by the end of the connection. */
+  /** Cancels the attempt; the endpoint sees its connection close. */
   cancel(cause: FailureCause = "cancelled"): void {
-    if (this.#isOver) return;
+    if (this.#isFinished) return;
     this.#exchange?.cancel();
     this.#fail(cause, true);
   }
 
-  /** Gives it up after so many milliseconds without a byte, from now on. */
-  setIdleTimeout(silence: number): void {
-    this.#exchange?.expectWithin(silence);
+  /** Changes the idle timeout, counted from now. */
+  setIdleTimeout(idleTimeout: number): void {
+    this.#exchange?.expectWithin(idleTimeout);
   }
 
   head(
     status: number,
     headers: Readonly<Record<string, string | string[] | undefined>>,
   ): void {
-    if (this.#isOver) return;
-    const { protocol, request: ask, stream } = this.#options;
+    if (this.#isFinished) return;
+    const { protocol, request, stream } = this.#options;
     const head = protocol.decodeReply(status, headers);
-    if (!isAnswerTo(head, ask)) return this.#reject();
+    if (!belongsTo(head, request)) return this.#rejectMismatch();
     if (!head.isMisdirected) this.#options.onHead?.(head);
     this.#head = head;
     this.#isStream = stream !== undefined && isSuccess(head);
     if (this.#isStream) stream!.head(head);
   }
 
-  data(part: Buffer): void {
-    if (this.#isOver) return;
+  data(chunk: Buffer): void {
+    if (this.#isFinished) return;
     if (!this.#isStream) {
-      this.#parts.push(part);
+      this.#chunks.push(chunk);
       return;
     }
-    const whole = this.#text.push(part);
-    if (whole.bytes.length > 0) this.#options.stream!.events(whole);
+    const complete = this.#events.push(chunk);
+    if (complete.bytes.length > 0) this.#options.stream!.events(complete);
   }
 
   end(): void {
-    if (this.#isOver) return;
+    if (this.#isFinished) return;
     if (this.#isStream) return this.#endStream();
     const head = this.#head!;
-    const cause = refusalOf(head);
+    const cause = refusalCause(head);
     if (cause !== undefined) return this.#fail(cause, false);
-    this.#finish({ type: "answer", head, body: Buffer.concat(this.#parts) });
+    this.#finish({ type: "answer", head, body: Buffer.concat(this.#chunks) });
   }
 
   fail({ reason, outcome }: endpointCalls.Break): void {
-    if (this.#isOver) return;
-    // A refusal counts by its head; its body says nothing more.
-    const refusal = this.#head && refusalOf(this.#head);
+    if (this.#isFinished) return;
+    // The head alone marks an answer as a refusal, so one whose body is cut off
+    // still counts.
+    const refusal = this.#head && refusalCause(this.#head);
     if (refusal !== undefined) return this.#fail(refusal, false);
     const mayHaveRun = outcome !== "not-run";
-    this.#fail(mayHaveRun ? causeOf(reason) : "unreachable", mayHaveRun);
+    this.#fail(mayHaveRun ? failureCause(reason) : "unreachable", mayHaveRun);
   }
 
   #endStream(): void {
-    if (this.#text.hasPartialEvent) return this.#fail("broken", true);
+    if (this.#events.hasPartialEvent) return this.#fail("broken", true);
     this.#finish({ type: "ended" });
   }
 
-  #reject(): void {
+  #rejectMismatch(): void {
     this.#exchange?.cancel();
     this.#fail("mismatch", true);
   }
@@ -184,39 +185,40 @@
   }
 
   #finish(outcome: Outcome): void {
-    this.#isOver = true;
+    this.#isFinished = true;
     this.#resolve(outcome);
   }
 }
 
-/** Whether the endpoint may have crashed under the call. A cut or a reset of
- * the connection looks the same. */
+/** Whether the endpoint may have crashed during the call. A connection that is
+ * cut or reset by the network looks the same. */
 export function mayHaveCrashed(outcome: Outcome): boolean {
   return outcome.type === "failed" && outcome.mayHaveRun &&
-    CRASHES.has(outcome.cause);
+    CRASH_CAUSES.has(outcome.cause);
 }
 
-const CRASHES: ReadonlySet<FailureCause> = new Set([
+const CRASH_CAUSES: ReadonlySet<FailureCause> = new Set([
   "connection",
   "broken",
   "silent",
 ]);
 
-/** Whether an answer belongs to the request, and a success is an endpoint's. */
-function isAnswerTo(
-  head: protocol.ReplyHead,
-  { id }: protocol.IncomingRequest,
+/** Whether an answer belongs to this request: refusals need not echo its id,
+ * any other answer must echo it and carry an endpoint's signature. */
+function belongsTo(
+  head: protocols.ReplyHead,
+  { id }: protocols.IncomingRequest,
 ): boolean {
   if (head.attempt !== undefined && head.attempt !== id) return false;
   if (head.isNotRun || head.isMisdirected) return true;
   return head.attempt === id && head.signature !== undefined;
 }
 
-function isSuccess({ status }: protocol.ReplyHead): boolean {
+function isSuccess({ status }: protocols.ReplyHead): boolean {
   return status >= 200 && status < 300;
 }
 
-function refusalOf(head: protocol.ReplyHead): FailureCause | undefined {
+function refusalCause(head: protocols.ReplyHead): FailureCause | undefined {
   if (head.isMisdirected) return "misdirected";
   if (!head.isNotRun) return undefined;
   return head.lacksInput ? "lacks-input" : "full";
@@ -224,7 +226,7 @@
 
 type BreakReason = endpointCalls.Break["reason"];
 
-function causeOf(reason: BreakReason): FailureCause {
+function failureCause(reason: BreakReason): FailureCause {
   const causes: Partial<Record<BreakReason, FailureCause>> = {
     silent: "silent",
     deadline: "deadline",
--- a/src/gateway/body.ts
+++ b/src/gateway/body.ts
@@ -1,23 +1,23 @@
-/** Reads the body of a request.
+/** Reads request bodies.
  * @module */
 
 import type * as http from "node:http";
 
-/** Reads a whole body, or says why it cannot be had. */
+/** Resolves with the complete body, or with why it can't be read. */
 export function read(
   request: http.IncomingMessage,
-  most: number,
+  maxBytes: number,
 ): Promise<Buffer | "too-large" | "unreadable"> {
   return new Promise((resolve) => {
-    const parts: Buffer[] = [];
+    const chunks: Buffer[] = [];
     let length = 0;
-    request.on("data", (part: Buffer) => {
-      length += part.length;
-      if (length > most) return resolve("too-large");
-      parts.push(part);
+    request.on("data", (chunk: Buffer) => {
+      length += chunk.length;
+      if (length > maxBytes) return resolve("too-large");
+      chunks.push(chunk);
     });
-    request.once("end", () => resolve(Buffer.concat(parts)));
-    // Whoever reads the request hears of its connection's end elsewhere too.
+    request.once("end", () => resolve(Buffer.concat(chunks)));
+    // The end of the connection is also handled where the response closes.
     request.once("error", () => resolve("unreadable"));
     request.once("close", () => resolve("unreadable"));
   });
--- a/src/gateway/cache_miss.ts
+++ b/src/gateway/cache_miss.ts
@@ -1,106 +1,116 @@
-/** What an engine lacks of a prompt, and where it gets it: shared parts that
- * another engine has read are fetched from its memory, the rest is read.
+/** Computes which tokens of a prompt miss an engine's prefix cache, and how the
+ * engine gets them: shared parts in another engine's cache are fetched from
+ * there, the rest is prefilled.
  *
- * Fetching takes a few milliseconds where reading takes hundreds, so a prompt
- * may go to whichever engine has least to do. In simulated bursts, and in those
- * with faults, .016 and .011 more of the worth is served so.
+ * A fetch takes a few milliseconds where prefill takes hundreds, so a prompt
+ * may go to the engine with the least load. This raises the value served by
+ * .016 in bursts and by .011 in bursts with faults.
  * @module */
 
-import type * as endpoint from "./endpoint.ts";
-import type * as protocol from "./protocol.ts";
+import type * as endpoints from "./endpoint.ts";
+import type * as protocols from "./protocol.ts";
 import * as rendezvous from "../routing/rendezvous.ts";
 
-/** Part of a prompt's shared parts that the engine which they belong to must
- * likely still read, when this host has not sent them there itself. */
-const HOME_SHARE = 0.4;
-/** Tokens below which an engine reads rather than fetches: a fetch waits for
- * those before it, and what this host believes may be gone. */
-const LEAST_FETCHED = 500;
-/** Times as long that a fetch takes between data centres. */
-const FAR = 2;
+/** Part of a prompt's shared tokens that its preferred engine probably still
+ * has to prefill, when this host has not sent them there itself. */
+const PREFERRED_MISS_RATIO = 0.4;
+/** Tokens below which an engine prefills instead of fetching: a fetch queues
+ * behind earlier ones, and the parts may no longer be in the other cache. */
+const MIN_FETCH_TOKENS = 500;
+/** Factor of a fetch's duration between data centres. */
+const REMOTE_FETCH_FACTOR = 2;
 
-/** Tokens that an engine lacks. */
+/** Prompt tokens that miss an engine's prefix cache. */
 export interface CacheMiss {
+  /** Tokens to prefill. */
   readonly prefillTokens: number;
+  /** Tokens to fetch. */
   readonly fetchTokens: number;
   /** Milliseconds that the fetch takes. */
   readonly fetchTime: number;
-  /** Engine that it fetches from. */
-  readonly source?: endpoint.Endpoint;
+  /** Engine to fetch from. */
+  readonly source?: endpoints.Endpoint;
 }
 
-/** Engines that a prompt may go to, and what each lacks. */
+/** The cache misses of a prompt on each of its candidate engines. */
 export class CacheMisses {
-  readonly #engines: readonly endpoint.Endpoint[];
-  readonly #prompt: protocol.Prompt;
-  /** The engine that has read most of the prompt, and how much. */
-  readonly #source?: endpoint.Endpoint;
-  readonly #most: number;
-  /** Computed when it is asked for: where another engine's memory serves, the
-   * home does not matter. */
-  #home?: { readonly name?: string };
+  readonly #engines: readonly endpoints.Endpoint[];
+  readonly #prompt: protocols.Prompt;
+  /** The engine with the most cached tokens of the prompt, and their number. */
+  readonly #source?: endpoints.Endpoint;
+  readonly #sourceTokens: number;
+  /** Preferred engine; computed on demand, since it is not needed if the tokens
+   * can be fetched. */
+  #preferred?: { readonly name?: string };
 
   private constructor(
-    engines: readonly endpoint.Endpoint[],
-    prompt: protocol.Prompt,
+    engines: readonly endpoints.Endpoint[],
+    prompt: protocols.Prompt,
   ) {
     this.#engines = engines;
     this.#prompt = prompt;
-    let most = 0;
+    let max = 0;
     for (const engine of engines) {
-      const known = this.#known(engine);
-      if (known > most) [this.#source, most] = [engine, known];
+      const cached = this.#cachedTokens(engine);
+      if (cached > max) [this.#source, max] = [engine, cached];
     }
-    this.#most = most;
+    this.#sourceTokens = max;
   }
 
   static of(
-    engines: readonly endpoint.Endpoint[],
-    prompt: protocol.Prompt,
+    engines: readonly endpoints.Endpoint[],
+    prompt: protocols.Prompt,
   ): CacheMisses {
     return new CacheMisses(engines, prompt);
   }
 
-  /** What one of the engines lacks. */
-  at(engine: endpoint.Endpoint): CacheMiss {
+  /** The cache miss on one of the engines. */
+  at(engine: endpoints.Endpoint): CacheMiss {
     const { inputTokens } = this.#prompt;
-    const own = this.#known(engine);
-    const open = Math.max(0, inputTokens - own);
+    const cached = this.#cachedTokens(engine);
+    const missing = Math.max(0, inputTokens - cached);
     const source = this.#source;
     const rate = engine.fetchRate;
-    const fetched = this.#most - own;
-    if (source === undefined || rate === undefined || fetched < LEAST_FETCHED) {
+    const fetchTokens = this.#sourceTokens - cached;
+    if (
+      source === undefined || rate === undefined ||
+      fetchTokens < MIN_FETCH_TOKENS
+    ) {
       return {
-        prefillTokens: this.#likely(engine, open),
+        prefillTokens: this.#estimatePrefill(engine, missing),
         fetchTokens: 0,
         fetchTime: 0,
       };
     }
-    const isFar = source.identity.dataCentre !== engine.identity.dataCentre;
-    const fetchTime = fetched / rate * (isFar ? FAR : 1);
-    const read = Math.max(0, open - fetched);
-    return { prefillTokens: read, fetchTokens: fetched, fetchTime, source };
+    const isRemote = source.identity.dataCentre !== engine.identity.dataCentre;
+    const fetchTime = fetchTokens / rate * (isRemote ? REMOTE_FETCH_FACTOR : 1);
+    const prefillTokens = Math.max(0, missing - fetchTokens);
+    return { prefillTokens, fetchTokens, fetchTime, source };
   }
 
-  /** Tokens to read, by what the home of shared parts likely has read. */
-  #likely(engine: endpoint.Endpoint, open: number): number {
-    this.#home ??= { name: preferredEngineName(this.#engines, this.#prompt) };
-    if (engine.identity.name !== this.#home.name) return open;
-    const own = this.#prompt.parts.at(-1)?.tokens ?? 0;
-    const shared = Math.max(0, open - own);
-    return open - shared * (1 - HOME_SHARE);
+  /** Tokens to prefill; fewer on the preferred engine, whose cache probably
+   * holds shared parts that other hosts have sent. */
+  #estimatePrefill(engine: endpoints.Endpoint, missing: number): number {
+    this.#preferred ??= {
+      name: preferredEngineName(this.#engines, this.#prompt),
+    };
+    if (engine.identity.name !== this.#preferred.name) return missing;
+    const unshared = this.#prompt.parts.at(-1)?.tokens ?? 0;
+    const shared = Math.max(0, missing - unshared);
+    return missing - shared * (1 - PREFERRED_MISS_RATIO);
   }
 
-  #known(engine: endpoint.Endpoint): number {
+  #cachedTokens(engine: endpoints.Endpoint): number {
     return engine.cachedPrefixes?.cachedTokens(this.#prompt) ?? 0;
   }
 }
 
-/** Name of the engine that the shared parts of a prompt belong to, on all
- * hosts: one that starts again has read nothing and is their home again. */
+/** Name of the preferred engine for a prompt's shared parts, the same on all
+ * hosts. It is chosen by name, so an engine that restarts with an empty cache
+ * is preferred for the same parts again. */
 export function preferredEngineName(
-  engines: readonly endpoint.Endpoint[],
-  { parts }: protocol.Prompt,
+  engines: readonly endpoints.Endpoint[],
+  { parts }: protocols.Prompt,
 ): string | undefined {
   const shared = parts.at(-2) ?? parts.at(-1);
   if (shared === undefined) return undefined;
--- a/src/gateway/cached_prefixes.ts
+++ b/src/gateway/cached_prefixes.ts
@@ -1,17 +1,18 @@
-/** Which parts of prompts an engine has read lately, as one host knows it from
- * what it sent there. The parts that were used least recently yield.
+/** Estimate of an engine's prefix cache from the prompts sent to it. The least
+ * recently used parts are evicted first.
  * @module */
 
-import type * as protocol from "./protocol.ts";
+import type * as protocols from "./protocol.ts";
 
-/** Part of an engine's memory that cached parts are counted on for: running
- * requests take the rest. */
-const SHARE = 0.6;
+/** Part of an engine's token capacity that is assumed to hold cached parts:
+ * running requests use the rest. */
+const CACHE_CAPACITY_RATIO = 0.6;
 
-/** Parts that one engine may still hold; changed in place. */
+/** Prompt parts that an engine's cache probably holds; changed in place. */
 export class CachedPrefixes {
   #capacity: number;
-  /** Tokens by the path of a part; the least recently used comes first. */
+  /** Tokens by the path of a part (its own id after those of the parts before
+   * it); the least recently used first. */
   readonly #parts = new Map<string, number>();
   #tokens = 0;
 
@@ -19,20 +20,20 @@
     this.#capacity = capacity;
   }
 
-  /** An empty memory of an engine that holds so many tokens in all. */
+  /** Creates the empty cache of an engine with a capacity of `tokens`. */
   static create(tokens: number): CachedPrefixes {
-    return new CachedPrefixes(tokens * SHARE);
+    return new CachedPrefixes(tokens * CACHE_CAPACITY_RATIO);
   }
 
-  /** Follows a change of how many tokens the engine holds in all. */
+  /** Changes the engine's capacity to `tokens`. */
   resize(tokens: number): void {
-    this.#capacity = tokens * SHARE;
-    this.#yield();
+    this.#capacity = tokens * CACHE_CAPACITY_RATIO;
+    this.#evict();
   }
 
-  /** Tokens that need not be read again: a part counts only when all parts
-   * before it do. */
-  cachedTokens({ parts }: Pick<protocol.Prompt, "parts">): number {
+  /** Number of a prompt's cached tokens: a part counts only if all parts before
+   * it are cached. */
+  cachedTokens({ parts }: Pick<protocols.Prompt, "parts">): number {
     let tokens = 0;
     for (const { path, part } of pathsOf(parts)) {
       if (!this.#parts.has(path)) break;
@@ -41,16 +42,16 @@
     return tokens;
   }
 
-  /** Notes that the engine reads a prompt. */
-  insert({ parts }: Pick<protocol.Prompt, "parts">): void {
+  /** Marks the parts of a prompt as cached and most recently used. */
+  insert({ parts }: Pick<protocols.Prompt, "parts">): void {
     for (const { path, part } of pathsOf(parts)) {
       if (!this.#parts.delete(path)) this.#tokens += part.tokens;
       this.#parts.set(path, part.tokens);
     }
-    this.#yield();
+    this.#evict();
   }
 
-  #yield(): void {
+  #evict(): void {
     for (const [path, tokens] of this.#parts) {
       if (this.#tokens <= this.#capacity) return;
       this.#parts.delete(path);
@@ -59,7 +60,7 @@
   }
 }
 
-function* pathsOf(parts: readonly protocol.PromptPart[]) {
+function* pathsOf(parts: readonly protocols.PromptPart[]) {
   let path = "";
   for (const part of parts) {
     path += `/${part.id}`;
--- a/src/gateway/calibration.ts
+++ b/src/gateway/calibration.ts
@@ -1,33 +1,33 @@
-/** How much longer, or shorter, requests wait for their pieces than was
- * forecast: what comes after a forecast goes partly before what it was for, and
- * what was expected is partly refused.
+/** Calibrates forecasts of stage completion by the ratio of actual to forecast
+ * queueing times. They differ because requests that arrive after a forecast may
+ * overtake, and because part of the forecast load is refused.
  * @module */
 
-/** Ratio of real to forecast waits before anything is measured: a little over
- * 1, since what comes later is never counted. */
-const FIRST = 1.2;
-/** Bounds of the ratio. Below 1 lies a burst some seconds after its begin, when
- * forecasts are too high by 250 ms at the median; were they never corrected
- * downwards, requests that would be in time would be refused all through it. */
-const LEAST = 0.3;
-const MOST = 3;
-/** Part of a new value in the running means. */
-const GAIN = 0.15;
-/** Mean error before anything is measured, as a part of the work that waits for
- * nothing: calls that others share vary by about as much. */
-const FIRST_ERROR = 0.2;
-/** Milliseconds of forecast wait that are worth measuring by. */
-const MEASURABLE = 150;
+/** Initial ratio of actual to forecast waits: slightly above 1, since forecasts
+ * don't include later arrivals. */
+const INITIAL_RATIO = 1.2;
+/** Bounds of the ratio. It falls below 1 some seconds into a burst, when
+ * forecasts are 250 ms too high at the median; without a downward correction,
+ * requests that would meet their objective would be refused throughout it. */
+const MIN_RATIO = 0.3;
+const MAX_RATIO = 3;
+/** Weight of a new value in the moving averages. */
+const AVERAGE_WEIGHT = 0.15;
+/** Initial mean error as a part of the uncontended time: calls shared with
+ * other requests vary by about as much. */
+const INITIAL_ERROR_RATIO = 0.2;
+/** Least forecast wait, in milliseconds, from which a ratio is learnt. */
+const MIN_FORECAST_WAIT_MS = 150;
 
-/** A forecast, in milliseconds. */
+/** A forecast in milliseconds from when it is made. */
 export interface Forecast {
-  /** Until all pieces are made. */
+  /** Completion of all stages. */
   readonly finish: number;
-  /** The same if nothing waited. */
+  /** The same without queueing. */
   readonly uncontended: number;
 }
 
-/** Ratios by route; changed in place. */
+/** Ratios and errors by route; changed in place. */
 export class Calibration {
   readonly #ratios = new Map<string, number>();
   readonly #errors = new Map<string, number>();
@@ -36,37 +36,44 @@
     return new Calibration();
   }
 
-  /** When the pieces will be made, by what forecasts were worth lately. */
-  correct(route: string, { finish, uncontended: alone }: Forecast): number {
-    return alone + (finish - alone) * (this.#ratios.get(route) ?? FIRST);
+  /** Completion time corrected by the recent ratio of the route. */
+  correct(
+    route: string,
+    { finish, uncontended }: Forecast,
+  ): number {
+    return uncontended +
+      (finish - uncontended) * (this.#ratios.get(route) ?? INITIAL_RATIO);
   }
 
-  /** Milliseconds by which corrected forecasts of a route miss, on average. */
+  /** Mean error of a route's corrected forecasts, in milliseconds. */
   error(
     route: string,
-    { uncontended: alone }: Pick<Forecast, "uncontended">,
+    { uncontended }: Pick<Forecast, "uncontended">,
   ): number {
-    return this.#errors.get(route) ?? FIRST_ERROR * alone;
+    return this.#errors.get(route) ?? INITIAL_ERROR_RATIO * uncontended;
   }
 
-  /** Notes how long it took what was forecast. */
-  observe(route: string, forecast: Forecast, took: number): void {
-    const { finish, uncontended: alone } = forecast;
-    const known = this.error(route, forecast);
-    const error = Math.abs(took - this.correct(route, forecast));
-    this.#errors.set(route, known + GAIN * (error - known));
-    this.#learnRatio(route, { finish, uncontended: alone }, took);
+  /** Learns from a forecast and the milliseconds that the stages took. */
+  observe(route: string, forecast: Forecast, elapsed: number): void {
+    const { finish, uncontended } = forecast;
+    const previous = this.error(route, forecast);
+    const error = Math.abs(elapsed - this.correct(route, forecast));
+    this.#errors.set(route, previous + AVERAGE_WEIGHT * (error - previous));
+    this.#observeRatio(route, { finish, uncontended }, elapsed);
   }
 
-  #learnRatio(
+  #observeRatio(
     route: string,
-    { finish, uncontended: alone }: Forecast,
-    took: number,
+    { finish, uncontended }: Forecast,
+    elapsed: number,
   ): void {
-    const wait = finish - alone;
-    if (wait < MEASURABLE) return;
-    const ratio = Math.min(MOST, Math.max(LEAST, (took - alone) / wait));
-    const known = this.#ratios.get(route) ?? FIRST;
-    this.#ratios.set(route, known + GAIN * (ratio - known));
+    const wait = finish - uncontended;
+    if (wait < MIN_FORECAST_WAIT_MS) return;
+    const ratio = Math.min(
+      MAX_RATIO,
+      Math.max(MIN_RATIO, (elapsed - uncontended) / wait),
+    );
+    const previous = this.#ratios.get(route) ?? INITIAL_RATIO;
+    this.#ratios.set(route, previous + AVERAGE_WEIGHT * (ratio - previous));
   }
 }
--- a/src/gateway/calibration_test.ts
+++ b/src/gateway/calibration_test.ts
@@ -5,20 +5,20 @@
 
 const FORECAST = { finish: 1000, uncontended: 500 };
 
-test("a forecast of a route that always takes longer is corrected", (t) => {
+test("the forecasts of a route that always takes longer are raised", (t) => {
   const calibration = calibrations.Calibration.create();
   for (let pos = 0; pos < 50; pos++) calibration.observe("r", FORECAST, 1500);
   t.is(Math.round(calibration.correct("r", FORECAST)), 1500);
   t.is(Math.round(calibration.correct("other", FORECAST)), 1100);
 });
 
-test("what waits for nothing teaches nothing", (t) => {
+test("a request that hardly queues does not change the ratio", (t) => {
   const calibration = calibrations.Calibration.create();
   calibration.observe("r", { finish: 510, uncontended: 500 }, 5000);
   t.is(calibration.correct("r", { finish: 500, uncontended: 500 }), 500);
 });
 
-test("a forecast of a route that takes less long is corrected, to a part", (t) => {
+test("the forecasts of a route that takes less time are lowered, down to a bound", (t) => {
   const calibration = calibrations.Calibration.create();
   for (let pos = 0; pos < 50; pos++) calibration.observe("r", FORECAST, 700);
   t.is(Math.round(calibration.correct("r", FORECAST)), 700);
@@ -26,7 +26,7 @@
   t.is(Math.round(calibration.correct("r", FORECAST)), 650);
 });
 
-test("the error of forecasts is learnt from what they missed by", (t) => {
+test("the forecast error is learnt from actual times", (t) => {
   const calibration = calibrations.Calibration.create();
   t.is(calibration.error("r", FORECAST), 100);
   for (let pos = 0; pos < 50; pos++) {
@@ -37,9 +37,9 @@
   t.is(calibration.error("other", FORECAST), 100);
 });
 
-// Guards against a route that is refused for good by its ratio: while it is
-// refused what waits for its pieces is drained, and the ratio counts for nothing.
-test("the highest ratio refuses nothing that waits for nothing", (t) => {
+// Guards against a route that is refused forever because of its ratio. While it
+// is refused its queues drain, and without queueing the ratio has no effect.
+test("the highest ratio refuses no request without queueing", (t) => {
   const calibration = calibrations.Calibration.create();
   for (let pos = 0; pos < 50; pos++) calibration.observe("r", FORECAST, 9000);
   t.true(calibration.correct("r", FORECAST) > 1900);
--- a/src/gateway/call_limits.ts
+++ b/src/gateway/call_limits.ts
@@ -1,45 +1,47 @@
-/** What a call to an endpoint is given: how urgent it is, how long it has, how
- * long it may be silent.
+/** Limits of a call to an endpoint: its priority, remaining time and idle
+ * timeout.
  * @module */
 
 import * as configurations from "../configuration/mod.ts";
-import * as prospects from "./timeliness.ts";
+import * as timeliness from "./timeliness.ts";
 
-/** Urgency of the highest rank: below it there is room for what is more urgent
- * than any request of a caller. */
-const FIRST_URGENCY = 2;
-const LAST_URGENCY = 9;
-/** Milliseconds without a byte after which a repeatable call is given up, as
- * multiples of the route's objective; an answer later than that earns little,
- * and another endpoint may still give one. */
-const SILENCE_OBJECTIVES = 2;
-/** Least of these milliseconds. */
-const LEAST_SILENCE = 800;
-/** Least milliseconds left for a call to be worth sending. */
-const LEAST_LEFT = 5;
+/** Urgency of the highest rank: lower values are reserved for work more urgent
+ * than any caller's request. */
+const HIGHEST_URGENCY = 2;
+const LOWEST_URGENCY = 9;
+/** Idle timeout of an idempotent call, as a multiple of the route's objective:
+ * a later answer has little value, and another endpoint may still give one. */
+const IDLE_TIMEOUT_OBJECTIVE_COUNT = 2;
+/** Least idle timeout, in milliseconds. */
+const MIN_IDLE_TIMEOUT_MS = 800;
+/** Least remaining milliseconds that an endpoint is given. */
+const MIN_REMAINING_TIME_MS = 5;
 
-/** Milliseconds between events after which a stream goes on elsewhere: callers
- * leave after two seconds. */
+/** Milliseconds without an event after which a stream is resumed on another
+ * endpoint: callers abandon it after two seconds. */
 export const EVENT_IDLE_TIMEOUT_MS = 1200;
 
-/** Urgency of a request of a rank. */
+/** Urgency of a call for a request's rank; 0 is the most urgent. */
 export function urgencyOf(rank: number, isLate: boolean): number {
-  const urgency = FIRST_URGENCY + prospects.effectiveRank(rank, isLate);
-  return Math.min(LAST_URGENCY, urgency);
+  const urgency = HIGHEST_URGENCY + timeliness.effectiveRank(rank, isLate);
+  return Math.min(LOWEST_URGENCY, urgency);
 }
 
-/** Whole milliseconds that a call has until a request ends. */
-export function remainingTime(until: number, now: number): number {
-  return Math.max(LEAST_LEFT, Math.floor(until - now));
+/** Whole milliseconds from `now` until a request's deadline. */
+export function remainingTime(deadline: number, now: number): number {
+  return Math.max(MIN_REMAINING_TIME_MS, Math.floor(deadline - now));
 }
 
-/** Milliseconds without a byte that a call of a route is given. Work that must
- * not be repeated is waited for: silence is no reason to end it. */
+/** Idle timeout of a route's calls, in milliseconds. A non-idempotent call has
+ * none: it could not be retried. */
 export function idleTimeoutOf(
   route: configurations.Route,
   isStreaming: boolean,
 ): number {
   if (!configurations.isIdempotent(route)) return Infinity;
   if (isStreaming) return EVENT_IDLE_TIMEOUT_MS;
-  return Math.max(LEAST_SILENCE, SILENCE_OBJECTIVES * route.objective);
+  return Math.max(
+    MIN_IDLE_TIMEOUT_MS,
+    IDLE_TIMEOUT_OBJECTIVE_COUNT * route.objective,
+  );
 }
--- a/src/gateway/call_load.ts
+++ b/src/gateway/call_load.ts
@@ -1,81 +1,92 @@
-/** What a call has its engine read: noted from when it is sent until its first
- * event comes or it ends without one, here and for other hosts.
+/** Accounts for the load of one call on its endpoint: as in flight until it
+ * ends, and as prefill backlog until its first event. Each change is also sent
+ * to other hosts.
  * @module */
 
 import type * as runtime from "../runtime/mod.ts";
-import type * as endpoint from "./endpoint.ts";
-import type * as firstEvents from "./first_event_latency.ts";
+import type * as endpoints from "./endpoint.ts";
+import type * as firstEventLatencies from "./first_event_latency.ts";
 import type * as protocols from "./protocol.ts";
-import type * as loadGossips from "./load_updates.ts";
+import type * as loadUpdates from "./load_updates.ts";
 
-/** What a reading needs of its host. */
+/** Dependencies, and the prompt of the call. */
 export interface CallLoadOptions {
   readonly clock: runtime.Clock;
-  readonly loadUpdates: Pick<loadGossips.LoadUpdates, "record">;
-  /** Absent where the call has no prompt. */
+  readonly loadUpdates: Pick<loadUpdates.LoadUpdates, "record">;
+  /** Absent if the call has no prompt. */
   readonly prompt?: protocols.Prompt;
-  /** Prompt tokens that the engine must read for it. */
+  /** Prompt tokens that the engine must prefill. */
   readonly prefillTokens: number;
-  /** All that the engine has to do before its first event, by the host that has
-   * placed it there; by this host's own knowledge when absent. */
-  readonly pendingWork?: firstEvents.PendingWork;
+  /** Work of the engine before the first event, as the partition owner that
+   * placed the call knows it; if absent, by this host's own state. */
+  readonly pendingWork?: firstEventLatencies.PendingWork;
 }
 
-/** One call's reading; it counts as a call under way until it ends. */
+/** The load of one call on its endpoint. */
 export class CallLoad {
   readonly #options: CallLoadOptions;
-  readonly #engine: endpoint.Endpoint;
-  readonly #started: number;
-  /** Prompt tokens that its engine must read for it. */
-  readonly #tokens: number;
-  /** All that the engine had to do when it came. */
-  readonly #work: firstEvents.PendingWork;
-  #first?: number;
+  readonly #endpoint: endpoints.Endpoint;
+  readonly #startedAt: number;
+  /** Prompt tokens that the engine must prefill. */
+  readonly #prefillTokens: number;
+  /** Work of the engine before the first event, when the call was sent. */
+  readonly #pendingWork: firstEventLatencies.PendingWork;
+  #firstEventTime?: number;
 
-  private constructor(engine: endpoint.Endpoint, options: CallLoadOptions) {
+  private constructor(endpoint: endpoints.Endpoint, options: CallLoadOptions) {
     const {
       clock,
       prompt,
-      prefillTokens: unread,
-      pendingWork: work,
-      loadUpdates: loadGossip,
+      prefillTokens,
+      pendingWork,
+      loadUpdates,
     } = options;
     this.#options = options;
-    this.#engine = engine;
-    this.#started = clock.now();
-    this.#tokens = unread;
-    this.#work = work ?? engine.pendingWork(this.#tokens, this.#started);
-    if (prompt !== undefined) engine.cachedPrefixes?.insert(prompt);
-    engine.backlog += this.#tokens;
-    engine.inFlight++;
-    loadGossip.record(engine, { prompt });
+    this.#endpoint = endpoint;
+    this.#startedAt = clock.now();
+    this.#prefillTokens = prefillTokens;
+    this.#pendingWork = pendingWork ??
+      endpoint.pendingWork(this.#prefillTokens, this.#startedAt);
+    if (prompt !== undefined) endpoint.cachedPrefixes?.insert(prompt);
+    endpoint.backlog += this.#prefillTokens;
+    endpoint.inFlight++;
+    loadUpdates.record(endpoint, { prompt });
   }
 
-  /** Notes a call that is sent now. */
-  static begin(engine: endpoint.Endpoint, options: CallLoadOptions): CallLoad {
-    return new CallLoad(engine, options);
+  /** Starts to count a call that is sent now. */
+  static begin(
+    endpoint: endpoints.Endpoint,
+    options: CallLoadOptions,
+  ): CallLoad {
+    return new CallLoad(endpoint, options);
   }
 
-  /** Milliseconds from the call to its first event, once that has come. */
+  /** Milliseconds from the call to its first event, once it has arrived. */
   get firstEventTime(): number | undefined {
-    return this.#first;
+    return this.#firstEventTime;
   }
 
-  /** Notes the first event. */
+  /** Records the first event. */
   recordFirstEvent(): void {
-    const { clock, loadUpdates: loadGossip, pendingWork: work } = this.#options;
+    const { clock, loadUpdates, pendingWork } = this.#options;
     const now = clock.now();
-    this.#first = now - this.#started;
-    this.#engine.backlog -= this.#tokens;
-    const first = work && { work, took: this.#first };
-    loadGossip.record(this.#engine, { first });
-    this.#engine.recordFirstEvent(this.#work, { took: this.#first, now });
+    this.#firstEventTime = now - this.#startedAt;
+    this.#endpoint.backlog -= this.#prefillTokens;
+    const first = pendingWork &&
+      { work: pendingWork, took: this.#firstEventTime };
+    loadUpdates.record(this.#endpoint, { first });
+    this.#endpoint.recordFirstEvent(this.#pendingWork, {
+      took: this.#firstEventTime,
+      now,
+    });
   }
 
-  /** Notes the end of the call. */
+  /** Records the end of the call. */
   end(): void {
-    this.#engine.inFlight--;
-    if (this.#first === undefined) this.#engine.backlog -= this.#tokens;
-    this.#options.loadUpdates.record(this.#engine);
+    this.#endpoint.inFlight--;
+    if (this.#firstEventTime === undefined) {
+      this.#endpoint.backlog -= this.#prefillTokens;
+    }
+    this.#options.loadUpdates.record(this.#endpoint);
   }
 }
--- a/src/gateway/context.ts
+++ b/src/gateway/context.ts
@@ -1,33 +1,33 @@
-/** What requests on one host share.
+/** Dependencies and state that all requests on a host share.
  * @module */
 
 import type * as undici from "undici";
 import type * as configurations from "../configuration/mod.ts";
-import type * as pieces from "../batching/mod.ts";
+import type * as batching from "../batching/mod.ts";
 import type * as quarantine from "../quarantine/mod.ts";
 import type * as rateLimits from "../rate_limits/mod.ts";
 import type * as runtime from "../runtime/mod.ts";
 import type * as telemetry from "../telemetry/mod.ts";
 import type * as calibrations from "./calibration.ts";
-import type * as inputHolds from "./input_retention.ts";
-import type * as patiences from "./prior_wait.ts";
+import type * as inputRetentions from "./input_retention.ts";
+import type * as priorWaits from "./prior_wait.ts";
 import type * as placements from "./placement.ts";
-import type * as pools from "./endpoint_pool.ts";
+import type * as endpointPools from "./endpoint_pool.ts";
 import type * as protocols from "./protocol.ts";
-import type * as retryBudget from "./retry_budget.ts";
-import type * as loadGossips from "./load_updates.ts";
+import type * as retryBudgets from "./retry_budget.ts";
+import type * as loadUpdates from "./load_updates.ts";
 
-/** The configuration in force, and what is known of the fleet. */
+/** The configuration and the fleet as this host currently knows them. */
 export interface FleetView {
-  /** Undefined before the first version has come. */
+  /** Undefined until the first version of the configuration arrives. */
   catalogue(): configurations.Catalogue | undefined;
-  /** Milliseconds by which the configuration may be too old. */
+  /** Milliseconds by which the configuration may be out of date. */
   configurationAge(): number;
-  /** Hosts that share the retry budget; at least 1. */
+  /** Number of hosts that share the retry budget; at least 1. */
   hostCount(): number;
 }
 
-/** What requests need of their host. */
+/** Dependencies of requests, provided by their host. */
 export interface Context {
   readonly clock: runtime.Clock;
   readonly random: runtime.Random;
@@ -36,16 +36,16 @@
   readonly protocol: protocols.GatewayProtocol;
   readonly dispatcher: undici.Dispatcher;
   readonly dataCentre: string;
-  readonly pool: pools.EndpointPool;
+  readonly pool: endpointPools.EndpointPool;
   readonly maker: Pick<
-    pieces.BatcherClient,
+    batching.BatcherClient,
     "selectPartition" | "compute" | "reserve" | "release" | "cancel"
   >;
   readonly placement: Pick<placements.Placement, "place">;
   readonly fleetView: FleetView;
   readonly calibration: calibrations.Calibration;
-  readonly priorWait: patiences.PriorWait;
-  readonly inputRetention: inputHolds.InputRetention;
+  readonly priorWait: priorWaits.PriorWait;
+  readonly inputRetention: inputRetentions.InputRetention;
   readonly guard: Pick<
     quarantine.Guard,
     | "hasNoSuspects"
@@ -59,13 +59,14 @@
     rateLimits.QuotaClient,
     "recordLimit" | "isLimited" | "needsProbe" | "blockedEndpoints" | "acquire"
   >;
-  readonly loadUpdates: Pick<loadGossips.LoadUpdates, "record">;
-  /** When the host started, by its clock. */
+  readonly loadUpdates: Pick<loadUpdates.LoadUpdates, "record">;
+  /** Time at which the host started, by its clock. */
   readonly startedAt: number;
-  /** Greatest age of the configuration with which a key is believed. */
+  /** Age of the configuration in milliseconds above which requests are refused,
+   * since API keys may have been revoked. */
   readonly maxConfigurationAge: number;
-  retryBudget(service: string): retryBudget.RetryBudget;
+  retryBudget(service: string): retryBudgets.RetryBudget;
   isDraining(): boolean;
-  /** Whether the host ends so soon that no new request would be finished. */
+  /** Whether the host stops too soon to finish a new request. */
   isStopping(): boolean;
 }
--- a/src/gateway/endpoint.ts
+++ b/src/gateway/endpoint.ts
@@ -1,34 +1,37 @@
-/** An endpoint as one host sees it through its own calls.
+/** State that one host keeps of an endpoint: liveness, health, load and
+ * latency, mostly from its own calls.
  * @module */
 
 import type * as configurations from "../configuration/mod.ts";
 import * as remoteLoads from "./remote_load.ts";
-import * as firstEvents from "./first_event_latency.ts";
-import type * as promptMemory from "./cached_prefixes.ts";
-import type * as protocol from "./protocol.ts";
-
-/** Part of a new value in a running mean of about ten values. */
-const GAIN = 0.1;
-/** Failures in a row after which an endpoint is left alone for a while. */
-const FAILURES = 3;
-/** Milliseconds of the first such while; it doubles up to the last. */
-const FIRST_REST = 500;
-const LAST_REST = 8000;
-/** Milliseconds for which a reported load counts: a few calls at most. */
-const LOAD_AGE = 500;
-/** Milliseconds over which a measured delay loses half of its weight. */
-const DELAY_HALF = 1500;
-
-/** Milliseconds for which an endpoint without heartbeats counts as there when
- * its calls go well: heartbeats may be cut off where calls are not. */
-const TRUSTED = 5000;
-
-/** Who and where an endpoint is. */
+import * as firstEventLatencies from "./first_event_latency.ts";
+import type * as cachedPrefixes from "./cached_prefixes.ts";
+import type * as protocols from "./protocol.ts";
+
+/** Weight of a new value in an exponential moving average of about ten
+ * values. */
+const AVERAGE_WEIGHT = 0.1;
+/** Consecutive failures after which an endpoint is ejected for a while. */
+const EJECTION_FAILURE_COUNT = 3;
+/** First and longest ejection, in milliseconds; each one doubles the last. */
+const MIN_EJECTION_MS = 500;
+const MAX_EJECTION_MS = 8000;
+/** Milliseconds for which a reported load is used: a few calls at most. */
+const MAX_LOAD_AGE_MS = 500;
+/** Half-life of the delay of first events, in milliseconds. */
+const DELAY_HALF_LIFE_MS = 1500;
+
+/** Milliseconds after a successful call for which an endpoint counts as alive
+ * without heartbeats: a network partition may block heartbeats but not
+ * calls. */
+const CALL_LIVENESS_MS = 5000;
+
+/** Identity and location of an endpoint. */
 export interface Identity {
-  /** One incarnation of it: all that a host believes of an endpoint from its
-   * own calls is kept by this, and ends with it. */
+  /** Id of one incarnation. A host keeps an endpoint's state by this id and
+   * drops it when the incarnation ends. */
   readonly id: string;
-  /** What it calls itself, through all its incarnations. */
+  /** Name that the endpoint keeps across restarts. */
   readonly name: string;
   readonly service: string;
   readonly address: string;
@@ -36,66 +39,68 @@
   readonly slots: number;
 }
 
-/** What is known of an engine beside its calls, by its service. */
+/** State of an endpoint that serves prompts. */
 export interface EngineState {
-  /** Prompt tokens that it fetches in a millisecond from another engine's
-   * memory; absent where it fetches none. */
+  /** Prompt tokens per millisecond that it fetches from another engine's cache;
+   * absent if it can't fetch. */
   readonly fetchRate?: number;
-  /** What it has read. */
-  readonly cachedPrefixes: promptMemory.CachedPrefixes;
-  /** How long engines of its service take to a first event. */
-  readonly firstEventLatency: firstEvents.FirstEventLatency;
+  /** This host's estimate of its prefix cache. */
+  readonly cachedPrefixes: cachedPrefixes.CachedPrefixes;
+  /** Latency model of first events, shared by the engines of its service. */
+  readonly firstEventLatency: firstEventLatencies.FirstEventLatency;
 }
 
-/** Milliseconds that something took, and when it came. */
+/** How many milliseconds a first event took, and when it arrived. */
 export interface FirstEventTiming {
   readonly took: number;
   readonly now: number;
 }
 
-/** How a call ended, as far as its endpoint is to be judged by it. */
+/** What the outcome of a call shows of its endpoint's health; "full" is a
+ * healthy endpoint that refused a call. */
 export type HealthSignal = "good" | "bad" | "full";
 
-/** One endpoint; changed in place. */
+/** An endpoint; changed in place. */
 export class Endpoint {
   readonly identity: Identity;
-  /** Undefined while its service is not known to be one of engines: it may be
-   * heard before the configuration is. */
+  /** Undefined unless its service is known to serve prompts: the first
+   * heartbeat may arrive before the configuration. */
   engine?: EngineState;
-  /** What other hosts have it do. */
+  /** Load from other hosts. */
   readonly remoteLoad = remoteLoads.RemoteLoad.create();
-  /** Its own first events, while it shares none with its service. */
-  readonly #ownFirstEvent = firstEvents.FirstEventLatency.create();
-  /** Whether it takes new requests, by its own word. */
+  /** Latency model of first events while `engine` is undefined. */
+  readonly #ownLatency = firstEventLatencies.FirstEventLatency.create();
+  /** Whether it reports that it accepts new requests. */
   isReady = true;
   /** Whether its heartbeats have stopped. */
   isSilent = false;
-  /** Another endpoint has its address. */
+  /** Whether another endpoint answers at its address. */
   isReplaced = false;
-  /** Its data centre is evacuated. */
+  /** Whether its data centre is evacuated. */
   isEvacuated = false;
-  /** Until when it is cold, as its heartbeats say. */
+  /** Time until which it is cold, according to its heartbeats. */
   coldUntil = 0;
-  /** Until when it may be cold, whatever its heartbeats said before. */
+  /** Time until which it counts as cold regardless of earlier heartbeats. */
   assumedColdUntil = 0;
-  /** What it bears while it is cold; absent where its service never is. */
+  /** Limits while it is cold; absent if endpoints of its service are never
+   * cold. */
   cold?: configurations.ColdTraits;
-  /** Calls of this host under way. */
+  /** Calls of this host in flight. */
   inFlight = 0;
-  /** Prompt tokens sent by this host whose first event has not come. */
+  /** Prompt tokens sent by this host that await their first event. */
   backlog = 0;
-  /** Mean of the times of good calls. */
+  /** Moving average of the durations of answered calls, in milliseconds. */
   meanDuration = 0;
-  /** Part of the calls that went well, lately. */
+  /** Moving average of the success of calls, from 0 to 1. */
   successRate = 1;
-  #failures = 0;
-  #rest = FIRST_REST;
-  #restUntil = 0;
-  #goodAt = -Infinity;
-  #load?: protocol.ReportedLoad;
-  #loadAt = -Infinity;
+  #consecutiveFailures = 0;
+  #ejectionTime = MIN_EJECTION_MS;
+  #ejectedUntil = 0;
+  #succeededAt = -Infinity;
+  #load?: protocols.ReportedLoad;
+  #loadReportedAt = -Infinity;
   #delay = 0;
-  #delayAt = 0;
+  #delayUpdatedAt = 0;
 
   private constructor(
     identity: Identity,
@@ -112,23 +117,24 @@
     return new Endpoint(identity, engine);
   }
 
-  /** What it has read, for an engine. */
-  get cachedPrefixes(): promptMemory.CachedPrefixes | undefined {
+  /** Estimate of its prefix cache; undefined for an endpoint without
+   * prompts. */
+  get cachedPrefixes(): cachedPrefixes.CachedPrefixes | undefined {
     return this.engine?.cachedPrefixes;
   }
 
-  /** Prompt tokens that it fetches in a millisecond, where it fetches any. */
+  /** Prompt tokens per millisecond that it fetches; undefined if it can't. */
   get fetchRate(): number | undefined {
     return this.engine?.fetchRate;
   }
 
-  get #firstEvent(): firstEvents.FirstEventLatency {
-    return this.engine?.firstEventLatency ?? this.#ownFirstEvent;
+  get #latency(): firstEventLatencies.FirstEventLatency {
+    return this.engine?.firstEventLatency ?? this.#ownLatency;
   }
 
-  /** What it has to do before the first event of a prompt of which it must read
-   * so many tokens. */
-  pendingWork(tokens: number, now: number): firstEvents.PendingWork {
+  /** Work before the first event of a prompt with `tokens` tokens to prefill,
+   * from all hosts. */
+  pendingWork(tokens: number, now: number): firstEventLatencies.PendingWork {
     const others = this.remoteLoad.total(now);
     return {
       tokens: this.backlog + others.tokens + tokens,
@@ -136,105 +142,108 @@
     };
   }
 
-  /** Milliseconds after which it should give that event, if nothing else delays
-   * it. */
+  /** Expected milliseconds until that event, without other delays. */
   predictFirstEvent(tokens: number, now: number): number {
-    return this.#firstEvent.predict(this.pendingWork(tokens, now));
+    return this.#latency.predict(this.pendingWork(tokens, now));
   }
 
-  /** Milliseconds since its last good answer. */
+  /** Milliseconds since the last successful call. */
   sinceSuccess(now: number): number {
-    return now - this.#goodAt;
+    return now - this.#succeededAt;
   }
 
-  /** Whether it is there, by its heartbeats or by its calls. */
+  /** Whether heartbeats or recent calls show it to be alive. */
   isAlive(now: number): boolean {
-    return !this.isSilent || this.sinceSuccess(now) < TRUSTED;
+    return !this.isSilent || this.sinceSuccess(now) < CALL_LIVENESS_MS;
   }
 
-  /** Whether new calls may go there, be it well or not. */
+  /** Whether new calls may go there, regardless of its health. */
   get isAccepting(): boolean {
     return this.isReady && !this.isReplaced && !this.isEvacuated;
   }
 
-  /** Whether it takes calls and nothing speaks against it. */
+  /** Whether it accepts calls, is alive and is not ejected. */
   isHealthy(now: number): boolean {
     return this.isAccepting && this.isAlive(now) && !this.isEjected(now);
   }
 
-  /** Requests a second that all hosts together may send there, where it may be
-   * cold; undefined where it is not. */
+  /** Requests per second that all hosts together may send while it may be cold;
+   * undefined while it is not. */
   coldRate(now: number): number | undefined {
     const isCold = now < Math.max(this.coldUntil, this.assumedColdUntil);
     return isCold ? this.cold?.rate : undefined;
   }
 
-  /** Takes it for cold: it may have become so since its last heartbeat. */
+  /** Treats it as cold: it may have become so since its last heartbeat. */
   assumeCold(now: number): void {
     this.recordCold(this.cold?.time ?? 0, now);
   }
 
-  /** Notes that it is cold for so many milliseconds from now on. */
-  recordCold(length: number, now: number): void {
-    if (length > 0) this.assumedColdUntil = now + length;
+  /** Records that it is cold for `length` milliseconds from now. */
+  recordCold(duration: number, now: number): void {
+    if (duration > 0) this.assumedColdUntil = now + duration;
   }
 
-  /** Whether it is left alone for now. */
+  /** Whether it is ejected after consecutive failures. */
   isEjected(now: number): boolean {
-    return now < this.#restUntil;
-  }
-
-  /** Judges it by a call. `full` says that it lives and is busy. */
-  recordHealth(verdict: HealthSignal, now: number): void {
-    const isGood = verdict !== "bad";
-    this.successRate += GAIN * ((isGood ? 1 : 0) - this.successRate);
-    if (isGood) {
-      this.#failures = 0;
-      this.#rest = FIRST_REST;
-      this.#goodAt = now;
+    return now < this.#ejectedUntil;
+  }
+
+  /** Records the health signal of a call; "full" counts as a success. */
+  recordHealth(signal: HealthSignal, now: number): void {
+    const isSuccess = signal !== "bad";
+    this.successRate += AVERAGE_WEIGHT *
+      ((isSuccess ? 1 : 0) - this.successRate);
+    if (isSuccess) {
+      this.#consecutiveFailures = 0;
+      this.#ejectionTime = MIN_EJECTION_MS;
+      this.#succeededAt = now;
       return;
     }
-    this.#failures++;
-    if (this.#failures < FAILURES) return;
-    this.#restUntil = now + this.#rest;
-    this.#rest = Math.min(LAST_REST, 2 * this.#rest);
+    this.#consecutiveFailures++;
+    if (this.#consecutiveFailures < EJECTION_FAILURE_COUNT) return;
+    this.#ejectedUntil = now + this.#ejectionTime;
+    this.#ejectionTime = Math.min(MAX_EJECTION_MS, 2 * this.#ejectionTime);
   }
 
-  /** Notes how long a good call took. */
+  /** Records the duration of an answered call. */
   recordDuration(duration: number): void {
-    this.meanDuration += (this.meanDuration === 0 ? 1 : GAIN) *
+    this.meanDuration += (this.meanDuration === 0 ? 1 : AVERAGE_WEIGHT) *
       (duration - this.meanDuration);
   }
 
-  /** Notes the load that it has reported. */
-  recordLoad(load: protocol.ReportedLoad, now: number): void {
+  /** Records the load that it reports. */
+  recordLoad(load: protocols.ReportedLoad, now: number): void {
     this.#load = load;
-    this.#loadAt = now;
+    this.#loadReportedAt = now;
   }
 
-  /** Calls under way there: this host's, or more where it says so. */
+  /** Calls in flight there: this host's, or its recent own report if higher. */
   load(now: number): number {
-    if (this.#load === undefined || now - this.#loadAt > LOAD_AGE) {
+    if (
+      this.#load === undefined || now - this.#loadReportedAt > MAX_LOAD_AGE_MS
+    ) {
       return this.inFlight;
     }
     const { running, waiting } = this.#load;
     return Math.max(this.inFlight, running + waiting);
   }
 
-  /** Notes how long a first event took, and by how much that is more than the
-   * work before it explains. */
+  /** Records the time to a first event, and its delay beyond the time predicted
+   * from the work before it. */
   recordFirstEvent(
-    work: firstEvents.PendingWork,
+    work: firstEventLatencies.PendingWork,
     { took, now }: FirstEventTiming,
   ): void {
-    const delay = took - this.#firstEvent.predict(work);
-    this.#firstEvent.observe(work, took);
+    const delay = took - this.#latency.predict(work);
+    this.#latency.observe(work, took);
     this.#delay = (this.firstEventDelay(now) + Math.max(0, delay)) / 2;
-    this.#delayAt = now;
+    this.#delayUpdatedAt = now;
   }
 
-  /** Milliseconds that a first event is late by, as lately seen. */
+  /** Recent delay of first events beyond their prediction, in milliseconds. */
   firstEventDelay(now: number): number {
-    return this.#delay * 0.5 ** ((now - this.#delayAt) / DELAY_HALF);
+    return this.#delay *
+      0.5 ** ((now - this.#delayUpdatedAt) / DELAY_HALF_LIFE_MS);
   }
 }
--- a/src/gateway/endpoint_admission.ts
+++ b/src/gateway/endpoint_admission.ts
@@ -1,6 +1,7 @@
-/** Whether a request may go to an endpoint now: where no evacuation has begun,
- * within the rate limit that the
- * endpoint names, and as one that has crashed endpoints may go to any.
+/** Admission of a request to an endpoint: checks the rate limit that the
+ * endpoint announces, the quarantine of requests that crash endpoints, and that
+ * the endpoint still accepts calls, for instance because no evacuation has
+ * begun.
  * @module */
 
 import * as quarantine from "../quarantine/mod.ts";
@@ -9,140 +10,145 @@
 import type * as endpoints from "./endpoint.ts";
 import * as refusals from "./refusal.ts";
 
-/** Milliseconds after which a caller may come back at the latest, where it is
- * not known when its request is let run again. */
-const LONGEST_RETURN = 60_000;
-/** Milliseconds over which callers come back that a rate limit has refused. */
-const RETURN_SPREAD = 1000;
+/** Longest retry delay of a caller, in milliseconds; it bounds waits whose
+ * end is unknown. */
+const MAX_RETRY_DELAY_MS = 60_000;
+/** Milliseconds over which the retries of rate-limited callers are spread. */
+const RETRY_SPREAD_MS = 1000;
 
-/** Why a request may not go to an endpoint. */
+/** Why a request is not admitted to an endpoint. */
 export interface Denial {
   readonly reason: refusals.RefusalReason;
-  /** Whether no other endpoint may get it either. */
+  /** Whether no other endpoint would admit the request either. */
   readonly isFinal: boolean;
-  /** For the answer and the log line of the request. */
+  /** Details for the answer and the log line of the request. */
   readonly details: Readonly<Record<string, unknown>> & {
-    /** Seconds after which to come back. */
+    /** Seconds until a retry. */
     readonly retryAfter: number;
   };
 }
 
-type Needs = Pick<contexts.Context, "clock" | "random" | "guard" | "quotas">;
+type Dependencies = Pick<
+  contexts.Context,
+  "clock" | "random" | "guard" | "quotas"
+>;
 
-/** Admission of one request to endpoints. */
+/** Admits one request to endpoints. */
 export class EndpointAdmission {
-  readonly #needs: Needs;
+  readonly #dependencies: Dependencies;
   readonly #content: quarantine.fingerprints.RequestContent;
   #fingerprint?: string;
 
   private constructor(
-    needs: Needs,
+    dependencies: Dependencies,
     content: quarantine.fingerprints.RequestContent,
   ) {
-    this.#needs = needs;
+    this.#dependencies = dependencies;
     this.#content = content;
   }
 
   static create(
-    needs: Needs,
+    dependencies: Dependencies,
     content: quarantine.fingerprints.RequestContent,
   ): EndpointAdmission {
-    return new EndpointAdmission(needs, content);
+    return new EndpointAdmission(dependencies, content);
   }
 
-  /** What tells the request's content; absent while nothing has needed it. */
+  /** Fingerprint of the request's content; undefined until it is needed. */
   get fingerprint(): string | undefined {
     return this.#fingerprint;
   }
 
-  /** Why no endpoint may get the request, as far as this host knows. */
+  /** Why no endpoint would admit the request, by this host's own state. */
   denial(): Denial | undefined {
-    const { guard } = this.#needs;
+    const { guard } = this.#dependencies;
     if (guard.hasNoSuspects) return undefined;
-    const refusal = guard.refusal(this.#identify());
-    return refusal && denialOf(refusal, true);
+    const refusal = guard.refusal(this.#computeFingerprint());
+    return refusal && quarantineDenial(refusal, true);
   }
 
-  /** Asks whether the request may go to an endpoint, where that is needed;
-   * resolves with why there is none. */
+  /** Acquires admission of the request to an endpoint; resolves with a denial
+   * if there is none. */
   async acquire(
     endpoint: endpoints.Endpoint,
-    until: number,
+    deadline: number,
   ): Promise<Denial | undefined> {
     const { id } = endpoint.identity;
-    const denial = await this.#askLimit(id) ?? await this.#askGuard(id, until);
+    const denial = await this.#acquireQuota(id) ??
+      await this.#passQuarantine(id, deadline);
     if (denial !== undefined || endpoint.isAccepting) return denial;
     this.release();
-    return closed(id);
+    return closedDenial(id);
   }
 
-  /** Notes that a call that was admitted is not made. */
+  /** Releases an admission whose call is not made. */
   release(): void {
-    const { guard } = this.#needs;
-    if (!guard.hasNoSuspects) guard.endRun(this.#identify());
+    const { guard } = this.#dependencies;
+    if (!guard.hasNoSuspects) guard.endRun(this.#computeFingerprint());
   }
 
-  /** Says what a call shows of the request: whether it crashes endpoints. */
+  /** Records the outcome of an admitted call, which shows whether the request
+   * crashes endpoints. */
   recordOutcome(endpoint: string, outcome: attempts.Outcome): void {
-    const { guard } = this.#needs;
+    const { guard } = this.#dependencies;
     if (attempts.mayHaveCrashed(outcome)) {
-      guard.recordCrash(this.#identify(), endpoint);
+      guard.recordCrash(this.#computeFingerprint(), endpoint);
     } else if (!guard.hasNoSuspects) {
       const isAnswered = outcome.type !== "failed";
-      if (isAnswered) guard.recordSuccess(this.#identify());
-      else guard.endRun(this.#identify());
+      if (isAnswered) guard.recordSuccess(this.#computeFingerprint());
+      else guard.endRun(this.#computeFingerprint());
     }
   }
 
-  async #askLimit(endpoint: string): Promise<Denial | undefined> {
-    const { quotas, random } = this.#needs;
+  async #acquireQuota(endpoint: string): Promise<Denial | undefined> {
+    const { quotas, random } = this.#dependencies;
     if (!quotas.isLimited(endpoint)) return undefined;
     const wait = await quotas.acquire(endpoint);
     if (wait === 0) return undefined;
-    const spread = wait + random.next() * RETURN_SPREAD;
-    const about = { endpoint, retryAfter: returnAfter(spread) };
-    return { reason: "rate-limited", isFinal: false, details: about };
+    const spread = wait + random.next() * RETRY_SPREAD_MS;
+    const details = { endpoint, retryAfter: retryDelay(spread) };
+    return { reason: "rate-limited", isFinal: false, details };
   }
 
-  async #askGuard(
+  async #passQuarantine(
     endpoint: string,
-    until: number,
+    deadline: number,
   ): Promise<Denial | undefined> {
-    const { guard, clock } = this.#needs;
+    const { guard, clock } = this.#dependencies;
     if (guard.hasNoSuspects) return undefined;
-    const fingerprint = this.#identify();
-    const remaining = until - clock.now();
+    const fingerprint = this.#computeFingerprint();
+    const remaining = deadline - clock.now();
     const admission = await guard.admit({ fingerprint, endpoint, remaining });
     if (admission.type === "admitted") return undefined;
-    return denialOf(admission, admission.type === "refused");
+    return quarantineDenial(admission, admission.type === "refused");
   }
 
-  #identify(): string {
+  #computeFingerprint(): string {
     return this.#fingerprint ??= quarantine.fingerprints.of(this.#content);
   }
 }
 
-/** An endpoint that was closed while it was asked for. */
-function closed(endpoint: string): Denial {
+/** Denial for an endpoint that stopped accepting calls during the admission. */
+function closedDenial(endpoint: string): Denial {
   const { retryAfter = 0 } = refusals.REFUSALS.evacuated;
-  const about = { endpoint, retryAfter };
-  return { reason: "evacuated", isFinal: false, details: about };
+  const details = { endpoint, retryAfter };
+  return { reason: "evacuated", isFinal: false, details };
 }
 
-function denialOf(
+function quarantineDenial(
   { crashes, wait }: quarantine.Refusal,
   isFinal: boolean,
 ): Denial {
-  const isSure = crashes >= quarantine.QUARANTINE_CRASH_COUNT;
-  const reason = isSure ? "quarantined" : "suspected";
+  const isQuarantined = crashes >= quarantine.QUARANTINE_CRASH_COUNT;
+  const reason = isQuarantined ? "quarantined" : "suspected";
   return {
     reason,
     isFinal,
-    details: { crashes, retryAfter: returnAfter(wait) },
+    details: { crashes, retryAfter: retryDelay(wait) },
   };
 }
 
-/** Seconds for so many milliseconds. */
-function returnAfter(wait: number): number {
-  return Math.round(Math.min(LONGEST_RETURN, wait)) / 1000;
+/** Retry delay in seconds for a wait in milliseconds. */
+function retryDelay(wait: number): number {
+  return Math.round(Math.min(MAX_RETRY_DELAY_MS, wait)) / 1000;
 }
--- a/src/gateway/endpoint_choice.ts
+++ b/src/gateway/endpoint_choice.ts
@@ -1,31 +1,34 @@
-/** Which endpoint a call goes to.
+/** Load balancing: chooses the endpoint of a call from the expected latency and
+ * the health of each.
  * @module */
 
 import type * as runtime from "../runtime/mod.ts";
-import type * as endpoint from "./endpoint.ts";
-import type * as protocol from "./protocol.ts";
-import type * as firstEvents from "./first_event_latency.ts";
-import * as lacks from "./cache_miss.ts";
+import type * as endpoints from "./endpoint.ts";
+import type * as protocols from "./protocol.ts";
+import type * as firstEventLatencies from "./first_event_latency.ts";
+import * as cacheMisses from "./cache_miss.ts";
 
-/** Part of the time of reading that a fetch counts for beside its own: it is
- * paid for, and what was believed of the other engine may be gone. In simulated
- * bursts .1 serves .011 less of the worth, .6 .005 less; with faults .1 and .3
- * are alike, and .6 serves .015 more. */
-const FETCH_SHARE = 0.3;
-/** Milliseconds within which engines count as equal; chance decides. */
-const NEAR = 10;
-/** Milliseconds that a call in another data centre takes longer. */
-const FAR = 3;
-/** Milliseconds by which another engine must be better than the one that the
- * stages were made near: results then cross data centres. */
-const MOVED = 30;
-/** Milliseconds for each request beyond an engine's slots: it waits for the end
- * of a stream. */
-const FULL_DELAY = 1000;
-/** Power by which failures lower an endpoint's chance. */
-const HEALTH_POWER = 3;
+/** Part of the prefill time saved by a fetch that is added to the cost of an
+ * engine that fetches: a fetch has a cost of its own, and the parts may no
+ * longer be in the other engine's cache. In bursts .1 lowers the value served
+ * by .011 and .6 by .005; with faults .1 and .3 serve the same and .6 serves
+ * .015 more. */
+const FETCH_COST_RATIO = 0.3;
+/** Random milliseconds added to each engine's cost, so that engines that differ
+ * by less share the load. */
+const TIE_BREAK_MS = 10;
+/** Additional milliseconds of a call to another data centre. */
+const REMOTE_LATENCY_MS = 3;
+/** Milliseconds by which an engine must be better than the planned one, near
+ * which the stages ran: its inputs may have to cross data centres. */
+const MOVE_COST_MS = 30;
+/** Milliseconds of delay for each request beyond an engine's slots: it queues
+ * until a stream ends. */
+const QUEUE_DELAY_MS = 1000;
+/** Exponent of the success rate by which an endpoint's cost is divided. */
+const HEALTH_EXPONENT = 3;
 
-/** What a choice goes by. */
+/** Inputs of a choice beside the candidates. */
 export interface ChoiceContext {
   readonly now: number;
   readonly random: runtime.Random;
@@ -33,93 +36,105 @@
   readonly dataCentre: string;
 }
 
-/** What the choice of an engine goes by. */
+/** Inputs of the choice of an engine beside the candidates. */
 export interface EngineChoiceContext extends ChoiceContext {
-  /** The engine that was meant when the request came: its stages were made
-   * near it. */
-  readonly planned?: endpoint.Endpoint;
-  /** Engines that were called for the request before, by their ids; only where
-   * there is no other one they are called again. */
+  /** Engine that was chosen when the request arrived; its stages ran near
+   * it. */
+  readonly planned?: endpoints.Endpoint;
+  /** Ids of the engines already called for the request; they are called again
+   * only if there is no other. */
   readonly tried?: readonly string[];
 }
 
-/** An engine, and how many milliseconds its first event is expected to take. */
+/** A chosen engine, and its expected milliseconds to the first event. */
 export interface EngineChoice {
-  readonly engine: endpoint.Endpoint;
+  readonly engine: endpoints.Endpoint;
   readonly firstEventTime: number;
-  /** What it lacks of the prompt. */
-  readonly cacheMiss: lacks.CacheMiss;
-  /** All that it has to do before that event. */
-  readonly pendingWork: firstEvents.PendingWork;
+  /** Prompt tokens missing from its prefix cache. */
+  readonly cacheMiss: cacheMisses.CacheMiss;
+  /** Its work before that event, this prompt included. */
+  readonly pendingWork: firstEventLatencies.PendingWork;
 }
 
-/** Endpoint for a plain call: the one that should answer first. */
+/** Chooses the endpoint of a call without a prompt: the one with the earliest
+ * expected answer. */
 export function chooseEndpoint(
-  candidates: readonly endpoint.Endpoint[],
+  candidates: readonly endpoints.Endpoint[],
   { now, random, dataCentre }: ChoiceContext,
-): endpoint.Endpoint | undefined {
-  return least(candidates, (each) => {
-    const { slots, dataCentre: place } = each.identity;
-    const work = each.meanDuration || 1;
+): endpoints.Endpoint | undefined {
+  return minBy(candidates, (each) => {
+    const { slots, dataCentre: endpointDataCentre } = each.identity;
+    const duration = each.meanDuration || 1;
     const queue = Math.max(0, each.load(now) + 1 - slots) / slots;
-    const busy = each.load(now) / slots;
-    const far = place === dataCentre ? 0 : FAR;
-    const time = work * (1 + queue + busy) + far;
-    return time / Math.max(0.01, each.successRate ** HEALTH_POWER) +
-      random.next() * FAR;
+    const utilization = each.load(now) / slots;
+    const networkTime = endpointDataCentre === dataCentre
+      ? 0
+      : REMOTE_LATENCY_MS;
+    const time = duration * (1 + queue + utilization) + networkTime;
+    return time / Math.max(0.01, each.successRate ** HEALTH_EXPONENT) +
+      random.next() * REMOTE_LATENCY_MS;
   });
 }
 
-/** Engine for a prompt: the one with the earliest first token, given what each
- * has read, what waits there and what else runs there. */
+/** Chooses the engine of a prompt: the one with the earliest expected first
+ * event, given its prefix cache, its queue and its running streams. */
 export function chooseEngine(
-  engines: readonly endpoint.Endpoint[],
-  prompt: protocol.Prompt,
+  engines: readonly endpoints.Endpoint[],
+  prompt: protocols.Prompt,
   { now, random, planned, tried = [] }: EngineChoiceContext,
 ): EngineChoice | undefined {
-  const lacking = lacks.CacheMisses.of(engines, prompt);
-  const fresh = engines.filter(({ identity }) => !tried.includes(identity.id));
-  const engine = least(fresh.length > 0 ? fresh : engines, (each) => {
-    const lack = lacking.at(each);
-    const time = firstEvent(each, lack, now) + paidFor(each, lack, now);
-    const moved = planned === undefined || planned === each ? 0 : MOVED;
+  const misses = cacheMisses.CacheMisses.of(engines, prompt);
+  const untried = engines.filter(({ identity }) =>
+    !tried.includes(identity.id)
+  );
+  const engine = minBy(untried.length > 0 ? untried : engines, (each) => {
+    const miss = misses.at(each);
+    const time = firstEventTime(each, miss, now) + fetchCost(each, miss, now);
+    const moveCost = planned === undefined || planned === each
+      ? 0
+      : MOVE_COST_MS;
     const streams = each.inFlight + each.remoteLoad.total(now).streams;
-    const full = Math.max(0, streams + 1 - each.identity.slots);
-    return (time + moved + random.next() * NEAR) /
-        Math.max(0.01, each.successRate ** HEALTH_POWER) + full * FULL_DELAY;
+    const overflow = Math.max(0, streams + 1 - each.identity.slots);
+    return (time + moveCost + random.next() * TIE_BREAK_MS) /
+        Math.max(0.01, each.successRate ** HEALTH_EXPONENT) +
+      overflow * QUEUE_DELAY_MS;
   });
   if (engine === undefined) return undefined;
-  const lack = lacking.at(engine);
+  const cacheMiss = misses.at(engine);
   return {
     engine,
-    firstEventTime: firstEvent(engine, lack, now),
-    cacheMiss: lack,
-    pendingWork: engine.pendingWork(lack.prefillTokens, now),
+    firstEventTime: firstEventTime(engine, cacheMiss, now),
+    cacheMiss,
+    pendingWork: engine.pendingWork(cacheMiss.prefillTokens, now),
   };
 }
 
-/** Milliseconds until an engine's first event for a prompt. */
-function firstEvent(
-  engine: endpoint.Endpoint,
-  { prefillTokens: read, fetchTime }: lacks.CacheMiss,
+/** Expected milliseconds until an engine's first event for a prompt. */
+function firstEventTime(
+  engine: endpoints.Endpoint,
+  { prefillTokens, fetchTime }: cacheMisses.CacheMiss,
   now: number,
 ): number {
-  return engine.predictFirstEvent(read, now) + fetchTime +
+  return engine.predictFirstEvent(prefillTokens, now) + fetchTime +
     engine.firstEventDelay(now);
 }
 
-/** Milliseconds that a fetch counts for in a choice. */
-function paidFor(
-  engine: endpoint.Endpoint,
-  { prefillTokens: read, fetchTokens: fetched }: lacks.CacheMiss,
+/** Milliseconds added to the cost of an engine that fetches. */
+function fetchCost(
+  engine: endpoints.Endpoint,
+  { prefillTokens, fetchTokens }: cacheMisses.CacheMiss,
   now: number,
 ): number {
-  if (fetched === 0) return 0;
-  const asRead = engine.predictFirstEvent(read + fetched, now);
-  return FETCH_SHARE * (asRead - engine.predictFirstEvent(read, now));
+  if (fetchTokens === 0) return 0;
+  const withoutFetch = engine.predictFirstEvent(
+    prefillTokens + fetchTokens,
+    now,
+  );
+  return FETCH_COST_RATIO *
+    (withoutFetch - engine.predictFirstEvent(prefillTokens, now));
 }
 
-function least<T>(
+function minBy<T>(
   items: readonly T[],
   cost: (item: T) => number,
 ): T | undefined {
--- a/src/gateway/endpoint_pool.ts
+++ b/src/gateway/endpoint_pool.ts
@@ -1,4 +1,4 @@
-/** The endpoints that a host knows, by service.
+/** Pool of the endpoints that a host knows, by service.
  * @module */
 
 import type * as configurations from "../configuration/mod.ts";
@@ -6,93 +6,99 @@
 import type * as endpoints from "../endpoints/mod.ts";
 import type * as schema from "../schema/fleet_types.ts";
 import * as endpoint from "./endpoint.ts";
-import * as firstEvents from "./first_event_latency.ts";
-import * as promptMemory from "./cached_prefixes.ts";
+import * as firstEventLatencies from "./first_event_latency.ts";
+import * as cachedPrefixes from "./cached_prefixes.ts";
 
-/** An endpoint that is no more. */
+/** An endpoint incarnation that has ended. */
 export interface EndedEndpoint {
   readonly identity: endpoint.Identity;
-  /** Whether it has started again under its name, so that what was under way
-   * is lost. */
+  /** Whether the endpoint has restarted under the same name, so that its calls
+   * in flight are lost. */
   readonly isRestarted: boolean;
 }
 
-/** Endpoints by service, each incarnation an endpoint of its own; changed in
+/** Endpoints by service; each incarnation is a separate endpoint. Changed in
  * place. */
 export class EndpointPool {
   readonly #byId = new Map<string, endpoint.Endpoint>();
-  readonly #byAddress = new Map<string, string>();
+  readonly #dataCentres = new Map<string, string>();
   readonly #byService = new Map<string, endpoint.Endpoint[]>();
-  readonly #firstEvents = new Map<string, firstEvents.FirstEventLatency>();
-  #evacuated: ReadonlySet<string> = new Set();
+  readonly #latencies = new Map<
+    string,
+    firstEventLatencies.FirstEventLatency
+  >();
+  #evacuatedDataCentres: ReadonlySet<string> = new Set();
   #revision = 0;
 
   static create(): EndpointPool {
     return new EndpointPool();
   }
 
-  /** Follows a roster and what is known of services now; returns who has
-   * ended. */
+  /** Updates the endpoints from a roster and the configured services; returns
+   * the endpoints that have ended. */
   update(
     entries: Iterable<endpoints.RosterEntry>,
     service: (name: string) => configurations.Service | undefined,
   ): EndedEndpoint[] {
-    const seen = new Set<string>();
-    const names = new Set<string>();
+    const currentIds = new Set<string>();
+    const currentNames = new Set<string>();
     const newest = newestByAddress(entries);
     for (const entry of newest.values()) {
       const id = incarnations.keyOf(entry);
-      seen.add(id);
-      names.add(entry.id);
-      const known = this.#byId.get(id) ?? this.#add(entry);
-      this.#followService(known, service(entry.service));
-      known.isReady = entry.state === "ready";
-      known.isSilent = entry.isSilent;
-      known.coldUntil = entry.coldUntil;
+      currentIds.add(id);
+      currentNames.add(entry.id);
+      const updated = this.#byId.get(id) ?? this.#add(entry);
+      this.#applyService(updated, service(entry.service));
+      updated.isReady = entry.state === "ready";
+      updated.isSilent = entry.isSilent;
+      updated.coldUntil = entry.coldUntil;
     }
-    const ended = [...this.#byId].filter(([id]) => !seen.has(id));
+    const ended = [...this.#byId].filter(([id]) => !currentIds.has(id));
     return ended.map(([id, known]) => {
       known.isReady = false;
       this.#remove(id, known);
       const { identity } = known;
-      return { identity, isRestarted: names.has(identity.name) };
+      return { identity, isRestarted: currentNames.has(identity.name) };
     });
   }
 
-  /** Follows which data centres are evacuated, and which were taken back just
-   * now: their endpoints may have become cold since they were heard. */
+  /** Sets the evacuated data centres. Endpoints of those just returned to
+   * service count as cold: they may have become so since their last
+   * heartbeat. */
   setEvacuated(
     dataCentres: Iterable<string>,
-    { returned, now }: { returned: readonly string[]; now: number },
+    { returned: restored, now }: { returned: readonly string[]; now: number },
   ): void {
-    this.#evacuated = new Set(dataCentres);
+    this.#evacuatedDataCentres = new Set(dataCentres);
     for (const each of this.#byId.values()) {
-      this.#followEvacuation(each);
-      if (returned.includes(each.identity.dataCentre)) each.assumeCold(now);
+      this.#applyEvacuation(each);
+      if (restored.includes(each.identity.dataCentre)) each.assumeCold(now);
     }
   }
 
-  /** Another number whenever an endpoint has come or ended. */
+  /** Number that changes whenever an endpoint is added or removed. */
   get revision(): number {
     return this.#revision;
   }
 
+  /** The endpoint of an incarnation. */
   get(id: string): endpoint.Endpoint | undefined {
     return this.#byId.get(id);
   }
 
-  /** Notes what another host has engines do, and what they have read for it. */
+  /** Records another host's load updates: its load on engines, the prompt parts
+   * that they now have in cache, and the outcomes of its calls. */
   recordRemoteLoad(
     host: string,
-    uses: readonly schema.EngineUse[],
+    loads: readonly schema.EngineUse[],
     now: number,
   ): void {
-    for (const use of uses) {
-      const engine = this.#byId.get(use.engine);
-      engine?.remoteLoad.record(host, use, now);
-      use.read.forEach((parts) => engine?.cachedPrefixes?.insert({ parts }));
-      use.verdicts?.forEach((verdict) => engine?.recordHealth(verdict, now));
-      use.firsts?.forEach(({ work, took }) =>
+    for (const load of loads) {
+      const engine = this.#byId.get(load.engine);
+      engine?.remoteLoad.record(host, load, now);
+      load.read.forEach((parts) => engine?.cachedPrefixes?.insert({ parts }));
+      load.verdicts?.forEach((signal) => engine?.recordHealth(signal, now));
+      load.firsts?.forEach(({ work, took }) =>
         engine?.recordFirstEvent(work, { took, now })
       );
     }
@@ -100,20 +106,21 @@
 
   /** Data centre of the endpoint at an address. */
   dataCentreOf(address: string): string | undefined {
-    return this.#byAddress.get(address);
+    return this.#dataCentres.get(address);
   }
 
-  /** All endpoints of a service that are known. */
+  /** All known endpoints of a service. */
   endpointsOf(service: string): readonly endpoint.Endpoint[] {
     return this.#byService.get(service) ?? [];
   }
 
-  /** Endpoints that take new requests, the sound ones where there are any. */
+  /** Endpoints of a service that accept calls; only the healthy ones if there
+   * are any. */
   usable(service: string, now: number): readonly endpoint.Endpoint[] {
     return usableOf(this.endpointsOf(service), now);
   }
 
-  /** State for people. */
+  /** State for diagnostics. */
   dump(now: number): unknown {
     return [...this.#byId.values()].map((each) => ({
       ...each.identity,
@@ -132,78 +139,81 @@
     const { id: name, service, address, dataCentre, slots } = entry;
     const id = incarnations.keyOf(entry);
     this.#revision++;
-    this.#byAddress.set(address, dataCentre);
+    this.#dataCentres.set(address, dataCentre);
     const identity = { id, name, service, address, dataCentre, slots };
     const added = endpoint.Endpoint.create(identity);
-    this.#followEvacuation(added);
+    this.#applyEvacuation(added);
     this.#byId.set(id, added);
     this.#byService.set(service, [...this.endpointsOf(service), added]);
     return added;
   }
 
-  /** An endpoint and its service become known in any order, and a service's
-   * figures change; what an engine has read is kept through it. One whose
-   * service is not known is what it was. */
-  #followService(
-    known: endpoint.Endpoint,
+  /** Applies the configuration of its service to an endpoint. Endpoint and
+   * service may become known in either order, and the service's values may
+   * change; the estimate of the prefix cache is kept. An endpoint whose service
+   * is unknown is left unchanged. */
+  #applyService(
+    updated: endpoint.Endpoint,
     service: configurations.Service | undefined,
   ): void {
     if (service === undefined) return;
-    known.cold = service.cold;
+    updated.cold = service.cold;
     const { engine } = service;
     if (engine === undefined) {
-      known.engine = undefined;
+      updated.engine = undefined;
       return;
     }
     const { tokens, fetchRate } = engine;
-    const memory = known.cachedPrefixes ??
-      promptMemory.CachedPrefixes.create(tokens);
-    memory.resize(tokens);
-    const firstEvent = this.#firstEvent(service.name);
-    known.engine = {
+    const prefixes = updated.cachedPrefixes ??
+      cachedPrefixes.CachedPrefixes.create(tokens);
+    prefixes.resize(tokens);
+    const firstEventLatency = this.#latencyOf(service.name);
+    updated.engine = {
       fetchRate,
-      cachedPrefixes: memory,
-      firstEventLatency: firstEvent,
+      cachedPrefixes: prefixes,
+      firstEventLatency,
     };
   }
 
-  #followEvacuation(known: endpoint.Endpoint): void {
-    known.isEvacuated = this.#evacuated.has(known.identity.dataCentre);
+  #applyEvacuation(updated: endpoint.Endpoint): void {
+    updated.isEvacuated = this.#evacuatedDataCentres.has(
+      updated.identity.dataCentre,
+    );
   }
 
-  #firstEvent(service: string): firstEvents.FirstEventLatency {
-    const known = this.#firstEvents.get(service);
+  #latencyOf(service: string): firstEventLatencies.FirstEventLatency {
+    const known = this.#latencies.get(service);
     if (known !== undefined) return known;
-    const made = firstEvents.FirstEventLatency.create();
-    this.#firstEvents.set(service, made);
-    return made;
+    const created = firstEventLatencies.FirstEventLatency.create();
+    this.#latencies.set(service, created);
+    return created;
   }
 
   #remove(id: string, { identity }: endpoint.Endpoint): void {
     this.#revision++;
     this.#byId.delete(id);
-    const rest = this.endpointsOf(identity.service).filter((each) =>
+    const remaining = this.endpointsOf(identity.service).filter((each) =>
       each.identity.id !== id
     );
-    this.#byService.set(identity.service, rest);
+    this.#byService.set(identity.service, remaining);
   }
 }
 
-/** Those of some endpoints that take new requests, the sound ones where there
- * are any. */
+/** Those of the given endpoints that accept calls; only the live ones, and of
+ * these only those not ejected, if there are any. */
 export function usableOf(
   endpoints: readonly endpoint.Endpoint[],
   now: number,
 ): readonly endpoint.Endpoint[] {
-  const ready = endpoints.filter((each) => each.isAccepting);
-  const heard = ready.filter((each) => each.isAlive(now));
-  const there = heard.length > 0 ? heard : ready;
-  const sound = there.filter((each) => !each.isEjected(now));
-  return sound.length > 0 ? sound : there;
+  const accepting = endpoints.filter((each) => each.isAccepting);
+  const alive = accepting.filter((each) => each.isAlive(now));
+  const candidates = alive.length > 0 ? alive : accepting;
+  const healthy = candidates.filter((each) => !each.isEjected(now));
+  return healthy.length > 0 ? healthy : candidates;
 }
 
-/** Of the endpoints that were heard at one address, the one heard last: the
- * others have ended, whether they have said so or not. */
+/** For each address, the entry heard from last: the others at that address have
+ * ended, announced or not. */
 function newestByAddress(
   entries: Iterable<endpoints.RosterEntry>,
 ): Map<string, endpoints.RosterEntry> {
--- a/src/gateway/endpoint_pool_test.ts
+++ b/src/gateway/endpoint_pool_test.ts
@@ -13,35 +13,35 @@
   parts: PARTS,
 };
 
-function entryOf(change: Partial<endpoints.RosterEntry>) {
+function createEntry(change: Partial<endpoints.RosterEntry>) {
   return fixture.entry({ service: "models", ...change });
 }
 
-/** A pool that follows what is told of one engine. */
-function poolOf(change: Partial<endpoints.RosterEntry>) {
+/** A pool with one engine, and a function that updates its roster entry. */
+function createPool(change: Partial<endpoints.RosterEntry>) {
   const pool = gateway.EndpointPool.create();
-  const follow = (next: Partial<endpoints.RosterEntry>) =>
-    pool.update([entryOf(next)], serviceOf({}));
-  follow(change);
-  return { pool, follow, engine: () => pool.endpointsOf("models")[0] };
+  const update = (next: Partial<endpoints.RosterEntry>) =>
+    pool.update([createEntry(next)], createService({}));
+  update(change);
+  return { pool, update, engine: () => pool.endpointsOf("models")[0] };
 }
 
-test("nothing that is believed of an engine outlives it", (t) => {
-  const { follow, engine } = poolOf({ born: 100 });
-  const former = engine();
-  former.cachedPrefixes!.insert(PROMPT);
-  for (let count = 0; count < 3; count++) former.recordHealth("bad", 10);
-  former.recordLoad({ running: 9, waiting: 9, slots: 4 }, 10);
-  former.remoteLoad.record("host", useOf(former.identity.id), 10);
-  former.coldUntil = 500;
+test("no state of an engine survives its incarnation", (t) => {
+  const { update, engine } = createPool({ born: 100 });
+  const previous = engine();
+  previous.cachedPrefixes!.insert(PROMPT);
+  for (let count = 0; count < 3; count++) previous.recordHealth("bad", 10);
+  previous.recordLoad({ running: 9, waiting: 9, slots: 4 }, 10);
+  previous.remoteLoad.record("host", createLoad(previous.identity.id), 10);
+  previous.coldUntil = 500;
   t.true(
-    former.isEjected(20) && former.cachedPrefixes!.cachedTokens(PROMPT) > 0,
+    previous.isEjected(20) && previous.cachedPrefixes!.cachedTokens(PROMPT) > 0,
   );
 
-  const [ended] = follow({ born: 200 });
+  const [ended] = update({ born: 200 });
   const next = engine();
-  t.like(ended, { identity: former.identity, isRestarted: true });
-  t.false(former.isReady);
+  t.like(ended, { identity: previous.identity, isRestarted: true });
+  t.false(previous.isReady);
   t.is(next.cachedPrefixes!.cachedTokens(PROMPT), 0);
   t.false(next.isEjected(20));
   t.is(next.successRate, 1);
@@ -50,36 +50,36 @@
   t.is(next.coldUntil, 0);
 });
 
-test("what another host says of a former incarnation is not taken for the next", (t) => {
-  const { pool, follow, engine } = poolOf({ born: 100 });
-  const former = engine().identity.id;
-  follow({ born: 200 });
-  pool.recordRemoteLoad("host", [useOf(former)], 10);
+test("a load update for an earlier incarnation does not apply to the next", (t) => {
+  const { pool, update, engine } = createPool({ born: 100 });
+  const previous = engine().identity.id;
+  update({ born: 200 });
+  pool.recordRemoteLoad("host", [createLoad(previous)], 10);
   t.is(engine().remoteLoad.total(10).tokens, 0);
   t.is(engine().cachedPrefixes!.cachedTokens(PROMPT), 0);
 });
 
-test("an engine that starts again keeps the name that calls are meant for", (t) => {
-  const { follow, engine } = poolOf({ born: 100 });
+test("an engine that restarts keeps the name that calls are addressed to", (t) => {
+  const { update, engine } = createPool({ born: 100 });
   const { id, name } = engine().identity;
-  follow({ born: 200 });
+  update({ born: 200 });
   t.is(engine().identity.name, name);
   t.not(engine().identity.id, id);
 });
 
-// What was seen: an engine that was heard before the configuration stayed an
-// endpoint of unknown kind until it ended, whose first events were expected as
-// early as those of an idle one; a fifth of all streams went to one of 55.
-test("an engine that is heard before its service is known becomes one once it is", (t) => {
+// Guards against an engine that is known before the configuration and stays an
+// endpoint without prompts: its first events were predicted as early as those
+// of an idle engine, and one of 55 engines received a fifth of all streams.
+test("an endpoint known before its service becomes an engine with the service", (t) => {
   const pool = gateway.EndpointPool.create();
   const entries = [1, 2].map((number) =>
-    entryOf({ id: `i-${number}`, address: `10.0.0.${number}:80` })
+    createEntry({ id: `i-${number}`, address: `10.0.0.${number}:80` })
   );
   pool.update(entries.slice(0, 1), () => undefined);
   const [early] = pool.endpointsOf("models");
   t.is(early.cachedPrefixes, undefined);
 
-  pool.update(entries, serviceOf({ fetchRate: 2000 }));
+  pool.update(entries, createService({ fetchRate: 2000 }));
   const [known, other] = pool.endpointsOf("models");
   t.is(known, early);
   t.is(known.fetchRate, 2000);
@@ -92,76 +92,76 @@
   t.is(known.predictFirstEvent(6000, 20), other.predictFirstEvent(6000, 20));
 });
 
-test("an engine follows its service's figures, and keeps what it has read", (t) => {
+test("an engine follows changes of its service and keeps its prefix cache", (t) => {
   const pool = gateway.EndpointPool.create();
-  pool.update([entryOf({})], serviceOf({ fetchRate: 2000 }));
+  pool.update([createEntry({})], createService({ fetchRate: 2000 }));
   const [engine] = pool.endpointsOf("models");
   engine.cachedPrefixes!.insert(PROMPT);
-  pool.update([entryOf({})], serviceOf({ fetchRate: 500 }));
+  pool.update([createEntry({})], createService({ fetchRate: 500 }));
   t.is(engine.fetchRate, 500);
   t.is(engine.cachedPrefixes!.cachedTokens(PROMPT), 6100);
 
-  pool.update([entryOf({})], serviceOf({ tokens: 1000 }));
+  pool.update([createEntry({})], createService({ tokens: 1000 }));
   t.is(engine.cachedPrefixes!.cachedTokens(PROMPT), 0);
   t.is(engine.fetchRate, undefined);
 });
 
-test("an endpoint whose service is no engine any more is a plain one", (t) => {
+test("an endpoint whose service no longer serves prompts is not an engine", (t) => {
   const pool = gateway.EndpointPool.create();
-  pool.update([entryOf({})], serviceOf({}));
+  pool.update([createEntry({})], createService({}));
   const plain = { name: "models", connections: 10 };
-  pool.update([entryOf({})], () => plain);
+  pool.update([createEntry({})], () => plain);
   t.is(pool.endpointsOf("models")[0].cachedPrefixes, undefined);
 });
 
-test("an engine whose service is dropped from the configuration keeps its figures", (t) => {
+test("an engine whose service is removed from the configuration keeps its state", (t) => {
   const pool = gateway.EndpointPool.create();
-  pool.update([entryOf({})], serviceOf({}));
-  pool.update([entryOf({})], () => undefined);
+  pool.update([createEntry({})], createService({}));
+  pool.update([createEntry({})], () => undefined);
   t.not(pool.endpointsOf("models")[0].cachedPrefixes, undefined);
 });
 
-test("an engine that has left is not one that started again", (t) => {
-  const { follow } = poolOf({ born: 100 });
-  const [ended] = follow({ state: "gone", born: 100 });
+test("an engine that has left does not count as restarted", (t) => {
+  const { update } = createPool({ born: 100 });
+  const [ended] = update({ state: "gone", born: 100 });
   t.false(ended.isRestarted);
 });
 
-/** Tells of a service of engines with some figures. */
-function serviceOf(figures: { tokens?: number; fetchRate?: number }) {
+/** Looks up a service of engines with the given values. */
+function createService(figures: { tokens?: number; fetchRate?: number }) {
   const engine = { slots: 4, tokens: 100_000, ...figures };
   return () => ({ name: "models", connections: 10, engine });
 }
 
-function useOf(engine: string) {
+function createLoad(engine: string) {
   return { engine, tokens: 5000, streams: 3, read: [PARTS] };
 }
 
-const CALM = { returned: [], now: 0 };
+const NOT_RESTORED = { returned: [], now: 0 };
 
-test("nothing new goes to endpoints of an evacuated data centre", (t) => {
+test("endpoints of an evacuated data centre are not usable", (t) => {
   const pool = gateway.EndpointPool.create();
   const entries = ["town", "hall"].map((dataCentre) =>
-    entryOf({ id: dataCentre, address: `${dataCentre}:80`, dataCentre })
+    createEntry({ id: dataCentre, address: `${dataCentre}:80`, dataCentre })
   );
   const usable = () =>
     pool.usable("models", 0).map(({ identity }) => identity.name);
-  pool.update(entries.slice(0, 1), serviceOf({}));
-  pool.setEvacuated(["hall"], CALM);
-  pool.update(entries, serviceOf({}));
-  t.deepEqual(usable(), ["town"], "also of one that is heard of later");
-  pool.setEvacuated(["hall", "town"], CALM);
-  t.deepEqual(usable(), [], "also where there is no other");
+  pool.update(entries.slice(0, 1), createService({}));
+  pool.setEvacuated(["hall"], NOT_RESTORED);
+  pool.update(entries, createService({}));
+  t.deepEqual(usable(), ["town"], "also an endpoint that is added later");
+  pool.setEvacuated(["hall", "town"], NOT_RESTORED);
+  t.deepEqual(usable(), [], "also if there is no other");
   t.false(pool.endpointsOf("models")[0].isHealthy(0));
-  pool.setEvacuated([], CALM);
+  pool.setEvacuated([], NOT_RESTORED);
   t.deepEqual(usable(), ["town", "hall"]);
 });
 
-test("endpoints of a data centre that is taken back may be cold", (t) => {
+test("endpoints of a data centre returned to service count as cold", (t) => {
   const pool = gateway.EndpointPool.create();
   const cold = { time: 3000, rate: 5 };
   const entries = ["town", "hall"].map((dataCentre) =>
-    entryOf({ id: dataCentre, address: `${dataCentre}:80`, dataCentre })
+    createEntry({ id: dataCentre, address: `${dataCentre}:80`, dataCentre })
   );
   pool.update(entries, () => ({ name: "models", connections: 9, cold }));
   pool.setEvacuated([], { returned: ["hall"], now: 1000 });
@@ -171,13 +171,13 @@
   t.deepEqual(ratesAt(4100), [undefined, undefined]);
 });
 
-test("an endpoint is cold for as long as it has said", (t) => {
-  const { follow, engine } = poolOf({ coldUntil: 700 });
+test("an endpoint is cold for as long as it reports", (t) => {
+  const { update, engine } = createPool({ coldUntil: 700 });
   const cold = { time: 3000, rate: 5 };
   engine().cold = cold;
   t.is(engine().coldRate(600), 5);
   t.is(engine().coldRate(800), undefined);
-  follow({ coldUntil: 2000 });
+  update({ coldUntil: 2000 });
   engine().cold = cold;
   t.is(engine().coldRate(800), 5);
 });
--- a/src/gateway/event_buffer.ts
+++ b/src/gateway/event_buffer.ts
@@ -1,7 +1,7 @@
-/** Cuts the text of an event stream behind whole events.
+/** Splits an event stream (server-sent events) after complete events.
  * @module */
 
-/** Whole events, and the id of the last one. */
+/** Complete events, and the last id among them. */
 export interface CompleteEvents {
   readonly bytes: Buffer;
   readonly lastId?: string;
@@ -9,42 +9,42 @@
 
 const ID_LINE = /^id: ?(.*?)\r?$/gm;
 
-/** Event text that arrives in parts; changed in place. */
+/** Buffers a stream that arrives in chunks; changed in place. */
 export class EventBuffer {
-  #rest: Buffer = Buffer.alloc(0);
+  #partial: Buffer = Buffer.alloc(0);
 
   static create(): EventBuffer {
     return new EventBuffer();
   }
 
-  /** Whether an event has begun that is not whole. */
+  /** Whether the buffer holds a partial event. */
   get hasPartialEvent(): boolean {
-    return this.#rest.length > 0;
+    return this.#partial.length > 0;
   }
 
-  /** Adds a part; gives the events that are whole now. */
-  push(part: Buffer): CompleteEvents {
-    const all = this.#rest.length > 0
-      ? Buffer.concat([this.#rest, part])
-      : part;
-    const end = endOf(all);
-    this.#rest = all.subarray(end);
+  /** Adds a chunk; returns the events that are complete now. */
+  push(chunk: Buffer): CompleteEvents {
+    const all = this.#partial.length > 0
+      ? Buffer.concat([this.#partial, chunk])
+      : chunk;
+    const end = lastEventEnd(all);
+    this.#partial = all.subarray(end);
     const bytes = all.subarray(0, end);
-    return { bytes, lastId: lastIdOf(bytes) };
+    return { bytes, lastId: lastEventId(bytes) };
   }
 }
 
-/** Where the last whole event ends. */
-function endOf(bytes: Buffer): number {
-  const plain = bytes.lastIndexOf("\n\n");
-  const carried = bytes.lastIndexOf("\r\n\r\n");
+/** Offset at which the last complete event ends. */
+function lastEventEnd(bytes: Buffer): number {
+  const lineFeeds = bytes.lastIndexOf("\n\n");
+  const carriageReturns = bytes.lastIndexOf("\r\n\r\n");
   return Math.max(
-    plain < 0 ? 0 : plain + 2,
-    carried < 0 ? 0 : carried + 4,
+    lineFeeds < 0 ? 0 : lineFeeds + 2,
+    carriageReturns < 0 ? 0 : carriageReturns + 4,
   );
 }
 
-function lastIdOf(bytes: Buffer): string | undefined {
+function lastEventId(bytes: Buffer): string | undefined {
   if (bytes.length === 0) return undefined;
   const ids = [...bytes.toString("utf8").matchAll(ID_LINE)];
   return ids.at(-1)?.[1];
--- a/src/gateway/first_event_latency.ts
+++ b/src/gateway/first_event_latency.ts
@@ -1,28 +1,29 @@
-/** How long a service's engines take to the first event of a prompt, learnt from
- * this host's own calls.
+/** Latency model of the first event of a prompt on a service's engines, learnt
+ * from calls.
  *
- * The time grows with the prompt tokens that must be read before it and with the
- * streams under way; engines differ by deployment by ten times and more.
+ * The latency grows with the prompt tokens to prefill before the event and with
+ * the running streams; between deployments it differs by a factor of ten and
+ * more.
  * @module */
 
 import * as regression from "../admission/regression.ts";
 
-/** Before any call: milliseconds of an idle engine, for 1,000 tokens to read,
- * and for a stream under way. What is learnt soon outweighs it; the ratios give
- * the shape where calls are few. */
+/** Prior of the fit: milliseconds of an idle engine, per 1,000 tokens to
+ * prefill, and per running stream. Observations soon outweigh it; its ratios
+ * give the shape of the fit while there are few. */
 const PRIOR: regression.Coefficients = { constant: 60, first: 30, second: 5 };
-/** Tokens of one unit of the fit. */
-const UNIT = 1000;
+/** Number of tokens in one unit of the fit. */
+const TOKEN_UNIT = 1000;
 
-/** What an engine has to do before a first event. */
+/** Work of an engine before a first event. */
 export interface PendingWork {
-  /** Prompt tokens that it must read. */
+  /** Prompt tokens to prefill. */
   readonly tokens: number;
-  /** Streams of this host under way there. */
+  /** Running streams. */
   readonly streams: number;
 }
 
-/** First events of the engines of one service; changed in place. */
+/** First-event latency of one service's engines; changed in place. */
 export class FirstEventLatency {
   readonly #fit = regression.Regression.create(PRIOR);
 
@@ -30,17 +31,17 @@
     return new FirstEventLatency();
   }
 
-  /** Milliseconds to be expected. */
+  /** Expected milliseconds to a first event. */
   predict({ tokens, streams }: PendingWork): number {
-    return this.#fit.predict(tokens / UNIT, streams);
+    return this.#fit.predict(tokens / TOKEN_UNIT, streams);
   }
 
-  /** Notes how many milliseconds a first event took. */
-  observe({ tokens, streams }: PendingWork, took: number): void {
-    this.#fit.observe([tokens / UNIT, streams], took);
+  /** Learns from a first event that took `elapsed` milliseconds. */
+  observe({ tokens, streams }: PendingWork, elapsed: number): void {
+    this.#fit.observe([tokens / TOKEN_UNIT, streams], elapsed);
   }
 
-  /** State for people. */
+  /** State for diagnostics. */
   toJSON(): unknown {
     return this.#fit.toJSON();
   }
--- a/src/gateway/health_signal.ts
+++ b/src/gateway/health_signal.ts
@@ -1,25 +1,26 @@
-/** What the outcome of a call says of its endpoint.
+/** Derives health signals of endpoints from the outcomes of calls.
  * @module */
 
 import type * as telemetry from "../telemetry/mod.ts";
 import type * as attempts from "./attempt.ts";
-import type * as endpoint from "./endpoint.ts";
+import type * as endpoints from "./endpoint.ts";
 
-/** When a call ended, and what it took. */
+/** The end of a call. */
 export interface CallEnd {
   readonly now: number;
+  /** Milliseconds that the call took. */
   readonly duration: number;
   readonly metrics: telemetry.Metrics;
 }
 
-/** Judges an endpoint by a call that has ended. */
+/** Records the outcome of a call in the state of its endpoint. */
 export function record(
-  target: endpoint.Endpoint,
+  target: endpoints.Endpoint,
   outcome: attempts.Outcome,
   { now, duration, metrics }: CallEnd,
 ): void {
-  const verdict = signalOf(outcome);
-  if (verdict !== undefined) target.recordHealth(verdict, now);
+  const signal = signalOf(outcome);
+  if (signal !== undefined) target.recordHealth(signal, now);
   if (outcome.type === "failed") {
     const { service } = target.identity;
     metrics.count("gateway.failed", 1, { service, cause: outcome.cause });
@@ -31,10 +32,11 @@
   target.recordDuration(duration);
 }
 
-/** What an outcome says of an endpoint; undefined where it says nothing. */
+/** Health signal of an outcome; undefined if it shows nothing of the
+ * endpoint. */
 export function signalOf(
   outcome: attempts.Outcome,
-): endpoint.HealthSignal | undefined {
+): endpoints.HealthSignal | undefined {
   if (outcome.type === "ended") return "good";
   if (outcome.type === "answer") {
     return outcome.head.status >= 500 ? "bad" : "good";
@@ -44,7 +46,7 @@
   return cause === "full" || cause === "lacks-input" ? "full" : "bad";
 }
 
-/** Name of an outcome in logs: a status, or what happened. */
+/** Name of an outcome in logs: a status or a cause of failure. */
 export function outcomeName(outcome: attempts.Outcome): string {
   if (outcome.type === "failed") return outcome.cause;
   return outcome.type === "answer" ? `${outcome.head.status}` : "ended";
--- a/src/gateway/input_retention.ts
+++ b/src/gateway/input_retention.ts
@@ -1,70 +1,79 @@
-/** For how long the results that a call needs are kept for its engine.
+/** Adapts how long the inputs of a call are retained after it is sent.
  *
- * An engine fetches them before it reads the prompt, and says so only by its
- * first event. Until they are given up they take up room, which in a burst of
- * requests with large results is what is short: kept until the first event they
- * hold it for twice the time that their making takes. So they are given up
- * sooner. An engine that lacks one says so and has not run the call: that is
- * what the time is learnt from.
+ * An engine fetches the inputs before prefill, but its first event is the only
+ * sign that it has done so. Retained inputs take up storage, which is the
+ * bottleneck in a burst of requests with large inputs: until the first event
+ * they would occupy it for twice the time that producing them takes. So they
+ * are released earlier. An engine that misses an input reports so without
+ * executing the call, and the retention time is learnt from these reports.
  * @module */
 
-/** Milliseconds at the beginning: a call arrives and some megabytes are fetched
- * in a tenth of it, where links and engines are well. */
-const FIRST = 150;
-/** Least milliseconds: a packet that is sent again takes as long. */
-const LEAST = 60;
-/** What the time is multiplied by after a call that lacked nothing. */
-const SHRINK = 0.99;
-/** What it is multiplied by after one that did: its results are made again,
- * which costs some hundreds of milliseconds. */
-const GROWTH = 2;
-/** Multiple of a time that was too short below which the time does not fall
- * again, and what that bound is multiplied by with each call: it is forgotten
- * over some hundreds of them. */
-const MARGIN = 1.5;
-const FORGETTING = 0.998;
-/** Most milliseconds: first events have come by then. */
-const MOST = 2000;
+/** Initial milliseconds: without faults, a call arrives and some megabytes are
+ * fetched in a tenth of it. */
+const INITIAL_TIME_MS = 150;
+/** Least milliseconds: the retransmission of a packet takes as long. */
+const MIN_TIME_MS = 60;
+/** Factor of the time after a call that missed no input. */
+const SUCCESS_FACTOR = 0.99;
+/** Factor of the time after a call that missed one: its stages run again, which
+ * costs some hundreds of milliseconds. */
+const MISS_FACTOR = 2;
+/** Lower bound of the time, as a multiple of the last one that was too short,
+ * and the factor of that bound after each call: it decays over some hundreds of
+ * calls. */
+const BOUND_FACTOR = 1.5;
+const BOUND_DECAY_FACTOR = 0.998;
+/** Most milliseconds: first events have arrived by then. */
+const MAX_TIME_MS = 2000;
 
-interface Hold {
+interface Retention {
   time: number;
-  /** The time does not fall below this. */
+  /** Lower bound of the time. */
   bound: number;
 }
 
-/** Times by service; changed in place. */
+/** Retention times by service; changed in place. */
 export class InputRetention {
-  readonly #holds = new Map<string, Hold>();
+  readonly #retentions = new Map<string, Retention>();
 
   static create(): InputRetention {
     return new InputRetention();
   }
 
-  /** Milliseconds from a call to when its results are given up. */
+  /** Milliseconds from a call to the release of its inputs. */
   time(service: string): number {
-    return this.#hold(service).time;
+    return this.#retentionOf(service).time;
   }
 
-  /** Notes a call that came to its first event after its results had been given
-   * up. */
+  /** Records a call whose first event arrived after its inputs were
+   * released. */
   recordSuccess(service: string): void {
-    const hold = this.#hold(service);
-    hold.bound = Math.max(LEAST, hold.bound * FORGETTING);
-    hold.time = Math.max(hold.bound, hold.time * SHRINK);
+    const retention = this.#retentionOf(service);
+    retention.bound = Math.max(
+      MIN_TIME_MS,
+      retention.bound * BOUND_DECAY_FACTOR,
+    );
+    retention.time = Math.max(retention.bound, retention.time * SUCCESS_FACTOR);
   }
 
-  /** Notes a call that lacked a result that had been given up after `time`. */
+  /** Records a call that missed an input released after `time` milliseconds. */
   recordMissing(service: string, time: number): void {
-    const hold = this.#hold(service);
-    hold.bound = Math.min(MOST, Math.max(hold.bound, MARGIN * time));
-    hold.time = Math.min(MOST, Math.max(hold.time, GROWTH * time));
+    const retention = this.#retentionOf(service);
+    retention.bound = Math.min(
+      MAX_TIME_MS,
+      Math.max(retention.bound, BOUND_FACTOR * time),
+    );
+    retention.time = Math.min(
+      MAX_TIME_MS,
+      Math.max(retention.time, MISS_FACTOR * time),
+    );
   }
 
-  #hold(service: string): Hold {
-    const known = this.#holds.get(service);
+  #retentionOf(service: string): Retention {
+    const known = this.#retentions.get(service);
     if (known !== undefined) return known;
-    const made = { time: FIRST, bound: LEAST };
-    this.#holds.set(service, made);
-    return made;
+    const created = { time: INITIAL_TIME_MS, bound: MIN_TIME_MS };
+    this.#retentions.set(service, created);
+    return created;
   }
 }
--- a/src/gateway/load_updates.ts
+++ b/src/gateway/load_updates.ts
@@ -1,51 +1,51 @@
-/** Tells other hosts what this one has engines do, so that their requests do not
- * meet at an engine that each by itself takes for idle, and go where shared
- * parts of prompts have been read.
+/** Sends other hosts this host's load on engines, so that hosts don't all
+ * choose an engine that each of them believes idle, and so that prompts go to
+ * engines whose caches hold their shared parts.
  *
- * In simulated loads hosts that know all of it serve .03 to .045 more of the
- * worth than hosts that know their own calls alone.
+ * Hosts that know the load of all others raise the value served by .03 to .045
+ * over hosts that know their own calls only.
  * @module */
 
 import type * as runtime from "../runtime/mod.ts";
 import type * as schema from "../schema/fleet_types.ts";
 import type * as endpoints from "./endpoint.ts";
-import type * as protocol from "./protocol.ts";
+import type * as protocols from "./protocol.ts";
 
-/** Milliseconds over which messages gather: a small part of a first event, and
- * some requests of a busy host. */
-const GATHER = 20;
-/** Milliseconds after which the use of an engine is told again. */
-const AGAIN = 500;
+/** Milliseconds over which updates are batched: a small part of the time to a
+ * first event, and some requests of a busy host. */
+const BATCH_INTERVAL_MS = 20;
+/** Milliseconds after which the load on an engine is sent again. */
+const REFRESH_INTERVAL_MS = 500;
 
-/** What gossip needs of its host. */
+/** Dependencies of load updates. */
 export interface LoadUpdatesOptions {
   readonly clock: runtime.Clock;
-  /** Tells the other hosts. */
-  send(uses: schema.EngineUse[]): void;
+  /** Sends updates to other hosts. */
+  send(loads: schema.EngineUse[]): void;
 }
 
-interface Message {
+interface EngineUpdate {
   readonly engine: endpoints.Endpoint;
-  readonly read: schema.PromptPart[][];
-  readonly firsts: schema.FirstEvent[];
-  readonly verdicts: endpoints.HealthSignal[];
+  readonly cachedParts: schema.PromptPart[][];
+  readonly firstEvents: schema.FirstEvent[];
+  readonly signals: endpoints.HealthSignal[];
 }
 
-/** What has changed about an engine's use, beside how much it is. */
+/** Events behind a change of the load on an engine. */
 export interface LoadChange {
-  /** A prompt that was sent there. */
-  readonly prompt?: protocol.Prompt;
-  /** A first event of a prompt that another host has placed. */
+  /** Prompt that was sent to the engine. */
+  readonly prompt?: protocols.Prompt;
+  /** First event of a prompt that another host has placed. */
   readonly first?: schema.FirstEvent;
-  /** How a call ended of a prompt that another host has placed. */
+  /** Health signal of a call whose prompt another host has placed. */
   readonly signal?: endpoints.HealthSignal;
 }
 
-/** Gathers what is to be told. */
+/** Batches and sends load updates. */
 export class LoadUpdates {
   readonly #options: LoadUpdatesOptions;
-  readonly #messages = new Map<string, Message>();
-  #isGathering = false;
+  readonly #pending = new Map<string, EngineUpdate>();
+  #isBatching = false;
 
   private constructor(options: LoadUpdatesOptions) {
     this.#options = options;
@@ -55,50 +55,61 @@
     return new LoadUpdates(options);
   }
 
-  /** Notes that this host's use of an engine has changed. */
+  /** Records that this host's load on an engine has changed. */
   record(
     engine: endpoints.Endpoint,
-    { prompt, first, signal: verdict }: LoadChange = {},
+    { prompt, first, signal }: LoadChange = {},
   ): void {
     if (engine.cachedPrefixes === undefined) return;
-    const message = this.#messageOf(engine);
+    const update = this.#updateOf(engine);
     const shared = prompt?.parts.slice(0, -1) ?? [];
-    if (shared.length > 0) message.read.push([...shared]);
-    if (first !== undefined) message.firsts.push(first);
-    if (verdict !== undefined) message.verdicts.push(verdict);
-    if (this.#isGathering) return;
-    this.#isGathering = true;
-    this.#options.clock.after(GATHER, () => this.#tell());
+    if (shared.length > 0) update.cachedParts.push([...shared]);
+    if (first !== undefined) update.firstEvents.push(first);
+    if (signal !== undefined) update.signals.push(signal);
+    if (this.#isBatching) return;
+    this.#isBatching = true;
+    this.#options.clock.after(BATCH_INTERVAL_MS, () => this.#send());
   }
 
-  #messageOf(engine: endpoints.Endpoint): Message {
+  #updateOf(engine: endpoints.Endpoint): EngineUpdate {
     const { id } = engine.identity;
-    const known = this.#messages.get(id);
-    if (known !== undefined) return known;
-    const made = { engine, read: [], firsts: [], verdicts: [] };
-    this.#messages.set(id, made);
-    return made;
+    const pending = this.#pending.get(id);
+    if (pending !== undefined) return pending;
+    const created = { engine, cachedParts: [], firstEvents: [], signals: [] };
+    this.#pending.set(id, created);
+    return created;
   }
 
-  #tell(): void {
-    this.#isGathering = false;
-    const { clock, send: tell } = this.#options;
-    const messages = [...this.#messages.values()];
-    this.#messages.clear();
-    tell(messages.map(({ engine, read, firsts, verdicts }) => ({
-      engine: engine.identity.id,
-      tokens: Math.max(0, engine.backlog),
-      streams: engine.inFlight,
-      read,
-      ...(firsts.length > 0 && { firsts }),
-      ...(verdicts.length > 0 && { verdicts }),
-    })));
-    for (const { engine } of messages) {
-      if (engine.inFlight > 0) clock.after(AGAIN, () => this.#again(engine));
+  #send(): void {
+    this.#isBatching = false;
+    const { clock, send } = this.#options;
+    const updates = [...this.#pending.values()];
+    this.#pending.clear();
+    send(
+      updates.map((
+        {
+          engine,
+          cachedParts,
+          firstEvents,
+          signals,
+        },
+      ) => ({
+        engine: engine.identity.id,
+        tokens: Math.max(0, engine.backlog),
+        streams: engine.inFlight,
+        read: cachedParts,
+        ...(firstEvents.length > 0 && { firsts: firstEvents }),
+        ...(signals.length > 0 && { verdicts: signals }),
+      })),
+    );
+    for (const { engine } of updates) {
+      if (engine.inFlight > 0) {
+        clock.after(REFRESH_INTERVAL_MS, () => this.#refresh(engine));
+      }
     }
   }
 
-  #again(engine: endpoints.Endpoint): void {
+  #refresh(engine: endpoints.Endpoint): void {
     if (engine.inFlight > 0) this.record(engine);
   }
 }
--- a/src/gateway/load_updates_test.ts
+++ b/src/gateway/load_updates_test.ts
@@ -4,12 +4,12 @@
 import * as fixture from "../endpoints/fixture.ts";
 import * as runtime from "../runtime/mod.ts";
 import type * as schema from "../schema/fleet_types.ts";
-import * as choice from "./endpoint_choice.ts";
-import * as endpoint from "./endpoint.ts";
-import * as firstEvents from "./first_event_latency.ts";
-import * as pools from "./endpoint_pool.ts";
-import * as promptMemory from "./cached_prefixes.ts";
-import * as loadGossips from "./load_updates.ts";
+import * as choices from "./endpoint_choice.ts";
+import * as endpoints from "./endpoint.ts";
+import * as firstEventLatencies from "./first_event_latency.ts";
+import * as endpointPools from "./endpoint_pool.ts";
+import * as cachedPrefixes from "./cached_prefixes.ts";
+import * as loadUpdates from "./load_updates.ts";
 
 const random: runtime.Random = { next: () => 0, below: () => 0 };
 const PROMPT = {
@@ -19,38 +19,38 @@
   parts: [{ id: "shared", tokens: 5000 }, { id: "own", tokens: 1000 }],
 };
 
-function engineOf(id: string): endpoint.Endpoint {
+function createEngine(id: string): endpoints.Endpoint {
   const address = `10.0.0.1:${id}`;
   const place = { service: "s", address, dataCentre: "town", slots: 4 };
   const identity = { id, name: id, ...place };
-  const memory = promptMemory.CachedPrefixes.create(100_000);
-  const firstEvent = firstEvents.FirstEventLatency.create();
-  return endpoint.Endpoint.create(identity, {
-    cachedPrefixes: memory,
-    firstEventLatency: firstEvent,
+  const prefixes = cachedPrefixes.CachedPrefixes.create(100_000);
+  const firstEventLatency = firstEventLatencies.FirstEventLatency.create();
+  return endpoints.Endpoint.create(identity, {
+    cachedPrefixes: prefixes,
+    firstEventLatency,
   });
 }
 
-function gossipOf() {
+function createUpdates() {
   const clock = new runtime.FakeClock();
-  const told: schema.EngineUse[][] = [];
-  const tell = (uses: schema.EngineUse[]) => void told.push(uses);
+  const sent: schema.EngineUse[][] = [];
+  const send = (loads: schema.EngineUse[]) => void sent.push(loads);
   return {
     clock,
-    told,
-    gossip: loadGossips.LoadUpdates.create({ clock, send: tell }),
+    sent,
+    updates: loadUpdates.LoadUpdates.create({ clock, send }),
   };
 }
 
-test("what happens close together is told at once, without own parts", (t) => {
-  const { clock, told, gossip } = gossipOf();
-  const [one, two] = [engineOf("1"), engineOf("2")];
+test("changes in quick succession are sent together, without unshared parts", (t) => {
+  const { clock, sent, updates } = createUpdates();
+  const [one, two] = [createEngine("1"), createEngine("2")];
   one.backlog = 6000;
   one.inFlight = 1;
-  gossip.record(one, { prompt: PROMPT });
-  gossip.record(two);
+  updates.record(one, { prompt: PROMPT });
+  updates.record(two);
   clock.advance(30);
-  t.deepEqual(told, [[
+  t.deepEqual(sent, [[
     {
       engine: "1",
       tokens: 6000,
@@ -61,23 +61,23 @@
   ]]);
 });
 
-test("use that goes on is told again, and ended use is not", (t) => {
-  const { clock, told, gossip } = gossipOf();
-  const engine = engineOf("1");
+test("load is sent again while it lasts and not after it has ended", (t) => {
+  const { clock, sent, updates } = createUpdates();
+  const engine = createEngine("1");
   engine.inFlight = 1;
-  gossip.record(engine);
+  updates.record(engine);
   clock.advance(1700);
-  t.true(told.length >= 3);
+  t.true(sent.length >= 3);
   engine.inFlight = 0;
-  gossip.record(engine);
+  updates.record(engine);
   clock.advance(1000);
-  const count = told.length;
+  const count = sent.length;
   clock.advance(5000);
-  t.is(told.length, count);
+  t.is(sent.length, count);
 });
 
-test("a prompt avoids the engine that other hosts load", (t) => {
-  const pool = pools.EndpointPool.create();
+test("a prompt avoids an engine under load from other hosts", (t) => {
+  const pool = endpointPools.EndpointPool.create();
   const place = { service: "s", slots: 64 };
   pool.update(
     ["1", "2"].map((id) =>
@@ -91,9 +91,9 @@
   );
   const engines = pool.endpointsOf("s");
   const situation = { now: 0, random, dataCentre: "town" };
-  const chosen = choice.chooseEngine(engines, PROMPT, situation)!.engine;
+  const chosen = choices.chooseEngine(engines, PROMPT, situation)!.engine;
   const { id } = chosen.identity;
   const use = { engine: id, tokens: 60_000, streams: 9, read: [] };
   pool.recordRemoteLoad("other", [use], 0);
-  t.not(choice.chooseEngine(engines, PROMPT, situation)!.engine, chosen);
+  t.not(choices.chooseEngine(engines, PROMPT, situation)!.engine, chosen);
 });
--- a/src/gateway/mod.ts
+++ b/src/gateway/mod.ts
@@ -1,4 +1,4 @@
-/** The path of requests that are passed through to services.
+/** The gateway: serves callers' requests by calling the endpoints of services.
  * @module */
 
 export * from "./calibration.ts";
--- a/src/gateway/pipeline_run.ts
+++ b/src/gateway/pipeline_run.ts
@@ -1,47 +1,49 @@
-/** The stages of one request: where they are made, whether they will be made in
- * time, and their results.
+/** Runs the stages of one request's route: plans the engine of its prompt,
+ * reserves the stages, forecasts their completion, and keeps their results.
  *
- * A request that cannot be in time is refused at once, before anything has run.
+ * A request that is forecast to miss its objective is refused at once, before
+ * any work is done for it.
  * @module */
 
 import type * as configurations from "../configuration/mod.ts";
-import type * as choice from "./endpoint_choice.ts";
+import type * as choices from "./endpoint_choice.ts";
 import type * as contexts from "./context.ts";
-import type * as endpoint from "./endpoint.ts";
-import * as preparation from "./stage_execution.ts";
-import * as prospect from "./timeliness.ts";
+import type * as endpoints from "./endpoint.ts";
+import * as stageExecutions from "./stage_execution.ts";
+import * as timeliness from "./timeliness.ts";
 import type * as protocols from "./protocol.ts";
 import type * as refusals from "./refusal.ts";
 
-/** Least milliseconds after which a refused request may come back: a burst
- * lasts for some seconds. */
-const LEAST_RETURN = 500;
-/** Times what it is too late by that must be drained before it comes back. */
-const RETURN_EXCESS = 1.5;
-/** Most milliseconds: a third of the time that callers have, to which they heed
- * what they are told. */
-const MOST_RETURN = 3000;
-
-/** Part of the time until its caller leaves in which a request is to be served
- * that comes back too late for its objective: the rest is for what a forecast
- * so far ahead cannot know. */
-const LATE_SHARE = 0.7;
-
-/** What stages are for. */
+/** Least retry delay of a refused request, in milliseconds: a burst lasts some
+ * seconds. */
+const MIN_RETRY_DELAY_MS = 500;
+/** Multiple of the forecast lateness added to the retry delay, so that queues
+ * drain by more than the lateness. */
+const RETRY_LATENESS_FACTOR = 1.5;
+/** Longest retry delay in milliseconds: callers heed one up to a third of their
+ * time. */
+const MAX_RETRY_DELAY_MS = 3000;
+
+/** Part of the time until the caller's abandonment in which a retry that can no
+ * longer meet its objective is to be served: the rest is a margin for errors of
+ * so long a forecast. */
+const LATE_TIME_RATIO = 0.7;
+
+/** The request whose stages are run, and its limits. */
 export interface PipelineRunOptions {
   readonly request: protocols.IncomingRequest;
   readonly route: configurations.Route;
   readonly rank: number;
-  /** Service that the request goes to then. */
+  /** Service that executes the request after its stages. */
   readonly service: string;
   readonly arrival: number;
-  /** Milliseconds for which its caller had waited before. */
+  /** Milliseconds that the caller waited before this attempt. */
   readonly priorWait: number;
-  /** When the request ends at the latest. */
+  /** Time at which the request ends at the latest. */
   readonly deadline: number;
 }
 
-/** How it ended. */
+/** Results of the last stages, or why the request is refused. */
 export type PipelineRunResult =
   | { type: "made"; inputs: readonly string[] }
   | {
@@ -50,98 +52,105 @@
     about: Readonly<Record<string, unknown>>;
   };
 
-/** What a log line says of it. */
+/** Record of the run for the log line of its request. */
 export interface PipelineRunRecord {
   expectedMs?: number;
-  /** What that was made of, stage by stage. */
-  forecast?: readonly preparation.StageForecastRecord[];
-  /** Milliseconds by which forecasts of its route miss. */
+  /** Terms of the forecast by stage. */
+  forecast?: readonly stageExecutions.StageForecastRecord[];
+  /** Mean error of the forecasts of its route, in milliseconds. */
   errorMs?: number;
-  /** Whether it could not be in time from the start. */
+  /** Whether it was served although it could no longer meet its objective. */
   isLate?: boolean;
   tookMs?: number;
-  /** What it took stage by stage. */
-  rounds?: readonly preparation.RoundRecord[];
+  /** Item requests with their durations. */
+  rounds?: readonly stageExecutions.RoundRecord[];
 }
 
-/** Stages of a request under way. */
+/** The stages of one request. */
 export class PipelineRun {
   readonly #context: contexts.Context;
   readonly #options: PipelineRunOptions;
-  readonly #preparation: preparation.StageExecution;
-  readonly #plan?: choice.EngineChoice;
-  readonly #started: number;
-  /** When the results are wanted. */
-  readonly #wanted: number;
-  /** When they are wanted where that cannot be kept: before the caller leaves. */
-  readonly #lateWanted: number;
+  readonly #execution: stageExecutions.StageExecution;
+  readonly #plan?: choices.EngineChoice;
+  readonly #startedAt: number;
+  /** Time at which the results are due to meet the objective. */
+  readonly #dueAt: number;
+  /** Time at which they are due for a late request, before the caller abandons
+   * it. */
+  readonly #lateDueAt: number;
   #isLate = false;
   #isReleased = false;
-  /** For its log line. */
+  /** Record for the log line of the request. */
   readonly record: PipelineRunRecord = {};
 
   private constructor(
     context: contexts.Context,
     options: PipelineRunOptions,
-    plan?: choice.EngineChoice,
+    plan?: choices.EngineChoice,
   ) {
     const {
-      request: ask,
+      request,
       route,
       rank,
       arrival,
-      priorWait: waited,
-      deadline: until,
+      priorWait,
+      deadline,
     } = options;
     this.#context = context;
     this.#options = options;
-    this.#started = context.clock.now();
+    this.#startedAt = context.clock.now();
     this.#plan = plan;
-    const firstEvent = this.#plan?.firstEventTime ?? 0;
-    this.#wanted = arrival - waited + route.objective - firstEvent;
-    const leaves = Math.min(until, arrival + prospect.abandonmentTime(route));
-    this.#lateWanted = arrival + LATE_SHARE * (leaves - arrival) - firstEvent;
-    this.#preparation = preparation.StageExecution.create(context, {
-      request: ask,
+    const firstEventTime = this.#plan?.firstEventTime ?? 0;
+    this.#dueAt = arrival - priorWait + route.objective - firstEventTime;
+    const abandonedAt = Math.min(
+      deadline,
+      arrival + timeliness.abandonmentTime(route),
+    );
+    this.#lateDueAt = arrival + LATE_TIME_RATIO * (abandonedAt - arrival) -
+      firstEventTime;
+    this.#execution = stageExecutions.StageExecution.create(context, {
+      request,
       route,
       rank,
-      deadline: leaves,
-      dueAt: this.#wanted,
+      deadline: abandonedAt,
+      dueAt: this.#dueAt,
       dataCentre: this.#plan?.engine.identity.dataCentre,
     });
   }
 
-  /** Plans where the request will run; nothing is made yet. */
+  /** Plans the engine of the request; starts no stage. */
   static async create(
     context: contexts.Context,
     options: PipelineRunOptions,
   ): Promise<PipelineRun> {
-    const plan = await planOf(context, options);
+    const plan = await planEngine(context, options);
     return new PipelineRun(context, options, plan);
   }
 
-  /** Engine that the results are made near. */
-  get planned(): endpoint.Endpoint | undefined {
+  /** Engine near which the results are produced. */
+  get planned(): endpoints.Endpoint | undefined {
     return this.#plan?.engine;
   }
 
-  /** Whether it is served late, behind those that can be in time. */
+  /** Whether the request is late: it can no longer meet its objective and has a
+   * lower priority than all that can. */
   get isLate(): boolean {
     return this.#isLate;
   }
 
-  /** Judges the request and makes its pieces. */
+  /** Reserves the stages, refuses the request if it would be late, else runs
+   * the stages. */
   async run(): Promise<PipelineRunResult> {
-    if (this.#isPast) this.#setLate();
-    let forecast = await this.#preparation.book();
-    let refusal = this.#judge(forecast);
+    if (this.#isAlreadyLate) this.#setLate();
+    let forecast = await this.#execution.book();
+    let refusal = this.#refuseLate(forecast);
     if (refusal !== undefined && this.#options.priorWait > 0 && !this.#isLate) {
       this.#setLate();
-      forecast = await this.#preparation.book();
-      refusal = this.#judge(forecast);
+      forecast = await this.#execution.book();
+      refusal = this.#refuseLate(forecast);
     }
     if (refusal !== undefined) return refusal;
-    const result = await this.#make();
+    const result = await this.#execute();
     if (result.type === "made" && !this.#isLate) {
       const { calibration } = this.#context;
       calibration.observe(
@@ -153,95 +162,96 @@
     return result;
   }
 
-  /** Whether the results have been given up. */
+  /** Whether the results are released. */
   get isReleased(): boolean {
     return this.#isReleased;
   }
 
-  /** Makes all pieces once more: one of the results is gone. */
+  /** Runs all stages again, since a result is lost. */
   rerun(): Promise<PipelineRunResult> {
     this.#isReleased = false;
-    this.#preparation.discardResults();
-    return this.#make();
+    this.#execution.discardResults();
+    return this.#execute();
   }
 
-  /** Gives the results up; they have been read. */
+  /** Releases the results after they were fetched. */
   release(): void {
     if (this.#isReleased) return;
     this.#isReleased = true;
-    this.#preparation.release();
+    this.#execution.release();
   }
 
-  /** Stops: nobody waits for it any more. */
+  /** Releases the results and cancels what is unfinished. */
   close(): void {
-    this.#preparation.close();
+    this.#execution.close();
   }
 
-  /** Whether its caller has waited for so long that it cannot be in time. */
-  get #isPast(): boolean {
-    const { priorWait: waited } = this.#options;
-    const left = this.#wanted - this.#context.clock.now();
-    return waited > 0 && left < this.#preparation.uncontended;
+  /** Whether the caller has waited so long before this attempt that it can't
+   * meet the objective even without queueing. */
+  get #isAlreadyLate(): boolean {
+    const { priorWait } = this.#options;
+    const left = this.#dueAt - this.#context.clock.now();
+    return priorWait > 0 && left < this.#execution.uncontended;
   }
 
   #setLate(): void {
     this.#isLate = true;
     this.record.isLate = true;
-    const rank = prospect.effectiveRank(this.#options.rank, true);
-    this.#preparation.reschedule(this.#lateWanted, rank);
+    const rank = timeliness.effectiveRank(this.#options.rank, true);
+    this.#execution.reschedule(this.#lateDueAt, rank);
   }
 
-  #judge(
-    forecast: preparation.PipelineForecast,
+  #refuseLate(
+    forecast: stageExecutions.PipelineForecast,
   ): PipelineRunResult | undefined {
     const { calibration } = this.#context;
     const { name, objective } = this.#options.route;
-    const { uncontended: alone } = forecast;
+    const { uncontended } = forecast;
     const finish = calibration.correct(name, forecast);
-    const wanted = this.#isLate ? this.#lateWanted : this.#wanted;
-    const left = wanted - this.#context.clock.now();
+    const dueAt = this.#isLate ? this.#lateDueAt : this.#dueAt;
+    const left = dueAt - this.#context.clock.now();
     const error = calibration.error(name, forecast);
     this.record.expectedMs = Math.round(finish);
     this.record.forecast = forecast.stages;
     this.record.errorMs = Math.round(error);
-    const expected = { finish, uncontended: alone, error };
-    if (prospect.meetsObjective(expected, { left, objective })) {
+    const calibrated = { finish, uncontended, error };
+    if (timeliness.meetsObjective(calibrated, { left, objective })) {
       return undefined;
     }
-    const retryAfter = this.#returnAfter(finish - Math.max(left, alone));
-    const about = { aloneMs: alone, left, retryAfter };
+    const retryAfter = this.#retryDelay(finish - Math.max(left, uncontended));
+    const about = { aloneMs: uncontended, left, retryAfter };
     return { type: "refused", reason: "no-time", about };
   }
 
-  async #make(): Promise<PipelineRunResult> {
+  async #execute(): Promise<PipelineRunResult> {
     const { clock, metrics } = this.#context;
     const { route } = this.#options;
-    const result = await this.#preparation.run();
-    const tookMs = Math.round(clock.now() - this.#started);
+    const result = await this.#execution.run();
+    const tookMs = Math.round(clock.now() - this.#startedAt);
     this.record.tookMs = tookMs;
-    this.record.rounds = this.#preparation.rounds;
+    this.record.rounds = this.#execution.rounds;
     metrics.time("gateway.stages", tookMs, { route: route.name });
     if (result.type === "made") return result;
     const { detail } = result;
     return { type: "refused", reason: "no-pieces", about: { detail } };
   }
 
-  /** Seconds after which a refused request may find its place: what waits must
-   * be drained by more than what it is too late by, and returns are spread so
-   * that they do not come at once. */
-  #returnAfter(excess: number): number {
+  /** Retry delay in seconds of a request forecast to be `excess` milliseconds
+   * late: queues must drain by more than that, and retries are spread at
+   * random. */
+  #retryDelay(excess: number): number {
     const { random } = this.#context;
-    const drained = LEAST_RETURN + RETURN_EXCESS * excess;
-    const spread = drained * (1 + random.next());
-    return Math.round(Math.min(MOST_RETURN, spread)) / 1000;
+    const minDelay = MIN_RETRY_DELAY_MS + RETRY_LATENESS_FACTOR * excess;
+    const spread = minDelay * (1 + random.next());
+    return Math.round(Math.min(MAX_RETRY_DELAY_MS, spread)) / 1000;
   }
 }
 
-/** The engine that a request would go to now. */
-async function planOf(
+/** The engine that the request would be sent to now. */
+async function planEngine(
   { placement }: contexts.Context,
   { request: { prompt }, service, route: { objective } }: PipelineRunOptions,
-): Promise<choice.EngineChoice | undefined> {
+): Promise<choices.EngineChoice | undefined> {
   if (prompt === undefined) return undefined;
   const query = { service, prompt, objective, tried: [], isSent: false };
   return await placement.place(query);
