--- a/src/gateway/placement.ts
+++ b/src/gateway/placement.ts
@@ -1,66 +1,70 @@
-/** Where prompts go. In a small fleet hosts tell each other what they have
- * engines do, and each chooses for itself. In a large one that would be a
- * message of each to each, so engines are divided into partitions: all hosts
- * have the owner of a partition choose among its engines, and tell it alone what
- * becomes of their calls there. So somebody knows the whole load of each engine,
- * and which shared parts it has read, whichever host sent them.
+/** Places prompts on engines.
  *
- * Prompts that share a part go to the same partition. An owner keeps nothing
- * that is not told again within half a second, so that another host can take its
- * place; while none answers, a host chooses by what it knows itself.
+ * In a small fleet all hosts exchange load updates, and each chooses engines
+ * itself. In a large fleet that would take a message from each host to every
+ * other, so engines are divided into partitions. Each partition has an owner
+ * host, which chooses among its engines for all hosts and alone receives the
+ * load updates for them. The owner so knows the total load of each engine and
+ * which shared prompt parts its prefix cache holds, whichever host sent them.
+ *
+ * Prompts with the same shared part go to the same partition. All state of an
+ * owner is sent again within half a second, so another host can take over;
+ * while no owner answers, a host chooses by its own state.
  * @module */
 
-import * as leftOuts from "../peers/unresponsive_hosts.ts";
+import * as unresponsiveHosts from "../peers/unresponsive_hosts.ts";
 import type * as peers from "../peers/mod.ts";
-import * as cells from "../batching/partitions.ts";
+import * as partitions from "../batching/partitions.ts";
 import * as memos from "../runtime/memo.ts";
 import type * as runtime from "../runtime/mod.ts";
 import type * as schema from "../schema/fleet_types.ts";
 import type * as telemetry from "../telemetry/mod.ts";
-import * as choice from "./endpoint_choice.ts";
-import type * as endpoint from "./endpoint.ts";
-import * as pools from "./endpoint_pool.ts";
+import * as choices from "./endpoint_choice.ts";
+import type * as endpoints from "./endpoint.ts";
+import * as endpointPools from "./endpoint_pool.ts";
 import type * as protocols from "./protocol.ts";
 import * as rendezvous from "../routing/rendezvous.ts";
 
-/** Most other hosts that are told what a host has engines do. Each word goes to
- * all of them, 50 times a second at most, so that what a host sends and hears
- * grows with the fleet. */
-const TOLD = 11;
-/** Most engines of a partition. An owner looks at each of them for each prompt;
- * the more it has, the more evenly they are used. */
-const MOST = 16;
-/** Milliseconds in which an owner answers: some times what it takes, and a small
- * part of any objective. */
-const PATIENCE = 150;
-/** Part of a route's objective that a first event may take before another
- * partition is asked too: a shared part that many prompts have would else keep
- * all of them at its engines. */
-const SLOW = 0.25;
+/** Most other hosts to which a host sends load updates directly. An update goes
+ * to all of them, up to 50 times a second, so the traffic of a host grows with
+ * the fleet. */
+const MAX_UPDATE_RECIPIENTS = 11;
+/** Most engines of a partition. An owner evaluates each of them for each
+ * prompt; larger partitions balance load more evenly. */
+const MAX_PARTITION_ENGINES = 16;
+/** Milliseconds within which an owner must answer: several times the usual
+ * answer time, and a small part of any route's objective. */
+const OWNER_TIMEOUT_MS = 150;
+/** Expected time to the first event, as a part of the route's objective, above
+ * which a second partition is asked too: otherwise all prompts with a popular
+ * shared part would stay on the engines of one partition. */
+const SLOW_OBJECTIVE_RATIO = 0.25;
 
-/** A prompt that is to be placed. */
+/** A prompt to be placed. */
 export interface PlacementQuery {
   readonly service: string;
   readonly prompt: protocols.Prompt;
   /** Milliseconds within which its first event is wanted. */
   readonly objective: number;
-  /** Engine that its inputs were made near. */
-  readonly planned?: endpoint.Endpoint;
-  /** Engines that were called for the request before, by their ids. */
+  /** Engine near which the request's inputs were produced. */
+  readonly planned?: endpoints.Endpoint;
+  /** Ids of the engines already called for the request. */
   readonly tried: readonly string[];
-  /** Whether it is sent now; else this is a forecast. */
+  /** Whether the call is sent now; otherwise this is a forecast, which reserves
+   * no load. */
   readonly isSent: boolean;
 }
 
-/** Who chose an engine. */
+/** Which host chose an engine: this one, the owner of the partition, or this
+ * one because no owner gave an engine. */
 export type PlacementSource = "self" | "owner" | "fallback";
 
-/** Where a prompt goes, and who said so. */
-export interface PlacementResult extends choice.EngineChoice {
+/** The engine chosen for a prompt, and which host chose it. */
+export interface PlacementResult extends choices.EngineChoice {
   readonly source: PlacementSource;
 }
 
-/** What placement needs of its host. */
+/** Dependencies of a placement. */
 export interface PlacementOptions {
   readonly self: string;
   readonly dataCentre: string;
@@ -69,49 +73,51 @@
   readonly logger: telemetry.Logger;
   readonly metrics: telemetry.Metrics;
   readonly calls: Pick<peers.Rpc, "ask" | "cast">;
-  readonly pool: pools.EndpointPool;
-  /** What hosts and their work are derived from: the same parts while they are
-   * the same. */
+  readonly pool: endpointPools.EndpointPool;
+  /** Values from which hosts, partitions and owners are derived; derived
+   * results are memoized while all of them are unchanged. */
   dependencies(): readonly unknown[];
-  /** Hosts that take requests and are ready. */
+  /** Ready hosts that serve callers. */
   hosts(): readonly Pick<schema.EntryHost, "host" | "dataCentre">[];
-  /** Hosts that have other work for the fleet at a data centre, or in several
-   * places. */
+  /** Hosts that already do other work for the fleet in a data centre or across
+   * data centres. */
   busyHosts(dataCentre: string | undefined): readonly string[];
 }
 
-/** Chooses engines, or has them chosen. */
+/** Chooses engines for prompts, by itself or through partition owners. */
 export class Placement {
   readonly #options: PlacementOptions;
-  readonly #leftOut: leftOuts.UnresponsiveHosts;
-  readonly #ranked = memos.Memo.create<readonly string[]>();
-  readonly #partitions = memos.Memo.create<readonly cells.Partition[]>();
+  readonly #unresponsive: unresponsiveHosts.UnresponsiveHosts;
+  readonly #rankedOwners = memos.Memo.create<readonly string[]>();
+  readonly #partitions = memos.Memo.create<readonly partitions.Partition[]>();
 
   private constructor(options: PlacementOptions) {
     this.#options = options;
-    this.#leftOut = leftOuts.UnresponsiveHosts.create(options.clock);
+    this.#unresponsive = unresponsiveHosts.UnresponsiveHosts.create(
+      options.clock,
+    );
   }
 
   static create(options: PlacementOptions): Placement {
     return new Placement(options);
   }
 
-  /** The engine for a prompt; undefined where none takes it. */
+  /** Resolves with the engine for a prompt; undefined if none accepts it. */
   async place(query: PlacementQuery): Promise<PlacementResult | undefined> {
     const placed = this.#isSmall
-      ? this.#choose(query, "self")
+      ? this.#chooseLocally(query, "self")
       : await this.#placeByOwners(query);
-    const by = placed?.source ?? "none";
-    this.#options.metrics.count("gateway.placed", 1, { by });
+    const source = placed?.source ?? "none";
+    this.#options.metrics.count("gateway.placed", 1, { by: source });
     return placed;
   }
 
-  /** Chooses among the engines of a partition for another host. */
+  /** Answers another host's query for an engine of a partition. */
   answer(question: schema.PlaceQuestion, from: string): schema.Reply {
     const { service, partition, prompt, tried, sent } = question;
     const { pool, clock } = this.#options;
     const planned = pool.get(question.planned ?? "");
-    const chosen = this.#chooseIn(partition, {
+    const chosen = this.#chooseInPartition(partition, {
       service,
       prompt,
       tried,
@@ -121,117 +127,124 @@
     if (chosen === undefined) return { type: "failed", reason: "unreachable" };
     const {
       engine,
-      firstEventTime: firstEvent,
-      cacheMiss: lack,
-      pendingWork: work,
+      firstEventTime,
+      cacheMiss,
+      pendingWork,
     } = chosen;
     if (sent) {
-      engine.remoteLoad.reserve(from, lack.prefillTokens, clock.now());
+      engine.remoteLoad.reserve(from, cacheMiss.prefillTokens, clock.now());
       engine.cachedPrefixes?.insert(prompt);
     }
-    const { prefillTokens: read, fetchTokens: fetched, fetchTime, source } =
-      lack;
+    const {
+      prefillTokens,
+      fetchTokens,
+      fetchTime,
+      source,
+    } = cacheMiss;
     return {
       type: "placed",
       engine: engine.identity.id,
       ...(source && { source: source.identity.id }),
-      read,
-      fetched,
+      read: prefillTokens,
+      fetched: fetchTokens,
       fetchTime,
-      firstEvent,
-      work,
+      firstEvent: firstEventTime,
+      work: pendingWork,
     };
   }
 
-  /** Tells those who choose what this host has engines do. */
-  sendLoad(uses: readonly schema.EngineUse[]): void {
+  /** Sends this host's load on engines to the hosts that choose them. */
+  sendLoad(loads: readonly schema.EngineUse[]): void {
     const { calls } = this.#options;
-    for (const [host, some] of this.#hearers(uses)) {
-      calls.cast(host, { type: "use", uses: some });
+    for (const [host, updates] of this.#updatesByHost(loads)) {
+      calls.cast(host, { type: "use", uses: updates });
     }
   }
 
   get #isSmall(): boolean {
-    return this.#options.hosts().length <= TOLD + 1;
+    return this.#options.hosts().length <= MAX_UPDATE_RECIPIENTS + 1;
   }
 
-  /** What each host is to hear of some uses. */
-  #hearers(
-    uses: readonly schema.EngineUse[],
+  /** The load updates that each host is sent. */
+  #updatesByHost(
+    loads: readonly schema.EngineUse[],
   ): Map<string, schema.EngineUse[]> {
     const { self, hosts, pool } = this.#options;
-    const hearers = new Map<string, schema.EngineUse[]>();
+    const recipients = new Map<string, schema.EngineUse[]>();
     if (this.#isSmall) {
       for (const { host } of hosts()) {
-        if (host !== self) hearers.set(host, [...uses]);
+        if (host !== self) recipients.set(host, [...loads]);
       }
-      return hearers;
+      return recipients;
     }
-    for (const use of uses) {
-      const engine = pool.get(use.engine);
+    for (const load of loads) {
+      const engine = pool.get(load.engine);
       if (engine === undefined) continue;
       const partition = this.#partitionOf(engine);
       const owner = this.#ownerOf(engine.identity.service, partition);
       if (owner === self) continue;
-      hearers.set(owner, [...hearers.get(owner) ?? [], use]);
+      recipients.set(owner, [...recipients.get(owner) ?? [], load]);
     }
-    return hearers;
+    return recipients;
   }
 
-  /** Asks the owner of the partition that a prompt belongs to, and that of the
-   * next one where it would take long there. */
+  /** Asks the owner of the prompt's partition, and the owner of the next one if
+   * the first event would take long there. */
   async #placeByOwners(
     query: PlacementQuery,
   ): Promise<PlacementResult | undefined> {
     const [first, second] = this.#partitionsFor(query);
-    if (first === undefined) return this.#choose(query, "fallback");
-    const placed = await this.#placeIn(first, query);
+    if (first === undefined) return this.#chooseLocally(query, "fallback");
+    const placed = await this.#placeInPartition(first, query);
     const isSlow = placed !== undefined &&
-      placed.firstEventTime > SLOW * query.objective;
+      placed.firstEventTime > SLOW_OBJECTIVE_RATIO * query.objective;
     if (second === undefined || (placed !== undefined && !isSlow)) {
-      return placed ?? this.#choose(query, "fallback");
+      return placed ?? this.#chooseLocally(query, "fallback");
     }
-    const other = await this.#placeIn(second, query);
-    const all = [placed, other].filter((each) => each !== undefined);
-    if (all.length === 0) return this.#choose(query, "fallback");
-    return all.reduce((best, each) =>
+    const other = await this.#placeInPartition(second, query);
+    const placements = [placed, other].filter((each) => each !== undefined);
+    if (placements.length === 0) return this.#chooseLocally(query, "fallback");
+    return placements.reduce((best, each) =>
       each.firstEventTime < best.firstEventTime ? each : best
     );
   }
 
-  async #placeIn(
+  async #placeInPartition(
     partition: string,
     query: PlacementQuery,
   ): Promise<PlacementResult | undefined> {
     const { self, calls, logger } = this.#options;
     const owner = this.#ownerOf(query.service, partition);
     if (owner === self) {
-      const chosen = this.#chooseIn(partition, query);
+      const chosen = this.#chooseInPartition(partition, query);
       return chosen && { ...chosen, source: "self" };
     }
-    if (this.#leftOut.has(owner)) return undefined;
+    if (this.#unresponsive.has(owner)) return undefined;
     try {
-      const reply = await calls.ask(owner, questionOf(partition, query), {
-        timeout: PATIENCE,
+      const reply = await calls.ask(owner, createQuestion(partition, query), {
+        timeout: OWNER_TIMEOUT_MS,
       });
-      return this.#read(reply);
+      return this.#decodeReply(reply);
     } catch (error) {
-      this.#leftOut.add(owner);
+      this.#unresponsive.add(owner);
       const reason = `${error}`;
-      logger.info({ owner, partition, reason }, "Owner of engines lost");
+      logger.info(
+        { owner, partition, reason },
+        "Partition owner failed to answer; skipping it for a while",
+      );
       return undefined;
     }
   }
 
-  #read(reply: schema.Reply): PlacementResult | undefined {
+  #decodeReply(reply: schema.Reply): PlacementResult | undefined {
     const { pool } = this.#options;
     if (reply.type !== "placed") return undefined;
     const engine = pool.get(reply.engine);
-    // An owner may know of an engine some hundred milliseconds sooner.
+    // An owner may learn of an engine a few hundred milliseconds earlier.
     if (engine === undefined || !engine.isAccepting) return undefined;
     const { read, fetched, fetchTime, firstEvent, work } = reply;
     const source = pool.get(reply.source ?? "");
-    const lack = {
+    const cacheMiss = {
       prefillTokens: read,
       fetchTokens: fetched,
       fetchTime,
@@ -240,37 +253,40 @@
     return {
       engine,
       firstEventTime: firstEvent,
-      cacheMiss: lack,
+      cacheMiss,
       pendingWork: work,
       source: "owner",
     };
   }
 
-  /** Chooses among all engines of a service, by what this host knows. */
-  #choose(
+  /** Chooses among all engines of a service by this host's own state. */
+  #chooseLocally(
     { service, prompt, planned, tried }: PlacementQuery,
-    by: PlacementSource,
+    source: PlacementSource,
   ): PlacementResult | undefined {
     const { pool, clock, random, dataCentre } = this.#options;
     const now = clock.now();
-    const chosen = choice.chooseEngine(pool.usable(service, now), prompt, {
+    const chosen = choices.chooseEngine(pool.usable(service, now), prompt, {
       now,
       random,
       dataCentre,
       planned,
       tried,
     });
-    return chosen && { ...chosen, source: by };
+    return chosen && { ...chosen, source };
   }
 
-  #chooseIn(
+  #chooseInPartition(
     partition: string,
     { service, prompt, planned, tried }: Omit<PlacementQuery, "objective">,
-  ): choice.EngineChoice | undefined {
+  ): choices.EngineChoice | undefined {
     const { clock, random, dataCentre } = this.#options;
     const now = clock.now();
-    const engines = pools.usableOf(this.#enginesOf(partition, service), now);
-    return choice.chooseEngine(engines, prompt, {
+    const engines = endpointPools.usableOf(
+      this.#enginesIn(partition, service),
+      now,
+    );
+    return choices.chooseEngine(engines, prompt, {
       now,
       random,
       dataCentre,
@@ -279,62 +295,65 @@
     });
   }
 
-  #enginesOf(partition: string, service: string): endpoint.Endpoint[] {
+  #enginesIn(partition: string, service: string): endpoints.Endpoint[] {
     const { pool } = this.#options;
-    const found = this.#divided(service).find(({ name }) => name === partition);
+    const found = this.#partitionsOf(service).find(({ name }) =>
+      name === partition
+    );
     return (found?.workers ?? []).flatMap(({ id }) => pool.get(id) ?? []);
   }
 
-  /** Partitions of a prompt, that of its planned engine or of its shared part
-   * first; only those where an engine takes it. */
+  /** Partitions with a healthy engine, in order of preference: that of the
+   * planned engine first, then by rendezvous hash of the shared part. */
   #partitionsFor({ service, prompt, planned }: PlacementQuery): string[] {
     const now = this.#options.clock.now();
-    const names = this.#divided(service)
+    const names = this.#partitionsOf(service)
       .filter(({ name }) =>
-        this.#enginesOf(name, service).some((each) => each.isHealthy(now))
+        this.#enginesIn(name, service).some((each) => each.isHealthy(now))
       )
       .map(({ name }) => name);
-    const ranked = rendezvous.rank(keyOf(prompt), names);
+    const ranked = rendezvous.rank(partitionKey(prompt), names);
     if (planned === undefined) return ranked;
     const first = this.#partitionOf(planned);
     return [first, ...ranked.filter((name) => name !== first)];
   }
 
-  #partitionOf({ identity }: endpoint.Endpoint): string {
-    const found = this.#divided(identity.service).find(({ workers }) =>
+  #partitionOf({ identity }: endpoints.Endpoint): string {
+    const found = this.#partitionsOf(identity.service).find(({ workers }) =>
       workers.some(({ id }) => id === identity.id)
     );
     return found?.name ?? "";
   }
 
-  #divided(service: string): readonly cells.Partition[] {
-    const { pool, dependencies: basis } = this.#options;
-    return this.#partitions.get(service, basis(), () => {
+  #partitionsOf(service: string): readonly partitions.Partition[] {
+    const { pool, dependencies } = this.#options;
+    return this.#partitions.get(service, dependencies(), () => {
       const workers = pool.endpointsOf(service).map(({ identity }) => identity);
-      return cells.partition(workers, MOST);
+      return partitions.partition(workers, MAX_PARTITION_ENGINES);
     });
   }
 
-  /** The host that chooses among the engines of a partition, in their data
-   * centre where there is one; one without other work for the fleet where there
-   * is one. */
+  /** The host that owns a partition: preferably one in the data centre of its
+   * engines, and preferably one without other work for the fleet. */
   #ownerOf(service: string, partition: string): string {
-    const { dependencies: basis } = this.#options;
+    const { dependencies } = this.#options;
     const key = `${service} ${partition}`;
-    const ranked = this.#ranked.get(
+    const ranked = this.#rankedOwners.get(
       key,
-      basis(),
-      () => this.#rankOwners(key, cells.dataCentreOf(partition)),
+      dependencies(),
+      () => this.#rankOwners(key, partitions.dataCentreOf(partition)),
     );
-    return this.#leftOut.deprioritize(ranked)[0];
+    return this.#unresponsive.deprioritize(ranked)[0];
   }
 
-  #rankOwners(key: string, place: string | undefined): string[] {
-    const { self, hosts, busyHosts: busyAt } = this.#options;
+  #rankOwners(key: string, engineDataCentre: string | undefined): string[] {
+    const { self, hosts, busyHosts } = this.#options;
     const all = hosts();
-    const near = all.filter(({ dataCentre }) => dataCentre === place);
+    const near = all.filter(({ dataCentre }) =>
+      dataCentre === engineDataCentre
+    );
     const names = (near.length > 0 ? near : all).map(({ host }) => host);
-    const busy = new Set(busyAt(place));
+    const busy = new Set(busyHosts(engineDataCentre));
     const ranked = rendezvous.rank(key, names);
     const owners = [
       ...ranked.filter((host) => !busy.has(host)),
@@ -344,13 +363,13 @@
   }
 }
 
-/** What prompts of one partition have in common: the last part that requests
- * share, after which nothing is. */
-function keyOf({ parts }: protocols.Prompt): string {
+/** Hash key of a prompt's partition: its last shared part, which the part of
+ * the request alone follows. */
+function partitionKey({ parts }: protocols.Prompt): string {
   return (parts.at(-2) ?? parts.at(-1))?.id ?? "";
 }
 
-function questionOf(
+function createQuestion(
   partition: string,
   { service, prompt, planned, tried, isSent }: PlacementQuery,
 ): schema.PlaceQuestion {
--- a/src/gateway/placement_test.ts
+++ b/src/gateway/placement_test.ts
@@ -9,8 +9,8 @@
 
 const ENGINE = { slots: 64, tokens: 100_000, fetchRate: 2000 };
 
-/** A prompt whose shared part has an id of its own. */
-function promptOf(shared: string, tokens = 5000) {
+/** A prompt with the given shared part and an unshared one. */
+function createPrompt(shared: string, tokens = 5000) {
   const parts = [{ id: shared, tokens }, { id: `${shared}-own`, tokens: 500 }];
   const inputTokens = tokens + 500;
   return { model: "m", inputTokens, outputTokens: 100, parts };
@@ -22,9 +22,11 @@
   readonly lost?: string[];
 }
 
-/** Hosts of one data centre that place prompts on the engines there, over calls
- * that take no time. */
-function fleetOf({ hosts = 20, engines = 6, lost = [] }: FleetOptions = {}) {
+/** Hosts of one data centre that place prompts on its engines; calls between
+ * hosts take no time. */
+function createFleet(
+  { hosts = 20, engines = 6, lost = [] }: FleetOptions = {},
+) {
   const clock = new runtime.FakeClock();
   const names = Array.from({ length: hosts }, (_, number) => ({
     host: `h-${number}`,
@@ -71,7 +73,7 @@
   }));
   const place = (
     host: string,
-    prompt: ReturnType<typeof promptOf>,
+    prompt: ReturnType<typeof createPrompt>,
     { isSent = true, tried = [] as string[] } = {},
   ) =>
     members.get(host)!.placement.place({
@@ -84,24 +86,24 @@
   return { clock, members, asked, place };
 }
 
-// The pattern: each of hundreds of hosts sends an engine a few of its requests
-// in a hundred, so that one which goes by its own calls sends to engines that
-// are busy with the calls of others.
-test("prompts of many hosts that share a part do not all go to one engine", async (t) => {
-  const { place } = fleetOf();
+// Guards against overloaded engines in a large fleet: each of hundreds of hosts
+// sends an engine a few percent of its requests, so a host that knows its own
+// calls only chooses engines that are busy with the calls of others.
+test("prompts of many hosts with one shared part are spread over engines", async (t) => {
+  const { place } = createFleet();
   const chosen = new Set<string>();
   for (let number = 0; number < 6; number++) {
-    const prompt = { ...promptOf("part"), inputTokens: 15_000 };
+    const prompt = { ...createPrompt("part"), inputTokens: 15_000 };
     const placed = await place(`h-${number}`, prompt);
     chosen.add(placed!.engine.identity.id);
   }
   t.true(chosen.size > 3, `${chosen.size} engines`);
 });
 
-test("a shared part that an engine has read for one host is not read again for another", async (t) => {
-  const { place } = fleetOf();
-  const first = await place("h-1", promptOf("part"));
-  const second = await place("h-2", promptOf("part"));
+test("a shared part cached for one host is not prefilled again for another", async (t) => {
+  const { place } = createFleet();
+  const first = await place("h-1", createPrompt("part"));
+  const second = await place("h-2", createPrompt("part"));
   const [one, other] = [first!, second!].map(({ engine }) => engine.identity);
   t.true(second!.cacheMiss.prefillTokens <= 500);
   t.true(
@@ -109,40 +111,40 @@
   );
 });
 
-test("a forecast takes no engine's time", async (t) => {
-  const { place } = fleetOf();
-  const forecast = await place("h-1", promptOf("part"), { isSent: false });
-  const after = await place("h-2", promptOf("part"));
+test("a forecast reserves no load", async (t) => {
+  const { place } = createFleet();
+  const forecast = await place("h-1", createPrompt("part"), { isSent: false });
+  const after = await place("h-2", createPrompt("part"));
   t.is(forecast!.pendingWork.tokens, after!.pendingWork.tokens);
 });
 
-test("an engine that was tried is left out", async (t) => {
-  const { place } = fleetOf();
-  const first = await place("h-1", promptOf("part"));
+test("an engine that was already called is not chosen again", async (t) => {
+  const { place } = createFleet();
+  const first = await place("h-1", createPrompt("part"));
   const tried = [first!.engine.identity.id];
-  const second = await place("h-1", promptOf("part"), { tried });
+  const second = await place("h-1", createPrompt("part"), { tried });
   t.false(tried.includes(second!.engine.identity.id));
 });
 
-test("while its owner is silent a host chooses for itself, then asks another", async (t) => {
-  const { place, asked } = fleetOf();
-  await place("h-1", promptOf("part"));
+test("if the owner does not answer, a host chooses itself, then asks another owner", async (t) => {
+  const { place, asked } = createFleet();
+  await place("h-1", createPrompt("part"));
   const [owner] = asked;
-  const { place: placeWithout, asked: tried } = fleetOf({ lost: [owner] });
+  const { place: placeWithout, asked: tried } = createFleet({ lost: [owner] });
   const asker = owner === "h-1" ? "h-2" : "h-1";
-  const alone = await placeWithout(asker, promptOf("part"));
+  const alone = await placeWithout(asker, createPrompt("part"));
   t.is(alone!.source, "fallback");
-  await placeWithout(asker, promptOf("part"));
+  await placeWithout(asker, createPrompt("part"));
   t.is(tried[0], owner);
   t.not(tried[1], owner);
 });
 
-test("a part that many prompts share does not keep them at a busy partition", async (t) => {
-  const { place } = fleetOf({ engines: 40 });
+test("prompts with a popular shared part leave a busy partition", async (t) => {
+  const { place } = createFleet({ engines: 40 });
   const engines = new Map<string, number>();
   for (let number = 0; number < 60; number++) {
     const placed = await place(`h-${number % 20}`, {
-      ...promptOf("hot"),
+      ...createPrompt("hot"),
       inputTokens: 25_000,
     });
     const { id } = placed!.engine.identity;
@@ -151,11 +153,11 @@
   t.true(engines.size > 16, `${engines.size} engines`);
 });
 
-// An engine that has crashed does nothing, so that it looks idle: its owner
-// would place all prompts there that others send in vain.
-test("an engine that fails calls of several hosts is placed on no more", async (t) => {
-  const { clock, place, members, asked } = fleetOf();
-  const placed = await place("h-1", promptOf("part"));
+// Guards against an owner that places all prompts on a crashed engine: it has
+// no load, so it looks idle, while the calls of the other hosts fail.
+test("an engine that fails the calls of several hosts is not chosen", async (t) => {
+  const { clock, place, members, asked } = createFleet();
+  const placed = await place("h-1", createPrompt("part"));
   const [owner = "h-1"] = asked;
   const { id } = placed!.engine.identity;
   clock.advance(300);
@@ -165,32 +167,32 @@
     members.get(host)!.placement.sendLoad([{ ...use, verdicts: ["bad"] }]);
   }
   for (const host of askers) {
-    const next = await place(host, promptOf("part"));
+    const next = await place(host, createPrompt("part"));
     t.not(next!.engine.identity.id, id);
   }
 });
 
-test("where all engines rest after failures one is tried all the same", async (t) => {
-  const { place, members } = fleetOf();
+test("an engine is chosen even if all are ejected", async (t) => {
+  const { place, members } = createFleet();
   for (const engine of members.get("h-1")!.pool.endpointsOf("models")) {
     for (let failures = 0; failures < 3; failures++) {
       engine.recordHealth("bad", 0);
     }
   }
-  const placed = await place("h-1", promptOf("part"));
+  const placed = await place("h-1", createPrompt("part"));
   t.is(placed?.source, "fallback");
 });
 
-function usesOf(engine: string, firsts?: schema.FirstEvent[]) {
+function createLoads(engine: string, firsts?: schema.FirstEvent[]) {
   return [{ engine, tokens: 4000, streams: 2, read: [], firsts }];
 }
 
-test("in a small fleet all hear of an engine's use, in a large one its owner", (t) => {
+test("load updates go to all hosts of a small fleet and to the owner in a large one", (t) => {
   const heardBy = (hosts: number) => {
-    const { members, clock } = fleetOf({ hosts });
+    const { members, clock } = createFleet({ hosts });
     const { placement, pool } = members.get("h-0")!;
     const [engine] = pool.endpointsOf("models");
-    placement.sendLoad(usesOf(engine.identity.id));
+    placement.sendLoad(createLoads(engine.identity.id));
     return [...members].filter(([, member]) => {
       const [same] = member.pool.endpointsOf("models");
       return same.remoteLoad.total(clock.now()).tokens > 0;
@@ -200,9 +202,9 @@
   t.true(heardBy(30) <= 1);
 });
 
-test("an owner learns from first events of the calls that it placed", async (t) => {
-  const { place, members, asked } = fleetOf();
-  const placed = await place("h-1", promptOf("part"));
+test("an owner learns from the first events of calls that it placed", async (t) => {
+  const { place, members, asked } = createFleet();
+  const placed = await place("h-1", createPrompt("part"));
   const [owner = "h-1"] = asked;
   const { id } = placed!.engine.identity;
   const engine = members.get(owner)!.pool.get(id)!;
@@ -210,7 +212,7 @@
   const asker = members.get(owner === "h-2" ? "h-3" : "h-2")!;
   for (let count = 0; count < 20; count++) {
     const firsts = [{ work: { tokens: 5500, streams: 1 }, took: 900 }];
-    asker.placement.sendLoad(usesOf(id, firsts));
+    asker.placement.sendLoad(createLoads(id, firsts));
   }
   t.true(engine.predictFirstEvent(5000, 0) > 2 * before);
 });
--- a/src/gateway/protocol.ts
+++ b/src/gateway/protocol.ts
@@ -1,120 +1,123 @@
-/** What callers and endpoints say, as an adapter of their platform decodes and
- * encodes it. Times are in milliseconds.
+/** Protocol between the gateway, callers and endpoints: the types that a
+ * platform adapter decodes to and encodes from. Times are in milliseconds.
  * @module */
 
 import type * as http from "node:http";
 
-/** A part of a prompt that requests may share; `id` names its content. */
+/** A part of a prompt that requests may share; `id` identifies its content. */
 export interface PromptPart {
   readonly id: string;
   readonly tokens: number;
 }
 
-/** What is known of a prompt for a model. */
+/** A model's prompt as far as placement needs it. */
 export interface Prompt {
   readonly model: string;
   readonly inputTokens: number;
-  /** Most tokens that may be generated. */
+  /** Bound of the generated tokens. */
   readonly outputTokens: number;
-  /** In order; the last belongs to the request or its session alone. */
+  /** In order; only the request or its session has the last one. */
   readonly parts: readonly PromptPart[];
 }
 
-/** A request as a caller has sent it. */
+/** A request as received from a caller. */
 export interface IncomingRequest {
-  /** Id of this attempt of the caller; each retry has another. */
+  /** Id of this attempt; each retry by the caller has another. */
   readonly id: string;
   readonly method: string;
-  /** Host that the caller names. */
+  /** Host name that the caller addresses. */
   readonly host: string;
-  /** Path and query, as sent. */
+  /** Path and query, unchanged. */
   readonly target: string;
-  /** Headers that go on to an endpoint as they are. */
+  /** Headers forwarded to an endpoint unchanged. */
   readonly headers: Readonly<Record<string, string>>;
-  /** How long the caller waits. */
+  /** Time for which the caller waits. */
   readonly timeout?: number;
+  /** API key of the caller's account. */
   readonly apiKey?: string;
   readonly prompt?: Prompt;
-  /** Number of pieces of each stage. */
+  /** Number of items of each stage. */
   readonly itemCounts?: readonly number[];
+  /** Key of the content that the first stages work on. */
   readonly itemKey?: string;
-  /** The caller has the events of a stream up to this one. */
+  /** Id of the last stream event that the caller has received. */
   readonly resumeAfter?: string;
 }
 
-/** A request that was read, or why it could not be. */
+/** A decoded request, or why it is malformed. */
 export type DecodedRequest =
   | { type: "ask"; request: IncomingRequest }
   | { type: "malformed"; detail: string };
 
-/** What the system tells an endpoint beside the request itself. */
+/** Metadata that the gateway adds to a call. */
 export interface CallMetadata {
-  /** Id of the endpoint that is meant; another one does not run the call. */
+  /** Name of the intended endpoint; any other rejects the call. */
   readonly endpoint: string;
   readonly account?: string;
-  /** Address of an engine that has more of the prompt. */
+  /** Address of an engine whose cache holds more of the prompt. */
   readonly fetchFrom?: string;
-  /** How long the answer is of use. */
+  /** Time until the request's deadline. */
   readonly remaining?: number;
-  /** From 0, the most urgent, to 9. */
+  /** Priority from 0, the most urgent, to 9. */
   readonly urgency?: number;
-  /** Results of the last stages; present where a route has stages. */
+  /** Handles of the last stages' results; present if the route has stages. */
   readonly inputs?: readonly string[];
+  /** Id of the stream event after which to resume. */
   readonly resumeAfter?: string;
 }
 
-/** How busy an endpoint says it is. */
+/** Load that an endpoint reports. */
 export interface ReportedLoad {
   readonly running: number;
   readonly waiting: number;
   readonly slots: number;
 }
 
-/** Head of an endpoint's answer. */
+/** Decoded status and headers of an endpoint's answer. */
 export interface ReplyHead {
   readonly status: number;
-  /** Id of the attempt that it answers. */
+  /** Id of the attempt that is answered. */
   readonly attempt?: string;
-  /** Shows that an endpoint has made the answer. */
+  /** Signature of the endpoint, which shows that the answer is its own. */
   readonly signature?: string;
-  /** Whether the endpoint says that it has not run the call. */
+  /** Whether the endpoint states that it has not executed the call. */
   readonly isNotRun: boolean;
-  /** Whether another endpoint than the one that was meant has answered. */
+  /** Whether the answer is from another endpoint than the intended one. */
   readonly isMisdirected: boolean;
-  /** Whether a result that the call needs is gone. */
+  /** Whether an input of the call is lost. */
   readonly lacksInput: boolean;
-  /** Present where the endpoint tells its load. */
+  /** Load of the endpoint, if reported. */
   readonly load?: ReportedLoad;
-  /** Requests a second that the endpoint takes from all hosts together, for as
-   * long as its answers say so. */
+  /** Requests per second that the endpoint accepts from all hosts together,
+   * while its answers contain the limit. */
   readonly rateLimit?: number | "unreadable";
-  /** Milliseconds for which the endpoint is cold, where it says so. */
+  /** Milliseconds for which the endpoint will be cold, if reported. */
   readonly coldFor?: number;
-  /** Headers that go back to the caller as they are. */
+  /** Headers forwarded to the caller unchanged. */
   readonly headers: Readonly<Record<string, string>>;
 }
 
-/** One piece in a call. */
+/** An item to be executed, one of those in a call. */
 export interface ItemRequest {
   readonly request: string;
   readonly stage: number;
   readonly itemIndex: number;
   readonly remaining?: number;
-  /** Content that the first stages work on. */
+  /** Key of the content that the first stages work on. */
   readonly key?: string;
-  /** Results that later stages work on. */
+  /** Handles of the results that later stages work on. */
   readonly inputs?: readonly string[];
 }
 
-/** Why a piece was not made. */
+/** Why an item failed. */
 export type ItemFailure = "late" | "gone" | "room" | "error";
 
-/** What became of one piece. */
+/** Result of one item. */
 export type ItemResult =
   | { type: "made"; handle: string }
   | { type: "failed"; failure: ItemFailure };
 
-/** A call as it goes to an endpoint. */
+/** An encoded call to an endpoint. */
 export interface OutgoingCall {
   readonly method: string;
   readonly path: string;
@@ -122,23 +125,24 @@
   readonly body: string;
 }
 
-/** Decodes and encodes; decides nothing. */
+/** Adapter of a platform: decodes and encodes messages, and makes no
+ * decisions. */
 export interface GatewayProtocol {
   decodeRequest(request: http.IncomingMessage): DecodedRequest;
-  /** Whether a request on the readiness address asks for readiness. */
+  /** Whether a request to the readiness port is a readiness probe. */
   isReadinessProbe(request: http.IncomingMessage): boolean;
   callHeaders(
-    ask: IncomingRequest,
-    terms: CallMetadata,
+    request: IncomingRequest,
+    metadata: CallMetadata,
   ): Record<string, string>;
   decodeReply(
     status: number,
     headers: Readonly<Record<string, string | string[] | undefined>>,
   ): ReplyHead;
-  batchCall(endpoint: string, orders: readonly ItemRequest[]): OutgoingCall;
-  /** Results in the order of the orders; undefined when they are unreadable. */
+  batchCall(endpoint: string, items: readonly ItemRequest[]): OutgoingCall;
+  /** Results in the order of the requested items; undefined if malformed. */
   decodeItemResults(body: Buffer): readonly ItemResult[] | undefined;
   releaseCall(handles: readonly string[]): OutgoingCall;
-  /** Host and port of the endpoint that holds a result. */
+  /** Address (host and port) of the endpoint that holds a result. */
   holderOf(handle: string): string;
 }
--- a/src/gateway/refusal.ts
+++ b/src/gateway/refusal.ts
@@ -1,7 +1,8 @@
-/** The system's own answers: what they say and what they promise.
+/** Refusals: answers that the gateway itself gives, with their status and retry
+ * delay.
  * @module */
 
-/** Why a request gets no endpoint's answer. */
+/** Why a request is refused. */
 export type RefusalReason =
   | "malformed"
   | "too-large"
@@ -23,51 +24,53 @@
   | "failed"
   | "stopping";
 
-/** What is said for a reason. Only 503 promises that the request has not run
- * and never will. */
+/** Answer for a reason. Only status 503 guarantees that the request has not
+ * been executed and will not be. */
 export interface Refusal {
   readonly status: number;
-  /** Seconds after which to come back; present where that can help. */
+  /** Seconds until a retry; present if a retry can help. */
   readonly retryAfter?: number;
 }
 
-/** Milliseconds from a host's start within which it knows the configuration,
- * also where all hosts start at once and control hosts elect a leader first:
- * 0.85 to 1.0 s in plays after a loss of power. */
-const CONFIGURED = 1200;
-/** Least milliseconds after which to come back to a host without one. */
-const LEAST_RETURN = 300;
+/** Milliseconds from a host's start within which it has a configuration, even
+ * if all hosts start at once and the control hosts have to elect a leader
+ * first: that takes 0.85 to 1.0 s after a power loss. */
+const CONFIGURATION_TIME_MS = 1200;
+/** Least retry delay, in milliseconds, for a host without a configuration. */
+const MIN_RETRY_DELAY_MS = 300;
 
-/** Seconds after which a host that started `uptime` milliseconds ago and knows
- * no configuration can be expected to know one. */
+/** Seconds until a host that started `uptime` milliseconds ago and has no
+ * configuration is expected to have one. */
 export function retryAfterUnconfigured(uptime: number): number {
-  return Math.max(LEAST_RETURN, CONFIGURED - uptime) / 1000;
+  return Math.max(MIN_RETRY_DELAY_MS, CONFIGURATION_TIME_MS - uptime) / 1000;
 }
 
-/** Whether a reason is answered with the promise that nothing has run. */
+/** Whether the answer for a reason guarantees that the request has not been
+ * executed. */
 export function guaranteesNotRun(reason: RefusalReason): boolean {
   return REFUSALS[reason].status === 503;
 }
 
-/** Answers by reason. Retry-After follows how soon the reason may be over: an
- * election or a poll of the configuration takes some hundreds of
- * milliseconds, a new endpoint about a heartbeat. */
+/** Answers by reason. The retry delay is the time within which the reason may
+ * no longer hold: an election or a poll of the configuration takes some
+ * hundreds of milliseconds, a new endpoint is known after about one
+ * heartbeat. */
 export const REFUSALS: Readonly<Record<RefusalReason, Refusal>> = {
   "malformed": { status: 400 },
   "too-large": { status: 413 },
   "unreadable": { status: 400 },
-  // When to come back hangs on the host's start: `returnUnconfigured`.
+  // The delay depends on the host's uptime: `retryAfterUnconfigured`.
   "no-configuration": { status: 503 },
   "stale-configuration": { status: 503, retryAfter: 0.5 },
   "no-route": { status: 404 },
   "bad-key": { status: 401 },
   "no-endpoint": { status: 503, retryAfter: 0.6 },
-  // Operators empty data centres for seconds or hours: a caller that can wait
-  // comes back once, after the hosts have moved its work.
+  // Evacuations last seconds or hours: a caller that can wait retries once,
+  // after the hosts have moved its work.
   "evacuated": { status: 503, retryAfter: 1.5 },
-  // When to come back follows from the rate that endpoints name.
+  // The delay follows from the rate limit that endpoints announce.
   "rate-limited": { status: 503 },
-  // When to come back hangs on when it is let run again.
+  // The delay follows from when the quarantine lets the request run again.
   "suspected": { status: 503 },
   "quarantined": { status: 503 },
   "not-run": { status: 503, retryAfter: 0.4 },
--- a/src/gateway/remote_load.ts
+++ b/src/gateway/remote_load.ts
@@ -1,69 +1,76 @@
-/** What other hosts have one engine do, as they tell it.
+/** Load of other hosts on one engine, from their load updates.
  * @module */
 
-/** Milliseconds for which a host's message counts: it is sent again sooner while
- * there is something to tell, so that a host that has ended is forgotten. */
-const FRESH = 1500;
+/** Milliseconds for which a host's update counts. While there is load the
+ * update is sent again sooner, so that only a host that has ended expires. */
+const UPDATE_LIFETIME_MS = 1500;
 
-/** What a host has an engine do. */
+/** Load of one host on an engine. */
 export interface HostLoad {
-  /** Prompt tokens sent there whose first event has not come. */
+  /** Prompt tokens sent there that await their first event. */
   readonly tokens: number;
-  /** Requests under way there. */
+  /** Requests in flight there. */
   readonly streams: number;
 }
 
-/** Milliseconds for which a prompt that was placed for a host counts beside its
- * message: its next one, which has the prompt in it, comes sooner. */
-const EXPECTED = 250;
+/** Milliseconds for which a prompt placed for a host counts in addition to its
+ * update: the host's next update, which includes the prompt, arrives sooner. */
+const RESERVATION_LIFETIME_MS = 250;
 
-const NOTHING: HostLoad = { tokens: 0, streams: 0 };
+const NO_LOAD: HostLoad = { tokens: 0, streams: 0 };
 
-/** Use of one engine by host; changed in place. */
+/** Load on one engine by host; changed in place. */
 export class RemoteLoad {
-  readonly #uses = new Map<string, HostLoad & { at: number }>();
-  readonly #expected = new Map<string, HostLoad & { at: number }>();
+  readonly #updates = new Map<string, HostLoad & { at: number }>();
+  readonly #reservations = new Map<string, HostLoad & { at: number }>();
 
   static create(): RemoteLoad {
     return new RemoteLoad();
   }
 
-  /** Notes the message of a host, which holds in place of its last one. */
+  /** Records a host's update, which replaces its last one. */
   record(host: string, { tokens, streams }: HostLoad, at: number): void {
-    this.#uses.set(host, { tokens, streams, at });
-    this.#expected.delete(host);
+    this.#updates.set(host, { tokens, streams, at });
+    this.#reservations.delete(host);
   }
 
-  /** Notes a prompt that a host is about to send there, of which it must read
-   * so many tokens. */
+  /** Reserves the load of a prompt that a host is about to send, with `tokens`
+   * tokens to prefill. */
   reserve(host: string, tokens: number, at: number): void {
-    const known = this.#expected.get(host) ?? NOTHING;
-    const streams = known.streams + 1;
-    this.#expected.set(host, { tokens: known.tokens + tokens, streams, at });
+    const previous = this.#reservations.get(host) ?? NO_LOAD;
+    const streams = previous.streams + 1;
+    this.#reservations.set(host, {
+      tokens: previous.tokens + tokens,
+      streams,
+      at,
+    });
   }
 
-  /** Use by all of them together. */
+  /** Total load of all hosts. */
   total(now: number): HostLoad {
-    const told = sumOf(this.#uses, now - FRESH);
-    const expected = sumOf(this.#expected, now - EXPECTED);
+    const updated = sumSince(this.#updates, now - UPDATE_LIFETIME_MS);
+    const reserved = sumSince(
+      this.#reservations,
+      now - RESERVATION_LIFETIME_MS,
+    );
     return {
-      tokens: told.tokens + expected.tokens,
-      streams: told.streams + expected.streams,
+      tokens: updated.tokens + reserved.tokens,
+      streams: updated.streams + reserved.streams,
     };
   }
 }
 
-/** Sum of what was noted since a time; forgets the rest. */
-function sumOf(
-  uses: Map<string, HostLoad & { at: number }>,
+/** Sum of the loads recorded since a time; deletes older ones. */
+function sumSince(
+  loads: Map<string, HostLoad & { at: number }>,
   since: number,
 ): HostLoad {
-  let { tokens, streams } = NOTHING;
-  for (const [host, use] of uses) {
-    if (use.at < since) uses.delete(host);
+  let { tokens, streams } = NO_LOAD;
+  for (const [host, load] of loads) {
+    if (load.at < since) loads.delete(host);
     else {
-      tokens += use.tokens;
-      streams += use.streams;
+      tokens += load.tokens;
+      streams += load.streams;
     }
   }
   return { tokens, streams };
--- a/src/gateway/remote_load_test.ts
+++ b/src/gateway/remote_load_test.ts
@@ -3,7 +3,7 @@
 import test from "ava";
 import * as remoteLoads from "./remote_load.ts";
 
-test("the last messages of all hosts are summed up", (t) => {
+test("the last updates of all hosts are summed", (t) => {
   const load = remoteLoads.RemoteLoad.create();
   load.record("one", { tokens: 900, streams: 3 }, 0);
   load.record("one", { tokens: 100, streams: 2 }, 10);
@@ -11,7 +11,7 @@
   t.deepEqual(load.total(20), { tokens: 150, streams: 3 });
 });
 
-test("a host that says nothing more is forgotten", (t) => {
+test("the update of a host that stops sending expires", (t) => {
   const load = remoteLoads.RemoteLoad.create();
   load.record("gone", { tokens: 900, streams: 3 }, 0);
   load.record("there", { tokens: 50, streams: 1 }, 1000);
--- a/src/gateway/reply.ts
+++ b/src/gateway/reply.ts
@@ -1,16 +1,16 @@
-/** What a caller is sent: a whole answer, a stream as it comes, or a refusal,
- * and nothing once it has left.
+/** Reply to a caller: a plain answer, a relayed stream, or a refusal by the
+ * gateway; answers and refusals are dropped once the caller has disconnected.
  * @module */
 
 import type * as http from "node:http";
 import type * as protocols from "./protocol.ts";
 import type * as refusals from "./refusal.ts";
 
-/** What a reply needs of its host. */
+/** Dependencies of a reply. */
 export interface ReplyOptions {
   readonly request: http.IncomingMessage;
   readonly response: http.ServerResponse;
-  /** Whether the host takes no further requests on this connection. */
+  /** Whether the host accepts no further requests on the connection. */
   isDraining(): boolean;
 }
 
@@ -29,18 +29,18 @@
     return new Reply(options);
   }
 
-  /** Head of the stream that has begun, if one has: it is the only one. */
+  /** Head of the stream, once it has started; it is sent only once. */
   get head(): protocols.ReplyHead | undefined {
     return this.#head;
   }
 
-  /** Begins a stream. */
+  /** Sends the head of a stream. */
   startStream(head: protocols.ReplyHead): void {
     this.#head = head;
     this.#options.response.writeHead(head.status, this.#headersOf(head));
   }
 
-  /** Passes bytes of the stream on. */
+  /** Sends bytes of the stream. */
   write(bytes: Buffer): void {
     this.#options.response.write(bytes);
   }
@@ -50,12 +50,13 @@
     this.#options.response.end();
   }
 
-  /** Ends the stream so that it does not look complete. */
+  /** Destroys the connection, so that the caller can't take the stream for
+   * complete. */
   abort(): void {
     this.#options.response.destroy();
   }
 
-  /** Sends a whole answer of an endpoint. */
+  /** Sends an endpoint's plain answer. */
   send(head: protocols.ReplyHead, body: Buffer): void {
     if (this.isDisconnected) return;
     const { response } = this.#options;
@@ -66,7 +67,7 @@
     response.end(body);
   }
 
-  /** Sends a refusal of the system's own. */
+  /** Sends a refusal by the gateway. */
   refuse(
     reason: refusals.RefusalReason,
     { status, retryAfter }: refusals.Refusal,
@@ -85,7 +86,7 @@
   }
 
   #headersOf({ headers }: protocols.ReplyHead): Record<string, string> {
-    const isLast = this.#options.isDraining();
-    return { ...headers, ...(isLast && { connection: "close" }) };
+    const closes = this.#options.isDraining();
+    return { ...headers, ...(closes && { connection: "close" }) };
   }
 }
--- a/src/gateway/retry.ts
+++ b/src/gateway/retry.ts
@@ -1,46 +1,47 @@
-/** Whether a request is sent once more after a call that failed.
+/** Retry policy: whether a request is called again after a failed call.
  * @module */
 
 import * as configurations from "../configuration/mod.ts";
-import type * as attempt from "./attempt.ts";
+import type * as attempts from "./attempt.ts";
 
-/** Sends beyond a route's attempts that endpoints have not run. */
-const NOT_RUN_SENDS = 2;
+/** Calls that no endpoint executed which are allowed beyond a route's
+ * attempts. */
+const EXTRA_NOT_RUN_CALLS = 2;
 
-/** What a request has been through. */
+/** Calls of a request so far. */
 export interface RetryHistory {
-  /** Calls that may have run. */
+  /** Calls that may have been executed. */
   readonly runs: number;
-  /** Calls in all. */
+  /** All calls. */
   readonly sends: number;
 }
 
-/** What may follow on a failed call. */
+/** Whether a failed call is retried. */
 export type RetryDecision =
-  /** Another call, if the budget allows it. */
-  | "again"
-  /** Another call that no endpoint counts as a repeat. */
-  | "again-free"
-  | "over";
+  /** Retry if the retry budget allows it. */
+  | "retry"
+  /** Retry without using the budget: no endpoint has seen the failed call. */
+  | "retry-free"
+  | "stop";
 
-/** Judges a call that gave no answer. */
+/** Decides about a retry after a call without an answer. */
 export function afterFailure(
   route: configurations.Route,
-  failure: Extract<attempt.Outcome, { type: "failed" }>,
+  failure: Extract<attempts.Outcome, { type: "failed" }>,
   { runs, sends }: RetryHistory,
 ): RetryDecision {
   const { cause, mayHaveRun } = failure;
-  if (cause === "cancelled" || cause === "deadline") return "over";
-  if (sends >= route.attempts + NOT_RUN_SENDS) return "over";
-  // Nothing was written: the endpoint has heard of no call.
-  if (cause === "unreachable") return "again-free";
-  if (!mayHaveRun) return "again";
-  const mayRepeat = configurations.isIdempotent(route) && runs < route.attempts;
-  return mayRepeat ? "again" : "over";
+  if (cause === "cancelled" || cause === "deadline") return "stop";
+  if (sends >= route.attempts + EXTRA_NOT_RUN_CALLS) return "stop";
+  // Nothing was written, so no endpoint has received the call.
+  if (cause === "unreachable") return "retry-free";
+  if (!mayHaveRun) return "retry";
+  const mayRetry = configurations.isIdempotent(route) && runs < route.attempts;
+  return mayRetry ? "retry" : "stop";
 }
 
-/** Whether an endpoint's own failure is worth another call: of work that may
- * be repeated, another endpoint may do better. */
+/** Whether an endpoint's error answer is retried: for idempotent requests
+ * another endpoint may succeed. */
 export function shouldRetryAnswer(
   route: configurations.Route,
   { status }: { status: number },
--- a/src/gateway/retry_budget.ts
+++ b/src/gateway/retry_budget.ts
@@ -1,29 +1,30 @@
-/** What of a service's requests this host may send once more.
+/** Retry budget of a service on one host.
  *
- * All hosts together must stay under a ratio of the requests plus a burst. A
- * host spends a part of what its own requests earn, and its even part of the
- * burst, so that the bound holds while hosts cannot speak to each other.
+ * The retries of all hosts together must stay below a ratio of the requests
+ * plus a burst. Each host uses a part of the ratio of its own requests and an
+ * equal share of the burst, so the bound holds even while hosts can't
+ * communicate.
  * @module */
 
-/** Bounds of the whole fleet for one service. */
+/** Bounds of a service's retries for the whole fleet. */
 export interface RetryBounds {
-  /** Part of the requests. */
+  /** Retries per request. */
   readonly ratio: number;
-  /** Number beyond that. */
+  /** Number of retries beyond the ratio. */
   readonly burst: number;
-  /** Milliseconds over which both are counted. */
+  /** Sliding window over which both are counted, in milliseconds. */
   readonly window: number;
 }
 
-/** Part of the bounds that is spent: hosts may know each other's number late,
- * by one in three, and windows slide. */
-const SPENT = 0.6;
+/** Part of the bounds that is used: a host's count of hosts may lag by one in
+ * three, and windows slide. */
+const USED_RATIO = 0.6;
 
-/** Counts of one service; changed in place. */
+/** Requests and retries of one service; changed in place. */
 export class RetryBudget {
   readonly #bounds: RetryBounds;
   #requests: number[] = [];
-  #repeats: number[] = [];
+  #retries: number[] = [];
 
   private constructor(bounds: RetryBounds) {
     this.#bounds = bounds;
@@ -33,36 +34,36 @@
     return new RetryBudget(bounds);
   }
 
-  /** Notes a request of a caller. */
+  /** Records a caller's request. */
   deposit(now: number): void {
-    this.#forget(now);
+    this.#expire(now);
     this.#requests.push(now);
   }
 
-  /** Takes the right to one more send; false when there is none. */
+  /** Withdraws one retry; returns false if the budget is exhausted. */
   tryWithdraw(now: number, hosts: number): boolean {
-    this.#forget(now);
-    if (this.#repeats.length + 1 > this.allowance(hosts)) return false;
-    this.#repeats.push(now);
+    this.#expire(now);
+    if (this.#retries.length + 1 > this.allowance(hosts)) return false;
+    this.#retries.push(now);
     return true;
   }
 
-  /** Sends that the window allows, with so many hosts in the fleet. */
+  /** Retries allowed in the window, in a fleet of `hosts` hosts. */
   allowance(hosts: number): number {
     const { ratio, burst } = this.#bounds;
     const earned = ratio * this.#requests.length;
-    return SPENT * (earned + burst / Math.max(1, hosts));
+    return USED_RATIO * (earned + burst / Math.max(1, hosts));
   }
 
-  #forget(now: number): void {
+  #expire(now: number): void {
     const from = now - this.#bounds.window;
-    this.#requests = later(this.#requests, from);
-    this.#repeats = later(this.#repeats, from);
+    this.#requests = timesAfter(this.#requests, from);
+    this.#retries = timesAfter(this.#retries, from);
   }
 }
 
-/** Times after `from`; `times` is in order. */
-function later(times: number[], from: number): number[] {
+/** The times after `from`; `times` is sorted. */
+function timesAfter(times: number[], from: number): number[] {
   if (times.length === 0 || times[0] > from) return times;
   const first = times.findIndex((time) => time > from);
   return first < 0 ? [] : times.slice(first);
--- a/src/gateway/retry_test.ts
+++ b/src/gateway/retry_test.ts
@@ -2,8 +2,8 @@
 
 import test from "ava";
 import * as fixture from "../configuration/fixture.ts";
-import type * as attempt from "./attempt.ts";
-import * as retry from "./retry.ts";
+import type * as attempts from "./attempt.ts";
+import * as retries from "./retry.ts";
 
 const unsafe = fixture.route({ kind: "unsafe", attempts: 2 });
 const safe = fixture.route({ kind: "safe", attempts: 2 });
@@ -14,39 +14,39 @@
   resumable: true,
 });
 
-function failed(cause: attempt.FailureCause, mayHaveRun: boolean) {
+function failed(cause: attempts.FailureCause, mayHaveRun: boolean) {
   return { type: "failed" as const, cause, mayHaveRun };
 }
 
 const ONCE = { runs: 1, sends: 1 };
 
-test("what may have run is repeated only where it may run twice", (t) => {
+test("a call that may have run is retried only if it is idempotent", (t) => {
   const broken = failed("broken", true);
-  t.is(retry.afterFailure(unsafe, broken, ONCE), "over");
-  t.is(retry.afterFailure(stream, broken, ONCE), "over");
-  t.is(retry.afterFailure(safe, broken, ONCE), "again");
-  t.is(retry.afterFailure(resumable, broken, ONCE), "again");
+  t.is(retries.afterFailure(unsafe, broken, ONCE), "stop");
+  t.is(retries.afterFailure(stream, broken, ONCE), "stop");
+  t.is(retries.afterFailure(safe, broken, ONCE), "retry");
+  t.is(retries.afterFailure(resumable, broken, ONCE), "retry");
 });
 
-test("no more endpoints run a request than its route allows", (t) => {
+test("no more endpoints execute a request than its route allows", (t) => {
   const history = { runs: 2, sends: 2 };
-  t.is(retry.afterFailure(safe, failed("broken", true), history), "over");
+  t.is(retries.afterFailure(safe, failed("broken", true), history), "stop");
 });
 
-test("what provably did not run is sent again, whatever its kind", (t) => {
+test("a call that certainly did not run is retried for every kind of route", (t) => {
   const history = { runs: 0, sends: 1 };
-  t.is(retry.afterFailure(unsafe, failed("full", false), history), "again");
+  t.is(retries.afterFailure(unsafe, failed("full", false), history), "retry");
   const none = failed("unreachable", false);
-  t.is(retry.afterFailure(unsafe, none, history), "again-free");
+  t.is(retries.afterFailure(unsafe, none, history), "retry-free");
 });
 
-test("sends end even where nothing runs", (t) => {
+test("the number of calls is bounded even if none is executed", (t) => {
   const history = { runs: 0, sends: 4 };
-  t.is(retry.afterFailure(safe, failed("full", false), history), "over");
+  t.is(retries.afterFailure(safe, failed("full", false), history), "stop");
 });
 
-test("an endpoint's own failure is tried elsewhere if it may be", (t) => {
-  t.true(retry.shouldRetryAnswer(safe, { status: 500 }, ONCE));
-  t.false(retry.shouldRetryAnswer(unsafe, { status: 500 }, ONCE));
-  t.false(retry.shouldRetryAnswer(safe, { status: 404 }, ONCE));
+test("an endpoint's error answer is retried elsewhere for an idempotent route", (t) => {
+  t.true(retries.shouldRetryAnswer(safe, { status: 500 }, ONCE));
+  t.false(retries.shouldRetryAnswer(unsafe, { status: 500 }, ONCE));
+  t.false(retries.shouldRetryAnswer(safe, { status: 404 }, ONCE));
 });
--- a/src/gateway/server.ts
+++ b/src/gateway/server.ts
@@ -1,24 +1,24 @@
-/** HTTP towards callers, and the answer whether this host takes them.
+/** HTTP servers of a gateway host: for callers, and for readiness probes.
  * @module */
 
 import type * as http from "node:http";
 import type * as net from "node:net";
 import type * as contexts from "./context.ts";
 import * as httpListener from "../fleet/http_listener.ts";
-import * as passages from "./active_request.ts";
+import * as activeRequests from "./active_request.ts";
 
-/** Milliseconds between looks at the requests that a stop waits for. */
-const LOOK = 50;
-/** Bytes of the largest head before a configuration bounds it. */
-const HEADER_BYTES = 16 * 1024;
-/** Milliseconds for which a head may be under way before a configuration
- * bounds it. */
-const HEADER_TIMEOUT = 3000;
-/** Milliseconds for which idle connections stay open before a configuration
- * says so. */
-const IDLE_TIMEOUT = 15_000;
+/** Interval in milliseconds at which a stop checks for requests in flight. */
+const STOP_CHECK_INTERVAL_MS = 50;
+/** Bytes of the largest request head until a configuration sets the limit. */
+const MAX_HEADER_BYTES = 16 * 1024;
+/** Milliseconds within which a request head must arrive until a configuration
+ * sets the limit. */
+const HEADER_TIMEOUT_MS = 3000;
+/** Milliseconds for which idle connections stay open until a configuration sets
+ * the limit. */
+const IDLE_TIMEOUT_MS = 15_000;
 
-/** What a server needs of its host. */
+/** Dependencies of a server. */
 export interface ServerOptions {
   context: contexts.Context;
   callers: httpListener.ListenAddress;
@@ -26,10 +26,10 @@
   isReady(): boolean;
 }
 
-/** Servers for callers and for readiness. */
+/** Server for callers and for readiness probes. */
 export class Server {
   readonly #options: ServerOptions;
-  readonly #passages = new Set<passages.ActiveRequest>();
+  readonly #activeRequests = new Set<activeRequests.ActiveRequest>();
   #callers!: http.Server;
   #readiness?: http.Server;
   #isDraining = false;
@@ -38,37 +38,40 @@
     this.#options = options;
   }
 
-  /** Listens; resolves once callers are taken. */
+  /** Listens; resolves once callers can connect. */
   static async start(options: ServerOptions): Promise<Server> {
     const server = new Server(options);
     const { callers, readiness } = options;
     server.#callers = await httpListener.listen(
       callers,
       (request, response) => server.#serve(request, response),
-      { maxHeaderSize: HEADER_BYTES, connectionsCheckingInterval: 500 },
+      { maxHeaderSize: MAX_HEADER_BYTES, connectionsCheckingInterval: 500 },
     );
     server.setTimeouts({
-      headerTimeout: HEADER_TIMEOUT,
-      idleTimeout: IDLE_TIMEOUT,
+      headerTimeout: HEADER_TIMEOUT_MS,
+      idleTimeout: IDLE_TIMEOUT_MS,
     });
     server.#callers.on("clientError", (error, socket) => {
-      server.#refuseBytes(error as NodeJS.ErrnoException, socket as net.Socket);
+      server.#rejectInvalid(
+        error as NodeJS.ErrnoException,
+        socket as net.Socket,
+      );
     });
     if (readiness !== undefined) {
       server.#readiness = await httpListener.listen(
         readiness,
-        (request, response) => server.#tellReadiness(request, response),
+        (request, response) => server.#answerProbe(request, response),
       );
     }
     return server;
   }
 
-  /** Requests under way. */
+  /** Number of requests in flight. */
   get inFlight(): number {
-    return this.#passages.size;
+    return this.#activeRequests.size;
   }
 
-  /** Follows the limits of a configuration, in milliseconds. */
+  /** Sets the timeouts of a configuration, in milliseconds. */
   setTimeouts(
     { headerTimeout, idleTimeout }: {
       headerTimeout: number;
@@ -80,22 +83,22 @@
     this.#callers.keepAliveTimeout = idleTimeout;
   }
 
-  /** Says that this host takes no new callers, and goes on serving. */
+  /** Reports the host as not ready; requests are still served. */
   drain(): void {
     this.#isDraining = true;
   }
 
-  /** Resolves when no request is under way, or after `patience` milliseconds;
-   * what is left then is given up. */
-  async finish(patience: number): Promise<void> {
+  /** Resolves when no request is in flight, or after a timeout in milliseconds;
+   * the remaining requests are then aborted. */
+  async finish(timeout: number): Promise<void> {
     const { clock } = this.#options.context;
-    const until = clock.now() + patience;
-    while (this.#passages.size > 0 && clock.now() < until) {
+    const deadline = clock.now() + timeout;
+    while (this.#activeRequests.size > 0 && clock.now() < deadline) {
       await new Promise<void>((resolve) =>
-        void clock.after(LOOK, () => resolve())
+        void clock.after(STOP_CHECK_INTERVAL_MS, () => resolve())
       );
     }
-    for (const passage of this.#passages) passage.abort();
+    for (const active of this.#activeRequests) active.abort();
   }
 
   /** Closes all connections. */
@@ -107,18 +110,18 @@
   #serve(request: http.IncomingMessage, response: http.ServerResponse): void {
     const { context } = this.#options;
     response.on("error", (error) => {
-      context.logger.debug({ err: error }, "Caller's connection broke");
+      context.logger.debug({ err: error }, "Connection to a caller failed");
     });
-    const passage = passages.ActiveRequest.start(context, {
+    const active = activeRequests.ActiveRequest.start(context, {
       request,
       response,
     });
-    this.#passages.add(passage);
-    context.metrics.gauge("gateway.in_flight", this.#passages.size);
-    void passage.finished.then(() => this.#passages.delete(passage));
+    this.#activeRequests.add(active);
+    context.metrics.gauge("gateway.in_flight", this.#activeRequests.size);
+    void active.finished.then(() => this.#activeRequests.delete(active));
   }
 
-  #tellReadiness(
+  #answerProbe(
     request: http.IncomingMessage,
     response: http.ServerResponse,
   ): void {
@@ -130,24 +133,27 @@
     response.writeHead(isReady() && !this.#isDraining ? 200 : 503).end();
   }
 
-  /** Bytes that are no request: nothing of them was passed on. */
-  #refuseBytes(error: NodeJS.ErrnoException, socket: net.Socket): void {
+  /** Rejects bytes that are not a valid HTTP request; none were forwarded. */
+  #rejectInvalid(error: NodeJS.ErrnoException, socket: net.Socket): void {
     const { metrics, logger } = this.#options.context;
     const { code } = error;
     metrics.count("gateway.refused", 1, { reason: "bytes" });
-    logger.debug({ code }, "Bytes of a caller are no request");
+    logger.debug(
+      { code },
+      "Invalid HTTP request from a caller; closing its connection",
+    );
     if (!socket.writable || code === "ECONNRESET") {
       socket.destroy();
       return;
     }
-    const status = CLIENT_ERRORS[code ?? ""] ?? "400 Bad Request";
+    const status = CLIENT_ERROR_STATUS[code ?? ""] ?? "400 Bad Request";
     socket.end(
       `HTTP/1.1 ${status}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`,
     );
   }
 }
 
-const CLIENT_ERRORS: Readonly<Record<string, string>> = {
+const CLIENT_ERROR_STATUS: Readonly<Record<string, string>> = {
   HPE_HEADER_OVERFLOW: "431 Request Header Fields Too Large",
   ERR_HTTP_REQUEST_TIMEOUT: "408 Request Timeout",
 };
--- a/src/gateway/stage_execution.ts
+++ b/src/gateway/stage_execution.ts
@@ -1,74 +1,76 @@
-/** Has the pieces of one request made, stage by stage.
+/** Executes the stages of one request: has their items (units of work that
+ * other requests may share a batch with) reserved and computed, and keeps the
+ * handles of their results.
  * @module */
 
 import type * as configurations from "../configuration/mod.ts";
-import * as pieces from "../batching/mod.ts";
+import * as batching from "../batching/mod.ts";
 import type * as schema from "../schema/fleet_types.ts";
 import type * as contexts from "./context.ts";
 import type * as protocols from "./protocol.ts";
 
-/** Part of the time for which results are kept in which what works on them is
- * wanted once they are there: work that can wait would else find them gone, and
- * have them made again. */
-const KEPT = 0.4;
+/** Part of the retention time of results within which the next stage is due:
+ * otherwise stages with much slack would start after their inputs have expired,
+ * and these would have to be produced again. */
+const INPUT_RETENTION_RATIO = 0.4;
 
-/** Times that pieces of one request are asked for again. */
-const REPEATS = 3;
+/** Most retries of items per request. */
+const MAX_RETRIES = 3;
 
-/** What a preparation is for. */
+/** The request whose stages are executed, and when they are due. */
 export interface StageExecutionOptions {
   readonly request: protocols.IncomingRequest;
   readonly route: configurations.Route;
-  /** How urgent the pieces are at first; 0 is the highest. */
+  /** Initial priority rank of the items; 0 is the highest. */
   readonly rank: number;
-  /** When the request ends at the latest. */
+  /** Time at which the request ends at the latest. */
   readonly deadline: number;
-  /** When its answer is wanted. */
+  /** Time at which the results are due. */
   readonly dueAt: number;
-  /** Where the results are needed; that of the own host when absent. */
+  /** Data centre where the results are needed; this host's if absent. */
   readonly dataCentre?: string;
 }
 
-/** How it ended. */
+/** Handles of the last stages' results, or why there are none. */
 export type StageExecutionResult =
   | { type: "made"; inputs: readonly string[] }
   | { type: "failed"; detail: string };
 
-type Needs = Pick<
+type Dependencies = Pick<
   contexts.Context,
   "clock" | "maker" | "dataCentre" | "fleetView" | "pool" | "protocol"
 >;
 
-/** Pieces of a stage that were asked for, and how many milliseconds it took. */
+/** Items of a stage requested together, and the milliseconds that they took. */
 export interface RoundRecord {
   readonly service: string;
   readonly pieces: number;
   readonly ms: number;
 }
 
-/** What the forecast of one stage was made of, for the log. */
+/** Terms of one stage's forecast, for the log. */
 export interface StageForecastRecord {
   readonly service: string;
   readonly waitMs: number;
   readonly workMs: number;
   readonly workAgeMs?: number;
-  /** Pieces ahead of the stage's own. */
+  /** Items queued before those of the stage. */
   readonly ahead?: number;
-  /** Pieces begun in a second. */
+  /** Items started per second. */
   readonly rate?: number;
 }
 
-/** When the stages are expected to be made, in milliseconds from now. */
+/** Forecast completion of all stages, in milliseconds from now. */
 export interface PipelineForecast {
   readonly finish: number;
-  /** The same if nothing waited anywhere. */
+  /** The same without queueing. */
   readonly uncontended: number;
   readonly stages: readonly StageForecastRecord[];
 }
 
-function noteOf(
+function createRecord(
   service: string,
-  { wait, work, workAge, ahead, rate }: pieces.Turn,
+  { wait, work, workAge, ahead, rate }: batching.Turn,
 ): StageForecastRecord {
   return {
     service,
@@ -80,103 +82,119 @@
   };
 }
 
-/** Pieces of a request on their way. */
+/** Execution of the stages of one request. */
 export class StageExecution {
-  readonly #needs: Needs;
+  readonly #dependencies: Dependencies;
   readonly #options: StageExecutionOptions;
-  #plan: pieces.Plan;
-  #repeats = 0;
-  #isOver = false;
-  /** When the answer is wanted, and how urgent that is. */
-  #wanted: number;
+  #plan: batching.Plan;
+  #retries = 0;
+  #isClosed = false;
+  /** Time at which the results are due, and the priority rank of the items. */
+  #dueAt: number;
   #rank: number;
-  /** Each time that pieces of a stage were asked for, for the log. */
+  /** Item requests so far, for the log. */
   readonly rounds: RoundRecord[] = [];
-  readonly #stages: readonly Omit<pieces.forecast.StageForecast, "wait">[];
-  /** Milliseconds of work behind each stage. */
-  #tails: readonly number[];
-  /** Cells that make the pieces, by service. */
-  readonly #cells: Map<string, string>;
+  readonly #stages: readonly Omit<batching.forecast.StageForecast, "wait">[];
+  /** Milliseconds of work that follows on each stage. */
+  #remainingTimes: readonly number[];
+  /** Partitions that execute the items, by service. */
+  readonly #partitions: Map<string, string>;
 
-  private constructor(needs: Needs, options: StageExecutionOptions) {
-    this.#needs = needs;
+  private constructor(
+    dependencies: Dependencies,
+    options: StageExecutionOptions,
+  ) {
+    this.#dependencies = dependencies;
     this.#options = options;
-    this.#wanted = options.dueAt;
+    this.#dueAt = options.dueAt;
     this.#rank = options.rank;
-    const { route, request: ask } = options;
-    this.#plan = pieces.Plan.create(route.stages, ask.itemCounts ?? []);
-    const { itemCounts: counts } = this.#plan;
-    const catalogue = needs.fleetView.catalogue();
-    this.#stages = route.stages.map(({ after, service }, number) => {
+    const { route, request } = options;
+    this.#plan = batching.Plan.create(route.stages, request.itemCounts ?? []);
+    const { itemCounts } = this.#plan;
+    const catalogue = dependencies.fleetView.catalogue();
+    this.#stages = route.stages.map(({ after, service }, stage) => {
       const traits = catalogue?.service(service)?.batching;
-      const count = counts[number];
-      const work = traits && pieces.forecast.callDuration(traits, count);
+      const count = itemCounts[stage];
+      const work = traits && batching.forecast.callDuration(traits, count);
       return { after, work: work ?? 0 };
     });
-    this.#tails = pieces.forecast.remainingTimes(this.#stages);
+    this.#remainingTimes = batching.forecast.remainingTimes(this.#stages);
     const services = new Set(route.stages.map(({ service }) => service));
-    this.#cells = new Map(
-      [...services].map((each) => [each, this.#pickCell(each)]),
+    this.#partitions = new Map(
+      [...services].map((each) => [each, this.#selectPartition(each)]),
     );
   }
 
-  static create(needs: Needs, options: StageExecutionOptions): StageExecution {
-    return new StageExecution(needs, options);
+  static create(
+    dependencies: Dependencies,
+    options: StageExecutionOptions,
+  ): StageExecution {
+    return new StageExecution(dependencies, options);
   }
 
-  /** Milliseconds that the stages take where nothing waits. */
+  /** Milliseconds that the stages take without queueing. */
   get uncontended(): number {
-    return pieces.forecast.completionTime(this.#free);
+    return batching.forecast.completionTime(this.#uncontendedStages);
   }
 
-  /** Changes when the answer is wanted, and how urgent that is. */
-  reschedule(at: number, rank: number): void {
-    this.#wanted = at;
+  /** Changes when the results are due, and the rank of the items. */
+  reschedule(dueAt: number, rank: number): void {
+    this.#dueAt = dueAt;
     this.#rank = rank;
   }
 
-  /** Books the pieces of all stages; resolves with when they would be made. */
+  /** Reserves the items of all stages; resolves with their forecast
+   * completion. */
   async book(): Promise<PipelineForecast> {
-    const { route, request: ask } = this.#options;
-    const { itemCounts: counts } = this.#plan;
-    const turns = await Promise.all(route.stages.map(({ service }, stage) => {
-      if (counts[stage] === 0) return undefined;
-      return this.#needs.maker.reserve({
-        type: "book",
-        ...this.#cellOf(service),
-        request: ask.id,
-        stage,
-        pieces: counts[stage],
-        slack: this.#slack(stage),
-        rank: this.#rank,
-      });
-    }));
-    const stages = this.#free.map(({ after, work }, number) => {
-      const turn = turns[number];
-      if (turn === undefined) return { after, work, wait: 0 };
-      return { after, wait: turn.wait, work: Math.max(work, turn.work) };
+    const { route, request } = this.#options;
+    const { itemCounts } = this.#plan;
+    const estimates = await Promise.all(
+      route.stages.map(({ service }, stage) => {
+        if (itemCounts[stage] === 0) return undefined;
+        return this.#dependencies.maker.reserve({
+          type: "book",
+          ...this.#partitionOf(service),
+          request: request.id,
+          stage,
+          pieces: itemCounts[stage],
+          slack: this.#slack(stage),
+          rank: this.#rank,
+        });
+      }),
+    );
+    const stages = this.#uncontendedStages.map(({ after, work }, stage) => {
+      const estimate = estimates[stage];
+      if (estimate === undefined) return { after, work, wait: 0 };
+      return {
+        after,
+        wait: estimate.wait,
+        work: Math.max(work, estimate.work),
+      };
     });
-    this.#tails = pieces.forecast.remainingTimes(stages);
+    this.#remainingTimes = batching.forecast.remainingTimes(stages);
     return {
-      finish: pieces.forecast.completionTime(stages),
+      finish: batching.forecast.completionTime(stages),
       uncontended: this.uncontended,
-      stages: turns.flatMap((turn, stage) =>
-        turn === undefined ? [] : [noteOf(route.stages[stage].service, turn)]
+      stages: estimates.flatMap((estimate, stage) =>
+        estimate === undefined
+          ? []
+          : [createRecord(route.stages[stage].service, estimate)]
       ),
     };
   }
 
-  /** Makes what is missing; resolves once all is there or cannot be. */
+  /** Executes the items that are missing; resolves when all results exist or a
+   * stage has failed. */
   run(): Promise<StageExecutionResult> {
     return new Promise((resolve) => {
       const step = () => {
-        if (this.#isOver) return;
+        if (this.#isClosed) return;
         if (this.#plan.isComplete) {
           return resolve({ type: "made", inputs: this.#plan.outputs });
         }
-        for (const round of this.#plan.readyRequests) {
-          this.#plan = this.#plan.markRequested(round.stage);
-          void this.#make(round).then((detail) => {
+        for (const stageRequest of this.#plan.readyRequests) {
+          this.#plan = this.#plan.markRequested(stageRequest.stage);
+          void this.#compute(stageRequest).then((detail) => {
             if (detail === undefined) return step();
             resolve({ type: "failed", detail });
           });
@@ -186,20 +204,20 @@
     });
   }
 
-  /** Forgets all results: one of them is gone, and nobody says which. */
+  /** Discards all results: one of them is lost, and it is unknown which. */
   discardResults(): void {
     this.#plan = this.#plan.discardResults(this.#plan.stageIndexes);
   }
 
-  /** Gives the results up; they have been read. */
+  /** Releases the results that are held. */
   release(): void {
-    this.#giveUp(this.#plan.heldResults);
+    this.#releaseResults(this.#plan.heldResults);
   }
 
-  /** Stops: nobody waits for it any more. */
+  /** Releases the results and cancels the items that are unfinished. */
   close(): void {
-    if (this.#isOver) return;
-    this.#isOver = true;
+    if (this.#isClosed) return;
+    this.#isClosed = true;
     this.release();
     if (this.#plan.isComplete) return;
     const { id } = this.#options.request;
@@ -207,119 +225,131 @@
       .filter((_, stage) => this.#plan.itemCounts[stage] > 0)
       .map(({ service }) => service);
     for (const service of new Set(services)) {
-      this.#needs.maker.cancel(this.#cellOf(service), id);
+      this.#dependencies.maker.cancel(this.#partitionOf(service), id);
     }
   }
 
-  /** The stages where nothing waits. */
-  get #free(): pieces.forecast.StageForecast[] {
+  /** The stages with no queueing delay. */
+  get #uncontendedStages(): batching.forecast.StageForecast[] {
     return this.#stages.map((stage) => ({ ...stage, wait: 0 }));
   }
 
-  #giveUp(holdings: readonly pieces.HeldResults[]): void {
-    for (const { service, handles } of holdings) {
-      this.#needs.maker.release(this.#cellOf(service), handles);
+  #releaseResults(results: readonly batching.HeldResults[]): void {
+    for (const { service, handles } of results) {
+      this.#dependencies.maker.release(this.#partitionOf(service), handles);
     }
   }
 
-  #pickCell(service: string): string {
+  #selectPartition(service: string): string {
     const { id: request } = this.#options.request;
     const dataCentre = this.#destination;
-    return this.#needs.maker.selectPartition(service, { request, dataCentre });
+    return this.#dependencies.maker.selectPartition(service, {
+      request,
+      dataCentre,
+    });
   }
 
-  #cellOf(service: string): pieces.partitions.PartitionName {
-    return { service, cell: this.#cells.get(service)! };
+  #partitionOf(service: string): batching.partitions.PartitionName {
+    return { service, cell: this.#partitions.get(service)! };
   }
 
-  /** Makes the pieces of a stage; resolves with why they cannot be. */
-  async #make(round: pieces.StageRequest): Promise<string | undefined> {
-    const { stage, service } = round;
-    const { clock, maker } = this.#needs;
-    const asked = clock.now();
-    const results = await maker.compute(this.#question(round));
-    const ms = Math.round(clock.now() - asked);
-    this.rounds.push({ service, pieces: round.items.length, ms });
-    const made = results.filter(({ handle }) => handle !== undefined);
-    this.#plan = this.#plan.addResults(stage, made);
-    if (this.#isOver) this.release();
-    this.#giveUp(this.#plan.consumedResults);
+  /** Executes some items of a stage; resolves with the reason when the stage
+   * can't be completed. */
+  async #compute(
+    stageRequest: batching.StageRequest,
+  ): Promise<string | undefined> {
+    const { stage, service } = stageRequest;
+    const { clock, maker } = this.#dependencies;
+    const startedAt = clock.now();
+    const results = await maker.compute(this.#createQuestion(stageRequest));
+    const ms = Math.round(clock.now() - startedAt);
+    this.rounds.push({ service, pieces: stageRequest.items.length, ms });
+    const succeeded = results.filter(({ handle }) => handle !== undefined);
+    this.#plan = this.#plan.addResults(stage, succeeded);
+    if (this.#isClosed) this.release();
+    this.#releaseResults(this.#plan.consumedResults);
     this.#plan = this.#plan.markConsumedReleased();
     const failures = results.flatMap(({ failure }) => failure ?? []);
     if (failures.length === 0) return undefined;
     const [failure] = failures;
     if (failures.includes("late")) return `stage ${stage}: late`;
-    if (++this.#repeats > REPEATS) return `stage ${stage}: ${failure}`;
+    if (++this.#retries > MAX_RETRIES) return `stage ${stage}: ${failure}`;
     if (failures.includes("unreachable")) {
-      this.#cells.set(service, this.#pickCell(service));
+      this.#partitions.set(service, this.#selectPartition(service));
     }
     if (failures.includes("gone")) {
       this.#plan = this.#plan.discardResults(this.#plan.dependenciesOf(stage));
     }
-    return this.#left() > 0 ? undefined : `stage ${stage} (${service}): late`;
+    return this.#remainingTime() > 0
+      ? undefined
+      : `stage ${stage} (${service}): late`;
   }
 
-  #question(
-    { stage, service, items: pieces, bytes, inputs, inputBytes }:
-      pieces.StageRequest,
+  #createQuestion(
+    { stage, service, items, bytes, inputs, inputBytes }: batching.StageRequest,
   ): schema.MakeQuestion {
-    const { request: ask } = this.#options;
-    // Inputs are fetched by each piece, a result once: the larger part decides
-    // where a piece is made.
-    const isFed = inputs !== undefined && inputBytes > bytes;
-    const dataCentre = isFed ? this.#placeOf(inputs) : this.#destination;
+    const { request } = this.#options;
+    // Each item fetches its inputs, and its result is fetched once: the larger
+    // of the two decides where the item is executed.
+    const isInputBound = inputs !== undefined && inputBytes > bytes;
+    const dataCentre = isInputBound
+      ? this.#dataCentreOf(inputs)
+      : this.#destination;
     const isFirst = inputs === undefined;
     return {
       type: "make",
-      ...this.#cellOf(service),
-      request: ask.id,
+      ...this.#partitionOf(service),
+      request: request.id,
       stage,
-      pieces: [...pieces],
-      ...(isFirst ? { key: ask.itemKey ?? "" } : { inputs: [...inputs] }),
+      pieces: [...items],
+      ...(isFirst ? { key: request.itemKey ?? "" } : { inputs: [...inputs] }),
       bytes,
       moved: Math.max(bytes, inputBytes),
-      remaining: Math.max(0, this.#left()),
-      slack: Math.min(this.#slack(stage), this.#kept(stage)),
+      remaining: Math.max(0, this.#remainingTime()),
+      slack: Math.min(this.#slack(stage), this.#retentionSlack(stage)),
       rank: this.#rank,
       dataCentre,
     };
   }
 
-  /** Data centre that the request itself will run in. */
+  /** Data centre in which the request itself will be executed. */
   get #destination(): string {
-    return this.#options.dataCentre ?? this.#needs.dataCentre;
+    return this.#options.dataCentre ?? this.#dependencies.dataCentre;
   }
 
-  /** Data centre that holds most of some results. */
-  #placeOf(handles: readonly string[]): string {
-    const { pool, protocol } = this.#needs;
+  /** Data centre that holds most of the given results. */
+  #dataCentreOf(handles: readonly string[]): string {
+    const { pool, protocol } = this.#dependencies;
     const counts = new Map<string, number>();
     for (const handle of handles) {
-      const place = pool.dataCentreOf(protocol.holderOf(handle));
-      if (place !== undefined) counts.set(place, (counts.get(place) ?? 0) + 1);
+      const dataCentre = pool.dataCentreOf(protocol.holderOf(handle));
+      if (dataCentre !== undefined) {
+        counts.set(dataCentre, (counts.get(dataCentre) ?? 0) + 1);
+      }
     }
     const [most] = [...counts].sort(([, a], [, b]) => b - a);
     return most?.[0] ?? this.#destination;
   }
 
-  /** Milliseconds within which a stage's results are wanted, so that what
-   * follows on them ends in time. */
+  /** Milliseconds until a stage's results are due, so that the stages that
+   * follow end in time. */
   #slack(stage: number): number {
-    return this.#wanted - this.#needs.clock.now() - this.#tails[stage];
+    return this.#dueAt - this.#dependencies.clock.now() -
+      this.#remainingTimes[stage];
   }
 
-  /** Milliseconds within which a stage whose inputs are there is wanted. */
-  #kept(stage: number): number {
+  /** Milliseconds within which a stage is due before its inputs expire. */
+  #retentionSlack(stage: number): number {
     const { route } = this.#options;
-    const catalogue = this.#needs.fleetView.catalogue();
+    const catalogue = this.#dependencies.fleetView.catalogue();
     const times = route.stages[stage].after.map((other) => {
       const { service } = route.stages[other];
       return catalogue?.service(service)?.batching?.keepTime ?? Infinity;
     });
-    return KEPT * Math.min(Infinity, ...times);
+    return INPUT_RETENTION_RATIO * Math.min(Infinity, ...times);
   }
 
-  #left(): number {
-    return this.#options.deadline - this.#needs.clock.now();
+  #remainingTime(): number {
+    return this.#options.deadline - this.#dependencies.clock.now();
   }
 }
--- a/src/gateway/target_choice.ts
+++ b/src/gateway/target_choice.ts
@@ -1,23 +1,23 @@
-/** Which endpoint a request is sent to: the best that it was not sent to yet and
- * that may get it now.
+/** Chooses the endpoint for a request's next call: the best one not called yet
+ * that admits the request now.
  * @module */
 
 import type * as admissions from "./endpoint_admission.ts";
-import * as choice from "./endpoint_choice.ts";
+import * as choices from "./endpoint_choice.ts";
 import type * as contexts from "./context.ts";
 import type * as endpoints from "./endpoint.ts";
 import type * as placements from "./placement.ts";
 import type * as protocols from "./protocol.ts";
 import type * as refusals from "./refusal.ts";
 
-/** Where a call goes. */
+/** The endpoint of a call. */
 export interface Target {
   readonly endpoint: endpoints.Endpoint;
-  /** For a prompt. */
+  /** Present for a prompt. */
   readonly placed?: placements.PlacementResult;
 }
 
-/** What is chosen, or why nothing is. */
+/** The chosen target, or why there is none. */
 export type TargetChoiceResult =
   | { readonly type: "target"; readonly target: Target }
   | {
@@ -26,59 +26,65 @@
     readonly about: Readonly<Record<string, unknown>>;
   };
 
-/** What a choice is for. */
+/** The request that targets are chosen for. */
 export interface TargetChoiceOptions {
   readonly service: string;
   readonly prompt?: protocols.Prompt;
-  /** Milliseconds within which a first event is wanted. */
+  /** Target time to the first event, in milliseconds. */
   readonly objective: number;
-  /** When the request ends at the latest. */
+  /** Time at which the request ends at the latest. */
   readonly deadline: number;
   readonly admission: admissions.EndpointAdmission;
 }
 
-/** What has become of the request meanwhile. */
+/** Progress of the request so far. */
 export interface RequestProgress {
-  /** Endpoints that it was sent to, by their ids. */
+  /** Ids of the endpoints already called. */
   readonly called: readonly string[];
-  /** Engine that its inputs were made near. */
+  /** Engine near which the request's inputs were produced. */
   readonly planned?: endpoints.Endpoint;
-  /** Whether nobody waits for it any more. */
+  /** Whether the caller no longer waits. */
   isFinished(): boolean;
 }
 
-type Needs = Pick<
+type Dependencies = Pick<
   contexts.Context,
   "pool" | "clock" | "random" | "dataCentre" | "placement" | "quotas"
 >;
 
-/** Choices for one request. */
+/** Chooses the targets of one request. */
 export class TargetChoice {
-  readonly #needs: Needs;
+  readonly #dependencies: Dependencies;
   readonly #options: TargetChoiceOptions;
 
-  private constructor(needs: Needs, options: TargetChoiceOptions) {
-    this.#needs = needs;
+  private constructor(
+    dependencies: Dependencies,
+    options: TargetChoiceOptions,
+  ) {
+    this.#dependencies = dependencies;
     this.#options = options;
   }
 
-  static create(needs: Needs, options: TargetChoiceOptions): TargetChoice {
-    return new TargetChoice(needs, options);
+  static create(
+    dependencies: Dependencies,
+    options: TargetChoiceOptions,
+  ): TargetChoice {
+    return new TargetChoice(dependencies, options);
   }
 
-  /** Chooses an endpoint that takes the request now. */
+  /** Resolves with an endpoint that admits the request now. */
   async choose(progress: RequestProgress): Promise<TargetChoiceResult> {
-    const { admission, deadline: until } = this.#options;
+    const { admission, deadline } = this.#options;
     const avoided: string[] = [];
     for (;;) {
       const target = await this.#pick(progress, avoided);
-      if (target === undefined) return this.#nothing;
+      if (target === undefined) return this.#unavailable;
       if (progress.isFinished()) return { type: "target", target };
       const { id } = target.endpoint.identity;
-      const denial = await admission.acquire(target.endpoint, until);
-      const isOver = progress.isFinished();
-      if (isOver && denial === undefined) admission.release();
-      if (isOver || denial === undefined) return { type: "target", target };
+      const denial = await admission.acquire(target.endpoint, deadline);
+      const isFinished = progress.isFinished();
+      if (isFinished && denial === undefined) admission.release();
+      if (isFinished || denial === undefined) return { type: "target", target };
       if (denial.isFinal || avoided.includes(id)) {
         const { reason, details: about } = denial;
         return { type: "none", reason, about };
@@ -87,24 +93,23 @@
     }
   }
 
-  /** Why no endpoint can be called. */
-  get #nothing(): TargetChoiceResult {
-    const known = this.#needs.pool.endpointsOf(this.#options.service);
+  /** The result when no endpoint can be called. */
+  get #unavailable(): TargetChoiceResult {
+    const known = this.#dependencies.pool.endpointsOf(this.#options.service);
     const isEvacuated = known.some((each) => each.isEvacuated);
     const reason = isEvacuated ? "evacuated" : "no-endpoint";
     return { type: "none", reason, about: {} };
   }
 
-  /** An endpoint that was not called yet and is not to be avoided, where there
-   * is one. */
+  /** The best endpoint, preferably one not called yet and not in `avoided`. */
   async #pick(
     { called, planned }: RequestProgress,
     avoided: readonly string[],
   ): Promise<Target | undefined> {
-    const { placement, quotas } = this.#needs;
+    const { placement, quotas } = this.#dependencies;
     const { service, prompt, objective } = this.#options;
     const tried = [...called, ...avoided, ...quotas.blockedEndpoints];
-    if (prompt === undefined) return this.#pickPlain(tried);
+    if (prompt === undefined) return this.#pickEndpoint(tried);
     const placed = await placement.place({
       service,
       prompt,
@@ -116,15 +121,19 @@
     return placed && { endpoint: placed.engine, placed };
   }
 
-  #pickPlain(tried: readonly string[]): Target | undefined {
-    const { pool, clock, random, dataCentre, quotas } = this.#needs;
+  #pickEndpoint(tried: readonly string[]): Target | undefined {
+    const { pool, clock, random, dataCentre, quotas } = this.#dependencies;
     const now = clock.now();
     const usable = pool.usable(this.#options.service, now);
-    const fresh = usable.filter(({ identity }) => !tried.includes(identity.id));
-    const due = fresh.find(({ identity }) => quotas.needsProbe(identity.id));
-    const candidates = fresh.length > 0 ? fresh : usable;
-    const situation = { now, random, dataCentre };
-    const endpoint = due ?? choice.chooseEndpoint(candidates, situation);
+    const untried = usable.filter(({ identity }) =>
+      !tried.includes(identity.id)
+    );
+    const probed = untried.find(({ identity }) =>
+      quotas.needsProbe(identity.id)
+    );
+    const candidates = untried.length > 0 ? untried : usable;
+    const context = { now, random, dataCentre };
+    const endpoint = probed ?? choices.chooseEndpoint(candidates, context);
     return endpoint && { endpoint };
   }
 }
--- a/src/gateway/timeliness.ts
+++ b/src/gateway/timeliness.ts
@@ -1,61 +1,66 @@
-/** What is to be expected for a request when its pieces have been booked, and
- * what is done about it.
+/** Decides from the forecast of a request's stages whether it can meet its
+ * objective, and how late requests are ranked.
  * @module */
 
 import type * as configurations from "../configuration/mod.ts";
 
-/** Mean errors of forecasts by which a request may be expected to miss its
- * objective and be let in: then one in six is in time all the same. Who is
- * refused can hardly be in time when it comes back, while one that is let in
- * and becomes late goes behind others. */
-const TOLERATED = 1.25;
-/** Part of the objective that is tolerated at most: where all is late, errors
- * are seconds, and what they would let in makes more late. */
-const MOST_TOLERATED = 0.1;
-/** Ranks by which a request that cannot be in time goes behind: enough for those
- * that can be in time, and come while it waits, to go first. */
-const LATE_RANKS = 25;
-/** Callers leave a stream without events after the longest of these: so many
- * milliseconds, objectives, and longest pauses. */
-const LEAVE = 2000;
-const LEAVE_OBJECTIVES = 4;
-const LEAVE_GAPS = 8;
+/** Multiple of the mean forecast error by which a request may be forecast to
+ * miss its objective and still be admitted: at that point one in six meets it
+ * all the same. A refused request can hardly meet it on a retry, whereas an
+ * admitted one that becomes late yields to others. */
+const TOLERATED_ERROR_RATIO = 1.25;
+/** Bound of that tolerance as a part of the objective: in an overload errors
+ * reach seconds, and requests admitted by them would delay others. */
+const MAX_TOLERATED_OBJECTIVE_RATIO = 0.1;
+/** Ranks added to a late request: enough that requests which can meet their
+ * objective overtake it, also if they arrive while it waits. */
+const LATE_RANK_COUNT = 25;
+/** Callers abandon a stream without events after the longest of these: a time
+ * in milliseconds, a multiple of the objective, and a multiple of the longest
+ * gap between events. */
+const ABANDONMENT_MS = 2000;
+const ABANDONMENT_OBJECTIVE_COUNT = 4;
+const ABANDONMENT_GAP_COUNT = 8;
 
-/** Milliseconds after which a caller leaves when nothing has come. */
+/** Milliseconds after which a caller abandons a request without an answer. */
 export function abandonmentTime(
   { kind, timeout, objective, gap = 0 }: configurations.Route,
 ): number {
   if (kind !== "streaming") return timeout;
-  const silent = Math.max(
-    LEAVE,
-    LEAVE_OBJECTIVES * objective,
-    LEAVE_GAPS * gap,
+  const idleTime = Math.max(
+    ABANDONMENT_MS,
+    ABANDONMENT_OBJECTIVE_COUNT * objective,
+    ABANDONMENT_GAP_COUNT * gap,
   );
-  return Math.min(timeout, silent);
+  return Math.min(timeout, idleTime);
 }
 
-/** Rank that a request counts as: who can be in time goes before who cannot. */
+/** Rank of a request, lowered if it is late, so that requests which can meet
+ * their objective go first. */
 export function effectiveRank(rank: number, isLate: boolean): number {
-  return isLate ? rank + LATE_RANKS : rank;
+  return isLate ? rank + LATE_RANK_COUNT : rank;
 }
 
-/** What is expected of a request's pieces, in milliseconds from now. */
+/** Calibrated forecast of a request's stages, in milliseconds from now. */
 export interface CalibratedForecast {
-  /** Until all are made. */
+  /** Completion of all stages. */
   readonly finish: number;
-  /** The same if nothing waited. */
+  /** The same without queueing. */
   readonly uncontended: number;
-  /** By which forecasts miss on average. */
+  /** Mean error of such forecasts. */
   readonly error: number;
 }
 
-/** Whether pieces are expected in time for an objective, of which `left` is
- * left for them. One that takes too long even where nothing waits is not
- * refused for it: coming back would not help. */
+/** Whether stages are forecast to complete within the `left` milliseconds that
+ * the objective leaves for them. Stages that would take longer even without
+ * queueing are held to that time instead: a retry would not help. */
 export function meetsObjective(
-  { finish, uncontended: alone, error }: CalibratedForecast,
+  { finish, uncontended, error }: CalibratedForecast,
   { left, objective }: { left: number; objective: number },
 ): boolean {
-  const tolerance = Math.min(TOLERATED * error, MOST_TOLERATED * objective);
-  return finish - Math.max(left, alone) <= tolerance;
+  const tolerance = Math.min(
+    TOLERATED_ERROR_RATIO * error,
+    MAX_TOLERATED_OBJECTIVE_RATIO * objective,
+  );
+  return finish - Math.max(left, uncontended) <= tolerance;
 }
--- a/src/gateway/timeliness_test.ts
+++ b/src/gateway/timeliness_test.ts
@@ -2,32 +2,32 @@
 
 import test from "ava";
 import * as fixture from "../configuration/fixture.ts";
-import * as prospect from "./timeliness.ts";
+import * as timeliness from "./timeliness.ts";
 
-test("a request is in time when its pieces are, or when nothing waits", (t) => {
+test("a request meets its objective if its stages do, or without queueing", (t) => {
   const forecast = { uncontended: 500 };
-  const isInTime = (finish: number, left: number, error = 80) =>
-    prospect.meetsObjective({ ...forecast, finish, error }, {
+  const meetsObjective = (finish: number, left: number, error = 80) =>
+    timeliness.meetsObjective({ ...forecast, finish, error }, {
       left,
       objective: 1500,
     });
-  t.true(isInTime(900, 900));
-  t.true(isInTime(1000, 900));
-  t.false(isInTime(1001, 900));
-  t.true(isInTime(500, 100));
+  t.true(meetsObjective(900, 900));
+  t.true(meetsObjective(1000, 900));
+  t.false(meetsObjective(1001, 900));
+  t.true(meetsObjective(500, 100));
 });
 
-test("forecasts that miss by seconds do not let in what they would make late", (t) => {
+test("forecast errors of seconds do not admit late requests", (t) => {
   const forecast = { uncontended: 500, error: 3000 };
   const time = { left: 900, objective: 1500 };
-  t.true(prospect.meetsObjective({ ...forecast, finish: 1050 }, time));
-  t.false(prospect.meetsObjective({ ...forecast, finish: 1051 }, time));
+  t.true(timeliness.meetsObjective({ ...forecast, finish: 1050 }, time));
+  t.false(timeliness.meetsObjective({ ...forecast, finish: 1051 }, time));
 });
 
-test("callers leave a stream that is silent for some objectives", (t) => {
+test("callers abandon a stream without events after a multiple of the objective", (t) => {
   const stream = { kind: "streaming" as const, timeout: 15_000 };
   const leaves = (change: Partial<ReturnType<typeof fixture.route>>) =>
-    prospect.abandonmentTime(fixture.route({ ...stream, ...change }));
+    timeliness.abandonmentTime(fixture.route({ ...stream, ...change }));
   t.is(leaves({ objective: 300 }), 2000);
   t.is(leaves({ objective: 1500 }), 6000);
   t.is(leaves({ objective: 300, gap: 500 }), 4000);
