--- a/src/batching/arrivals.ts
+++ b/src/batching/arrivals.ts
@@ -1,21 +1,21 @@
-/** Pieces that were booked lately, and what they say of those to come: what is
- * more urgent and comes later goes before what waits now.
+/** Recently reserved items, and the arrivals that they predict: items that
+ * arrive later but are more urgent run before those in the queue.
  * @module */
 
-/** Milliseconds over which bookings tell the rate of those to come: long
- * enough for some dozens of them, short beside a burst of some seconds. */
-const WINDOW = 1000;
+/** Window over which the arrival rate is measured: long enough for some dozens
+ * of reservations, short beside a burst of some seconds. */
+const WINDOW_MS = 1000;
 
-/** Pieces that were booked. */
+/** Reserved items of one request. */
 export interface Arrival {
   readonly request: string;
   readonly count: number;
-  /** Milliseconds from the booking to the time that decides its turn. */
+  /** Milliseconds from the reservation to the virtual deadline. */
   readonly leadTime: number;
   readonly bookedAt: number;
 }
 
-/** Bookings of one cell; changed in place. */
+/** Recent reservations of one partition. Mutable. */
 export class Arrivals {
   #recent: Arrival[] = [];
 
@@ -27,27 +27,28 @@
     this.#recent.push(arrival);
   }
 
-  /** Forgets a request that was refused: what comes like it will be, too. */
+  /** Removes a request that was rejected: similar requests will be rejected,
+   * too. */
   removeRequest(request: string): void {
     this.#recent = this.#recent.filter((each) => each.request !== request);
   }
 
-  /** Pieces expected to come within `wait` milliseconds and to have their turn
-   * before `turn`. */
+  /** Number of items that are expected to arrive within `wait` milliseconds
+   * with a virtual deadline before `deadline`. */
   expectedAhead(
-    turn: number,
+    deadline: number,
     { wait, now }: { wait: number; now: number },
   ): number {
-    return this.#recent.reduce((sum, { count, leadTime: allowed }) => {
-      const span = Math.min(wait, turn - allowed - now);
-      return span > 0 ? sum + count * span / WINDOW : sum;
+    return this.#recent.reduce((sum, { count, leadTime }) => {
+      const span = Math.min(wait, deadline - leadTime - now);
+      return span > 0 ? sum + count * span / WINDOW_MS : sum;
     }, 0);
   }
 
-  /** Forgets what is too old to tell anything. */
+  /** Removes reservations that are older than the window. */
   expire(now: number): void {
-    const first = this.#recent.findIndex(({ bookedAt: at }) =>
-      at > now - WINDOW
+    const first = this.#recent.findIndex(({ bookedAt }) =>
+      bookedAt > now - WINDOW_MS
     );
     this.#recent = first < 0 ? [] : this.#recent.slice(first);
   }
--- a/src/batching/arrivals_test.ts
+++ b/src/batching/arrivals_test.ts
@@ -3,30 +3,30 @@
 import test from "ava";
 import * as arrivals from "./arrivals.ts";
 
-/** Pieces booked for many requests at time 0, all allowed so much time. */
-function bookedAtOnce(count: number, allowed: number) {
-  const known = arrivals.Arrivals.create();
-  known.record({ request: "r", count, leadTime: allowed, bookedAt: 0 });
-  return known;
+/** Reservations of `count` items at time 0, all with the same lead time. */
+function reservedAtOnce(count: number, leadTime: number) {
+  const recent = arrivals.Arrivals.create();
+  recent.record({ request: "r", count, leadTime, bookedAt: 0 });
+  return recent;
 }
 
-test("what comes later with less time goes before what has more", (t) => {
-  const known = bookedAtOnce(100, 500);
-  // Until 1500 those that come have their turn before 2000.
-  t.is(known.expectedAhead(2000, { wait: 400, now: 0 }), 40);
-  t.is(known.expectedAhead(700, { wait: 400, now: 0 }), 20);
+test("later arrivals with an earlier deadline are expected ahead", (t) => {
+  const recent = reservedAtOnce(100, 500);
+  // Items that arrive before 1500 have a virtual deadline before 2000.
+  t.is(recent.expectedAhead(2000, { wait: 400, now: 0 }), 40);
+  t.is(recent.expectedAhead(700, { wait: 400, now: 0 }), 20);
 });
 
-test("what comes later with as much time goes behind", (t) => {
-  const known = bookedAtOnce(100, 500);
-  t.is(known.expectedAhead(500, { wait: 400, now: 0 }), 0);
+test("later arrivals with the same lead time are not expected ahead", (t) => {
+  const recent = reservedAtOnce(100, 500);
+  t.is(recent.expectedAhead(500, { wait: 400, now: 0 }), 0);
 });
 
-test("what was refused or is old is not expected again", (t) => {
-  const refused = bookedAtOnce(100, 0);
+test("rejected requests and old reservations predict no arrivals", (t) => {
+  const refused = reservedAtOnce(100, 0);
   refused.removeRequest("r");
   t.is(refused.expectedAhead(2000, { wait: 400, now: 0 }), 0);
-  const old = bookedAtOnce(100, 0);
+  const old = reservedAtOnce(100, 0);
   old.expire(1001);
   t.is(old.expectedAhead(3000, { wait: 400, now: 1001 }), 0);
 });
--- a/src/batching/batch_call.ts
+++ b/src/batching/batch_call.ts
@@ -1,107 +1,116 @@
-/** Calls to an endpoint that makes pieces.
+/** Calls to endpoints that compute items.
  * @module */
 
 import type * as undici from "undici";
-import * as endpointCalls from "../endpoint_calls/exchange.ts";
+import * as exchanges from "../endpoint_calls/exchange.ts";
 import type * as protocols from "../gateway/protocol.ts";
 import type * as runtime from "../runtime/mod.ts";
 import type * as telemetry from "../telemetry/mod.ts";
-import type * as works from "./task.ts";
+import type * as tasks from "./task.ts";
 
-/** Bytes of the largest answer: a full call has some dozens of results. */
-const MOST_BYTES = 1024 * 1024;
-/** Milliseconds in which results are given up; else they end by themselves. */
-const RELEASE_TIMEOUT = 1000;
+/** Maximum size of a response: a full call has some dozens of results. */
+const MAX_RESPONSE_BYTES = 1024 * 1024;
+/** Timeout of a call that releases results; results that are not released
+ * expire by themselves. */
+const RELEASE_TIMEOUT_MS = 1000;
 
 /** Why a call gave no results. */
 export type CallFailure = "full" | "unreachable" | "broken" | "silent";
 
-/** What a call gave. */
+/** Outcome of a call. */
 export type CallOutcome =
   | { type: "results"; results: readonly protocols.ItemResult[] }
   | { type: "failed"; cause: CallFailure };
 
-/** What calls need. */
+/** Dependencies of calls. */
 export interface CallOptions {
   readonly dispatcher: undici.Dispatcher;
   readonly clock: runtime.Clock;
   readonly protocol: protocols.GatewayProtocol;
   readonly logger: telemetry.Logger;
-  /** Hears the head of each answer. */
+  /** Called with the head of each response. */
   onHead?(head: protocols.ReplyHead): void;
 }
 
-/** Asks an endpoint for the pieces of an assignment; never rejects. */
+/** Calls an endpoint to compute the tasks of an assignment; never rejects. */
 export async function call(
-  { worker, tasks: works }: works.Assignment,
-  options: CallOptions & { readonly patience: number },
+  { worker, tasks }: tasks.Assignment,
+  options: CallOptions & { readonly timeout: number },
 ): Promise<CallOutcome> {
-  const { protocol, clock, patience } = options;
+  const { protocol, clock, timeout } = options;
   const now = clock.now();
-  const orders = works.map((work) => ({
-    request: work.request,
-    stage: work.stage,
-    itemIndex: work.itemIndex,
-    remaining: Math.max(1, Math.round(work.expiresAt - now)),
-    key: work.key,
-    inputs: work.inputs,
+  const items = tasks.map((task) => ({
+    request: task.request,
+    stage: task.stage,
+    itemIndex: task.itemIndex,
+    remaining: Math.max(1, Math.round(task.expiresAt - now)),
+    key: task.key,
+    inputs: task.inputs,
   }));
-  const outgoing = protocol.batchCall(worker.name, orders);
-  const whole = await exchange(worker.address, outgoing, {
+  const outgoing = protocol.batchCall(worker.name, items);
+  const response = await exchange(worker.address, outgoing, {
     ...options,
-    timeout: patience,
+    timeout,
   });
-  if (whole.type === "broken") return { type: "failed", cause: whole.cause };
-  const { head, body } = whole;
+  if (response.type === "broken") {
+    return { type: "failed", cause: response.cause };
+  }
+  const { head, body } = response;
   if (head.isNotRun) return { type: "failed", cause: "full" };
   if (head.isMisdirected) return { type: "failed", cause: "unreachable" };
   const results = head.status === 200
     ? protocol.decodeItemResults(body)
     : undefined;
-  if (results === undefined || results.length !== works.length) {
+  if (results === undefined || results.length !== tasks.length) {
     return { type: "failed", cause: "broken" };
   }
   return { type: "results", results };
 }
 
-/** Gives results up at their maker; resolves with whether it has heard. A
- * failure is only logged: results end by themselves. */
+/** Releases results at the endpoint that holds them; resolves with whether the
+ * endpoint has confirmed it. A failure is only logged, since results expire by
+ * themselves. */
 export async function release(
   address: string,
   handles: readonly string[],
   options: CallOptions,
 ): Promise<boolean> {
   const outgoing = options.protocol.releaseCall(handles);
-  const timeout = RELEASE_TIMEOUT;
-  const whole = await exchange(address, outgoing, { ...options, timeout });
-  if (whole.type === "whole" && whole.head.status === 200) return true;
-  const cause = whole.type === "broken" ? whole.cause : whole.head.status;
+  const timeout = RELEASE_TIMEOUT_MS;
+  const response = await exchange(address, outgoing, { ...options, timeout });
+  if (response.type === "whole" && response.head.status === 200) return true;
+  const cause = response.type === "broken"
+    ? response.cause
+    : response.head.status;
   const count = handles.length;
-  options.logger.debug({ address, count, cause }, "Results not given up");
+  options.logger.debug(
+    { address, count, cause },
+    "Release of results was not confirmed; they expire by themselves",
+  );
   return false;
 }
 
-type Whole =
+type CallResponse =
   | { type: "whole"; head: protocols.ReplyHead; body: Buffer }
   | { type: "broken"; cause: CallFailure };
 
-/** One exchange with a whole answer. */
+/** Sends a call and buffers the complete response. */
 function exchange(
   address: string,
   outgoing: protocols.OutgoingCall,
   options: CallOptions & { timeout: number },
-): Promise<Whole> {
+): Promise<CallResponse> {
   const { dispatcher, clock, protocol, timeout } = options;
   return new Promise((resolve) => {
     const parts: Buffer[] = [];
     let head: protocols.ReplyHead;
-    endpointCalls.Exchange.start(outgoing, {
+    exchanges.Exchange.start(outgoing, {
       dispatcher,
       clock,
       url: `http://${address}`,
       deadline: clock.now() + timeout,
       silence: timeout,
-      mostBytes: MOST_BYTES,
+      mostBytes: MAX_RESPONSE_BYTES,
       receiver: {
         head(status, headers) {
           head = protocol.decodeReply(status, headers);
@@ -116,7 +125,7 @@
   });
 }
 
-type Break = endpointCalls.Break;
+type Break = exchanges.Break;
 
 function causeOf(
   reason: Break["reason"],
--- a/src/batching/batcher.ts
+++ b/src/batching/batcher.ts
@@ -1,26 +1,27 @@
-/** Makes pieces for the whole fleet: the batchers of the cells that fall to this
- * host.
+/** Computes items on behalf of all hosts: holds the batchers of the partitions
+ * that this host owns.
  * @module */
 
 import type * as configurations from "../configuration/mod.ts";
 import type * as schema from "../schema/fleet_types.ts";
-import * as cellBatchers from "./partition_batcher.ts";
-import type * as cells from "./partitions.ts";
-import type * as works from "./task.ts";
+import * as partitionBatchers from "./partition_batcher.ts";
+import type * as partitions from "./partitions.ts";
+import type * as tasks from "./task.ts";
 
-/** What batchers need of their host. */
-export interface BatcherOptions extends cellBatchers.BatcherDependencies {
+/** Dependencies of the batchers of one host. */
+export interface BatcherOptions extends partitionBatchers.BatcherDependencies {
   service(name: string): configurations.Service | undefined;
-  /** Endpoints of a cell that take calls. */
-  workers(of: cells.PartitionName): readonly works.Worker[];
-  /** Whether no endpoint of a cell may get new calls. */
-  isEvacuated(of: cells.PartitionName): boolean;
+  /** Endpoints of a partition that accept calls. */
+  workers(partition: partitions.PartitionName): readonly tasks.Worker[];
+  /** Whether the partition's data centre is evacuated, so that none of its
+   * endpoints may receive new calls. */
+  isEvacuated(partition: partitions.PartitionName): boolean;
 }
 
-/** Batchers of cells. */
+/** The batchers of this host, created on first use of a partition. */
 export class Batcher {
   readonly #options: BatcherOptions;
-  readonly #cells = new Map<string, cellBatchers.PartitionBatcher>();
+  readonly #batchers = new Map<string, partitionBatchers.PartitionBatcher>();
 
   private constructor(options: BatcherOptions) {
     this.#options = options;
@@ -30,65 +31,73 @@
     return new Batcher(options);
   }
 
-  /** Makes pieces; resolves once each is made or cannot be. */
+  /** Computes items; resolves once each has a result or has failed. */
   compute(question: schema.MakeQuestion): Promise<schema.Result[]> {
-    const cell = this.#cell(question);
-    if (cell !== undefined) return cell.compute(question);
+    const batcher = this.#batcherOf(question);
+    if (batcher !== undefined) return batcher.compute(question);
     return Promise.resolve(question.pieces.map((piece) => ({
       piece,
       failure: "unreachable" as const,
     })));
   }
 
-  /** Notes pieces that will be asked for; says when they would be made. */
-  reserve(question: schema.BookQuestion): cellBatchers.ReservationEstimate {
-    return this.#cell(question)?.reserve(question) ??
-      cellBatchers.UNKNOWN_ESTIMATE;
+  /** Records items that a request will submit later; returns an estimate of
+   * when they would start. */
+  reserve(
+    question: schema.BookQuestion,
+  ): partitionBatchers.ReservationEstimate {
+    return this.#batcherOf(question)?.reserve(question) ??
+      partitionBatchers.UNKNOWN_ESTIMATE;
   }
 
-  /** Drops the pieces of a request that have not been begun. */
-  cancel(of: cells.PartitionName, request: string): void {
-    this.#cells.get(keyOf(of))?.cancel(request);
+  /** Cancels the items of a request that have not started. */
+  cancel(partition: partitions.PartitionName, request: string): void {
+    this.#batchers.get(keyOf(partition))?.cancel(request);
   }
 
-  /** Gives results up, so that their room is free. */
-  release(of: cells.PartitionName, handles: readonly string[]): void {
-    this.#cell(of)?.release(handles);
+  /** Releases results, which frees the memory that they take. */
+  release(
+    partition: partitions.PartitionName,
+    handles: readonly string[],
+  ): void {
+    this.#batcherOf(partition)?.release(handles);
   }
 
-  /** Follows a change of endpoints or of the configuration. */
+  /** Applies a change of the endpoints or of the configuration. */
   update(): void {
-    for (const cell of this.#cells.values()) cell.update();
+    for (const batcher of this.#batchers.values()) batcher.update();
   }
 
-  /** State for people. */
+  /** State for the state dump. */
   dump(): unknown {
     return Object.fromEntries(
-      [...this.#cells].map(([key, cell]) => [key, cell.dump()]),
+      [...this.#batchers].map(([key, batcher]) => [key, batcher.dump()]),
     );
   }
 
-  /** Undefined where the service is not known to make pieces. */
-  #cell({ service, cell }: cells.PartitionName):
-    | cellBatchers.PartitionBatcher
+  /** The batcher of a partition; undefined if the configuration has no such
+   * service or the service does not compute items. */
+  #batcherOf({ service, cell }: partitions.PartitionName):
+    | partitionBatchers.PartitionBatcher
     | undefined {
     const key = keyOf({ service, cell });
-    const known = this.#cells.get(key);
+    const existing = this.#batchers.get(key);
     const traits = this.#options.service(service)?.batching;
-    if (known !== undefined || traits === undefined) return known;
-    let last = traits;
-    const made = cellBatchers.PartitionBatcher.create({
+    if (existing !== undefined || traits === undefined) return existing;
+    let lastTraits = traits;
+    const batcher = partitionBatchers.PartitionBatcher.create({
       ...this.#options,
       service,
-      traits: () => last = this.#options.service(service)?.batching ?? last,
+      traits: () =>
+        lastTraits = this.#options.service(service)?.batching ?? lastTraits,
       workers: () => this.#options.workers({ service, cell }),
       isEvacuated: () => this.#options.isEvacuated({ service, cell }),
     });
-    this.#cells.set(key, made);
-    return made;
+    this.#batchers.set(key, batcher);
+    return batcher;
   }
 }
 
-function keyOf({ service, cell }: cells.PartitionName): string {
+function keyOf({ service, cell }: partitions.PartitionName): string {
   return `${service} ${cell}`;
 }
--- a/src/batching/batcher_client.ts
+++ b/src/batching/batcher_client.ts
@@ -1,5 +1,5 @@
-/** Gets pieces made for the requests of one host: by the host whose batcher
- * serves a cell of the stage's service, or by its own when that one is lost.
+/** Submits the items of one host's requests to the host that owns the
+ * partition, or to the batcher of this host when the owner does not respond.
  * @module */
 
 import * as peers from "../peers/mod.ts";
@@ -8,169 +8,186 @@
 import type * as schema from "../schema/fleet_types.ts";
 import type * as telemetry from "../telemetry/mod.ts";
 import type * as batchers from "./batcher.ts";
-import * as cellBatchers from "./partition_batcher.ts";
-import * as cells from "./partitions.ts";
-import type * as works from "./task.ts";
-import * as seats from "./partition_owners.ts";
+import * as partitionBatchers from "./partition_batcher.ts";
+import * as partitions from "./partitions.ts";
+import type * as tasks from "./task.ts";
+import * as partitionOwners from "./partition_owners.ts";
 
-/** Hosts that are tried before the own one. */
-const TRIES = 2;
-/** Milliseconds for which an answer to a booking is waited for. */
-const BOOKING = 200;
+/** Number of hosts that are tried before the batcher of this host. */
+const MAX_REMOTE_ATTEMPTS = 2;
+/** Timeout of a reservation. */
+const RESERVATION_TIMEOUT_MS = 200;
 
-/** What a maker needs of its host. */
+/** Options of a `BatcherClient`. */
 export interface BatcherClientOptions {
   self: string;
   clock: runtime.Clock;
   calls: Pick<peers.Rpc, "ask" | "cast">;
   batcher: batchers.Batcher;
   logger: telemetry.Logger;
-  /** What hosts, services and endpoints are derived from: the same parts while
-   * they are the same. */
+  /** Values that hosts, services and endpoints are derived from; rankings are
+   * cached while all of these are identical. */
   dependencies(): readonly unknown[];
-  /** Hosts that take requests and are ready. */
+  /** Entry hosts that are ready. */
   entryHosts(): readonly Pick<schema.EntryHost, "host" | "dataCentre">[];
-  /** Services that make pieces. */
+  /** Services that compute items. */
   services(): readonly string[];
-  /** All endpoints of a service that are known. */
-  workers(service: string): readonly works.Worker[];
-  /** Whether an endpoint takes calls now. */
-  isAvailable(worker: works.Worker): boolean;
+  /** All known endpoints of a service, whether available or not. */
+  workers(service: string): readonly tasks.Worker[];
+  /** Whether an endpoint accepts calls now. */
+  isAvailable(worker: tasks.Worker): boolean;
 }
 
-/** Asks batchers. */
+/** Client of the batchers of all partitions. */
 export class BatcherClient {
   readonly #options: BatcherClientOptions;
-  readonly #leftOut: peers.UnresponsiveHosts;
-  readonly #seats = memos.Memo.create<readonly string[]>();
+  readonly #unresponsive: peers.UnresponsiveHosts;
+  readonly #rankings = memos.Memo.create<readonly string[]>();
 
   private constructor(options: BatcherClientOptions) {
     this.#options = options;
-    this.#leftOut = peers.UnresponsiveHosts.create(options.clock);
+    this.#unresponsive = peers.UnresponsiveHosts.create(options.clock);
   }
 
   static create(options: BatcherClientOptions): BatcherClient {
     return new BatcherClient(options);
   }
 
-  /** Name of the cell that makes a request's pieces of a service, wanted in a
-   * data centre. */
+  /** Selects the partition that computes the items of a request for a service;
+   * returns its name. */
   selectPartition(
     service: string,
-    wanted: { request: string; dataCentre: string },
+    consumer: { request: string; dataCentre: string },
   ): string {
-    const { workers, isAvailable: isSound } = this.#options;
-    const divided = cells.partition(workers(service));
-    return cells.select(divided, { ...wanted, isSound }).name;
+    const { workers, isAvailable } = this.#options;
+    const all = partitions.partition(workers(service));
+    return partitions.select(all, { ...consumer, isAvailable }).name;
   }
 
-  /** Makes pieces; resolves once each is made or cannot be. */
+  /** Computes items; resolves once each has a result or has failed. */
   async compute(question: schema.MakeQuestion): Promise<schema.Result[]> {
     const { self, clock, calls, batcher, logger } = this.#options;
     const started = clock.now();
-    for (const host of this.#hostsFor(question).slice(0, TRIES)) {
+    for (
+      const host of this.#candidatesFor(question).slice(0, MAX_REMOTE_ATTEMPTS)
+    ) {
       const remaining = question.remaining - (clock.now() - started);
-      const asked = { ...question, remaining };
-      if (host === self) return batcher.compute(asked);
+      const forwarded = { ...question, remaining };
+      if (host === self) return batcher.compute(forwarded);
       try {
-        const reply = await calls.ask(host, asked, { timeout: remaining + 50 });
+        const reply = await calls.ask(host, forwarded, {
+          timeout: remaining + 50,
+        });
         if (reply.type === "made") return reply.results;
-        throw new Error(`answered ${reply.type}`);
+        throw new Error(`expected reply "made", got "${reply.type}"`);
       } catch (error) {
-        this.#leftOut.add(host);
+        this.#unresponsive.add(host);
         const { request, service } = question;
         const reason = `${error}`;
-        logger.info({ request, service, host, reason }, "Batcher lost");
+        logger.info(
+          { request, service, host, reason },
+          "Partition owner did not compute the items; trying the next host",
+        );
       }
     }
     const remaining = question.remaining - (clock.now() - started);
     return batcher.compute({ ...question, remaining });
   }
 
-  /** Books pieces; resolves with when they would be made, or with `UNKNOWN`
-   * where nobody says so in time. */
+  /** Reserves items; resolves with the estimate of the partition's owner, or
+   * with `UNKNOWN_ESTIMATE` if it does not respond in time. */
   async reserve(
     question: schema.BookQuestion,
-  ): Promise<cellBatchers.ReservationEstimate> {
+  ): Promise<partitionBatchers.ReservationEstimate> {
     const { self, calls, batcher, logger } = this.#options;
     const { service, request } = question;
-    const [host] = this.#hostsFor(question);
+    const [host] = this.#candidatesFor(question);
     if (host === self) return batcher.reserve(question);
     try {
-      const reply = await calls.ask(host, question, { timeout: BOOKING });
-      return reply.type === "booked" ? reply : cellBatchers.UNKNOWN_ESTIMATE;
+      const reply = await calls.ask(host, question, {
+        timeout: RESERVATION_TIMEOUT_MS,
+      });
+      return reply.type === "booked"
+        ? reply
+        : partitionBatchers.UNKNOWN_ESTIMATE;
     } catch (error) {
       const reason = `${error}`;
-      logger.info({ request, service, host, reason }, "Pieces not booked");
-      return cellBatchers.UNKNOWN_ESTIMATE;
+      logger.info(
+        { request, service, host, reason },
+        "Partition owner did not answer a reservation; assuming no wait",
+      );
+      return partitionBatchers.UNKNOWN_ESTIMATE;
     }
   }
 
-  /** Gives results up. */
+  /** Releases results. */
   release(
-    { service, cell }: cells.PartitionName,
+    { service, cell }: partitions.PartitionName,
     handles: readonly string[],
   ): void {
     if (handles.length === 0) return;
     const { self, calls, batcher } = this.#options;
-    const [host] = this.#hostsFor({ service, cell });
+    const [host] = this.#candidatesFor({ service, cell });
     if (host === self) return batcher.release({ service, cell }, handles);
     const notice = { service, cell, handles: [...handles] };
     calls.cast(host, { type: "release", ...notice });
   }
 
-  /** Drops pieces of a request that have not been begun. */
-  cancel({ service, cell }: cells.PartitionName, request: string): void {
+  /** Cancels the items of a request that have not started. */
+  cancel({ service, cell }: partitions.PartitionName, request: string): void {
     const { self, calls, batcher } = this.#options;
-    const [host] = this.#hostsFor({ service, cell });
+    const [host] = this.#candidatesFor({ service, cell });
     if (host === self) return batcher.cancel({ service, cell }, request);
     calls.cast(host, { type: "drop", service, cell, request });
   }
 
-  /** Hosts that may batch for a cell, those of its data centre where there are
-   * any; never empty. */
-  #hostsFor(of: cells.PartitionName): string[] {
-    // They keep their seats: a host that gave these away would move cells that
-    // for all others stay where they are, and two hosts would batch for the same
-    // endpoints.
-    return this.#leftOut.deprioritize(this.#seatedFor(of));
+  /** Hosts that may batch for a partition, the owner first; those of the
+   * partition's data centre if there are any. Never empty. */
+  #candidatesFor(partition: partitions.PartitionName): string[] {
+    // Hosts that did not respond move to the end only after owners are
+    // assigned: excluding them from the assignment would move partitions that
+    // stay with their owner on all other hosts, and two hosts would batch for
+    // the same endpoints.
+    return this.#unresponsive.deprioritize(this.#rankingOf(partition));
   }
 
-  #seatedFor({ service, cell }: cells.PartitionName): readonly string[] {
+  #rankingOf({ service, cell }: partitions.PartitionName): readonly string[] {
     const key = `${service} ${cell}`;
-    return this.#seats.get(
+    return this.#rankings.get(
       key,
       this.#options.dependencies(),
-      () => this.#seat(key, cells.dataCentreOf(cell)),
+      () => this.#rank(key, partitions.dataCentreOf(cell)),
     );
   }
 
-  /** Hosts for a cell, which is named with its service. */
-  #seat(key: string, place: string | undefined): string[] {
-    const { entryHosts: hosts, self } = this.#options;
-    const there = hosts();
-    const near = there.filter(({ dataCentre }) => dataCentre === place);
-    const names = (near.length > 0 ? near : there).map(({ host }) => host);
-    return seats.candidatesFor(key, {
-      cells: this.#cellsAt(place),
+  /** Ranks the hosts for a partition, whose key contains its service. */
+  #rank(key: string, location: string | undefined): string[] {
+    const { entryHosts, self } = this.#options;
+    const ready = entryHosts();
+    const local = ready.filter(({ dataCentre }) => dataCentre === location);
+    const names = (local.length > 0 ? local : ready).map(({ host }) => host);
+    return partitionOwners.candidatesFor(key, {
+      partitions: this.#partitionKeysIn(location),
       hosts: names.length > 0 ? names : [self],
     });
   }
 
-  /** Hosts that batch at a data centre, or in several places. */
-  partitionOwnersIn(place: string | undefined): string[] {
-    return this.#cellsAt(place).map((key) => {
+  /** Owners of the partitions of a data centre, or of the partitions that span
+   * several if `location` is undefined. */
+  partitionOwnersIn(location: string | undefined): string[] {
+    return this.#partitionKeysIn(location).map((key) => {
       const [service, cell] = key.split(" ");
-      return this.#seatedFor({ service, cell })[0];
+      return this.#rankingOf({ service, cell })[0];
     });
   }
 
-  /** Cells of all services at a data centre, or in several places. */
-  #cellsAt(place: string | undefined): string[] {
+  /** Keys of the partitions of all services in a data centre, or of those that
+   * span several. */
+  #partitionKeysIn(location: string | undefined): string[] {
     const { services, workers } = this.#options;
     return services().flatMap((service) =>
-      cells.partition(workers(service))
-        .filter(({ dataCentre }) => dataCentre === place)
+      partitions.partition(workers(service))
+        .filter(({ dataCentre }) => dataCentre === location)
         .map(({ name }) => `${service} ${name}`)
     );
   }
--- a/src/batching/delay_scheduling.ts
+++ b/src/batching/delay_scheduling.ts
@@ -1,49 +1,50 @@
-/** Whether a waiting piece is given to an endpoint that is free, or left for
- * another one that is better for it and gets free in time.
+/** Delay scheduling: decides whether a task runs at an idle endpoint or waits
+ * for another one, which is faster or in the data centre of the task's data, as
+ * long as the task is on time there.
  * @module */
 
 import type * as configurations from "../configuration/mod.ts";
-import type * as works from "./task.ts";
+import type * as tasks from "./task.ts";
 import type * as workerStates from "./worker_state.ts";
 
-/** Bytes for which a piece is made where they are while there is time: their
- * way to another data centre costs more than some wait. */
-const LARGE = 200_000;
-/** Full calls' worth of time that must be left when a piece is begun for which
- * an endpoint where its data is was waited for: its own call, and as much again
- * for what is slower than expected. In simulated loads a quarter less crosses
- * data centres than where pieces wait by a fixed time, and as much is in time;
- * at 1.3 another third less crosses, and .03 of the worth is late. */
-const PATIENT_CALLS = 2;
-/** Slowness beyond which nothing waits for an endpoint. */
-const SLOW = 2;
-/** Times as fast as the free endpoint that one must be to be waited for: calls
- * of equal endpoints differ by a tenth or two. */
-const FASTER = 1.5;
+/** Transfer size from which a task waits for an endpoint in the data centre of
+ * its data, as long as there is time: a smaller transfer costs less than the
+ * wait. */
+const MIN_TRANSFER_BYTES = 200_000;
+/** Durations of a full call that must remain when a task that has waited for a
+ * local endpoint starts: one for its own call and one as reserve. Compared with
+ * a fixed waiting time, a quarter less data crosses data centres and as much is
+ * on time; at 1.3, another third less crosses, but .03 of the value is late. */
+const LOCALITY_CALL_COUNT = 2;
+/** Slowness from which an endpoint is not waited for. */
+const MAX_SLOWNESS_RATIO = 2;
+/** Factor by which an endpoint must be faster than the idle one to be waited
+ * for: durations at equal endpoints differ by 10 to 20 %. */
+const MIN_SPEEDUP_RATIO = 1.5;
 
-/** What a choice goes by. */
+/** The state that a decision depends on. */
 export interface DelaySchedulingOptions {
-  /** All endpoints of the cell. */
+  /** All endpoints of the partition. */
   readonly workers: Iterable<workerStates.WorkerState>;
   readonly traits: configurations.BatchTraits;
   readonly now: number;
 }
 
-/** One free endpoint, beside those that pieces may be left for; asked piece by
- * piece, the most urgent first. */
+/** Decides for one idle endpoint, task by task. Tasks must be passed in order
+ * of urgency, since those passed before take up other endpoints. */
 export class DelayScheduling {
   readonly #state: workerStates.WorkerState;
   readonly #usable: readonly workerStates.WorkerState[];
   readonly #traits: configurations.BatchTraits;
   readonly #now: number;
-  /** When a full call there would end, and one at the first of the faster
-   * endpoints; endless without one. */
-  readonly #ends: number;
-  readonly #fasterEnds: number;
-  readonly #faster: number;
-  /** Pieces that were asked for before, in all and by data centre. */
-  #before = 0;
-  readonly #beforeAt = new Map<string, number>();
+  /** When a full call would end at the idle endpoint, and at the first
+   * available one of the faster endpoints; infinite if there is none. */
+  readonly #endsAt: number;
+  readonly #fasterEndsAt: number;
+  readonly #fasterCount: number;
+  /** Number of tasks passed so far, in total and by data centre. */
+  #passed = 0;
+  readonly #passedByDataCentre = new Map<string, number>();
 
   private constructor(
     state: workerStates.WorkerState,
@@ -55,12 +56,12 @@
     this.#usable = [...workers].filter((each) => each.isUsable(now));
     const slowness = Math.max(1, state.slowness(now));
     const faster = this.#usable.filter((each) =>
-      each.slowness(now) * FASTER < slowness
+      each.slowness(now) * MIN_SPEEDUP_RATIO < slowness
     );
-    const full = fullCall(traits);
-    this.#ends = now + full * slowness;
-    this.#faster = faster.length;
-    this.#fasterEnds = this.#firstFree(faster) + full;
+    const fullCall = fullCallDuration(traits);
+    this.#endsAt = now + fullCall * slowness;
+    this.#fasterCount = faster.length;
+    this.#fasterEndsAt = this.#earliestAvailable(faster) + fullCall;
   }
 
   static of(
@@ -70,43 +71,46 @@
     return new DelayScheduling(state, options);
   }
 
-  /** Whether the endpoint is to make a piece. */
-  accepts(work: works.Task): boolean {
-    const isSooner = !this.#isSavedByFaster(work);
-    const isNear = !this.#waitsForData(work);
-    return isSooner && isNear;
+  /** Whether a task should run at the idle endpoint. */
+  accepts(task: tasks.Task): boolean {
+    const isFastEnough = !this.#isOnTimeAtFaster(task);
+    const isLocalEnough = !this.#waitsForLocal(task);
+    return isFastEnough && isLocalEnough;
   }
 
-  /** Whether a piece would be late here and in time at a faster endpoint,
-   * behind the more urgent ones. In simulated overloads with an endpoint that is
-   * four times slower .02 more of the worth is served so, and .004 in the usual
-   * loads with faults. */
-  #isSavedByFaster({ dueAt: wanted }: works.Task): boolean {
-    const before = this.#before++;
-    if (this.#faster === 0 || this.#ends <= wanted) return false;
-    const calls = Math.floor(before / (this.#traits.batch * this.#faster));
-    return this.#fasterEnds + calls * fullCall(this.#traits) <= wanted;
+  /** Whether a task would be late here and on time at a faster endpoint, behind
+   * the more urgent ones. In overload with one endpoint that is four times
+   * slower, this serves .02 more of the value; under usual load with faults,
+   * .004 more. */
+  #isOnTimeAtFaster({ dueAt }: tasks.Task): boolean {
+    const passed = this.#passed++;
+    if (this.#fasterCount === 0 || this.#endsAt <= dueAt) return false;
+    const calls = Math.floor(passed / (this.#traits.batch * this.#fasterCount));
+    return this.#fasterEndsAt + calls * fullCallDuration(this.#traits) <= dueAt;
   }
 
-  /** Whether a piece that moves much waits for an endpoint where its data is,
-   * as long as it is in time there behind the more urgent ones. */
-  #waitsForData(
-    { dataCentre = "", transferBytes: moved, dueAt: wanted }: works.Task,
+  /** Whether a task with a large transfer waits for an endpoint in the data
+   * centre of its data, since it would be on time there behind the more urgent
+   * ones. */
+  #waitsForLocal(
+    { dataCentre = "", transferBytes, dueAt }: tasks.Task,
   ): boolean {
-    const before = this.#beforeAt.get(dataCentre) ?? 0;
-    this.#beforeAt.set(dataCentre, before + 1);
-    if (moved < LARGE || dataCentre === "") return false;
+    const passed = this.#passedByDataCentre.get(dataCentre) ?? 0;
+    this.#passedByDataCentre.set(dataCentre, passed + 1);
+    if (transferBytes < MIN_TRANSFER_BYTES || dataCentre === "") return false;
     if (this.#state.worker.dataCentre === dataCentre) return false;
-    const there = this.#usable.filter((each) =>
-      each.worker.dataCentre === dataCentre && each.slowness(this.#now) < SLOW
+    const local = this.#usable.filter((each) =>
+      each.worker.dataCentre === dataCentre &&
+      each.slowness(this.#now) < MAX_SLOWNESS_RATIO
     );
-    if (there.length === 0) return false;
-    const calls = Math.floor(before / (this.#traits.batch * there.length));
-    const begins = this.#firstFree(there) + calls * fullCall(this.#traits);
-    return begins + localityMargin(this.#traits) <= wanted;
+    if (local.length === 0) return false;
+    const calls = Math.floor(passed / (this.#traits.batch * local.length));
+    const startsAt = this.#earliestAvailable(local) +
+      calls * fullCallDuration(this.#traits);
+    return startsAt + localityMargin(this.#traits) <= dueAt;
   }
 
-  #firstFree(states: readonly workerStates.WorkerState[]): number {
+  #earliestAvailable(states: readonly workerStates.WorkerState[]): number {
     const { callTime } = this.#traits;
     return Math.min(
       Infinity,
@@ -115,14 +119,14 @@
   }
 }
 
-/** Milliseconds that must be left of a piece's time when it is begun at an
+/** Milliseconds that must remain until a task is due when it starts at an
  * endpoint that it has waited for. */
 export function localityMargin(traits: configurations.BatchTraits): number {
-  return PATIENT_CALLS * fullCall(traits);
+  return LOCALITY_CALL_COUNT * fullCallDuration(traits);
 }
 
-function fullCall(
-  { callTime, itemTime: pieceTime, batch }: configurations.BatchTraits,
+function fullCallDuration(
+  { callTime, itemTime, batch }: configurations.BatchTraits,
 ): number {
-  return callTime + batch * pieceTime;
+  return callTime + batch * itemTime;
 }
--- a/src/batching/fixture.ts
+++ b/src/batching/fixture.ts
@@ -1,30 +1,30 @@
-/** Pieces and endpoints for tests.
+/** Tasks and endpoints for tests.
  * @module */
 
-import type * as work from "./task.ts";
+import type * as task from "./task.ts";
 
-/** So many endpoints in each data centre. */
-export function workersAt(counts: Record<string, number>): work.Worker[] {
-  return Object.entries(counts).flatMap(([dataCentre, count], place) =>
-    Array.from({ length: count }, (_, number) => ({
-      id: `${dataCentre}-${number}`,
-      name: `${dataCentre}-${number}`,
-      address: `10.${place}.0.${number}:80`,
+/** Endpoints, `counts` of them in each data centre. */
+export function workersAt(counts: Record<string, number>): task.Worker[] {
+  return Object.entries(counts).flatMap(([dataCentre, count], position) =>
+    Array.from({ length: count }, (_, index) => ({
+      id: `${dataCentre}-${index}`,
+      name: `${dataCentre}-${index}`,
+      address: `10.${position}.0.${index}:80`,
       dataCentre,
     }))
   );
 }
 
-/** So many pieces of a request. */
+/** `count` tasks of a request. */
 export function tasks(
   request: string,
   count: number,
-  change: Partial<work.Task> = {},
-): work.Task[] {
-  return Array.from({ length: count }, (_, piece) => ({
+  change: Partial<task.Task> = {},
+): task.Task[] {
+  return Array.from({ length: count }, (_, itemIndex) => ({
     request,
     stage: 0,
-    itemIndex: piece,
+    itemIndex,
     key: "k",
     bytes: 100,
     expiresAt: 10_000,
--- a/src/batching/forecast.ts
+++ b/src/batching/forecast.ts
@@ -1,19 +1,20 @@
-/** When the pieces of a request's stages will be made.
+/** Estimates when the items of a request's stages will be complete.
  * @module */
 
 import type * as configurations from "../configuration/mod.ts";
 
-/** One stage as a forecast sees it. */
+/** Estimate of one stage. */
 export interface StageForecast {
   readonly after: readonly number[];
-  /** Milliseconds until its pieces would be begun; 0 where it has none. */
+  /** Milliseconds until its items start; 0 if it has none. */
   readonly wait: number;
-  /** Milliseconds that its calls take; 0 where it has no pieces. */
+  /** Duration of its calls in milliseconds; 0 if it has no items. */
   readonly work: number;
 }
 
-/** Milliseconds until all stages are made. What waits is drained while earlier
- * stages are made, so a stage begins when both are over. */
+/** Milliseconds until all stages are complete. The queue of a stage drains
+ * while earlier stages run, so a stage starts once its wait is over and its
+ * inputs are complete. */
 export function completionTime(stages: readonly StageForecast[]): number {
   const ends: number[] = [];
   for (const { after, wait, work } of stages) {
@@ -23,24 +24,26 @@
   return Math.max(0, ...ends);
 }
 
-/** Milliseconds of work that follow on each stage. */
+/** Duration of the longest chain of stages behind each stage, in
+ * milliseconds. */
 export function remainingTimes(
   stages: readonly Pick<StageForecast, "after" | "work">[],
 ): number[] {
-  const tails = stages.map(() => 0);
-  for (let number = stages.length - 1; number >= 0; number--) {
-    const { after, work } = stages[number];
+  const times = stages.map(() => 0);
+  for (let index = stages.length - 1; index >= 0; index--) {
+    const { after, work } = stages[index];
     for (const other of after) {
-      tails[other] = Math.max(tails[other], tails[number] + work);
+      times[other] = Math.max(times[other], times[index] + work);
     }
   }
-  return tails;
+  return times;
 }
 
-/** Milliseconds that the calls for so many pieces take, side by side. */
+/** Duration of the calls for `count` items, which run in parallel, in
+ * milliseconds. */
 export function callDuration(
-  { batch, callTime, itemTime: pieceTime }: configurations.BatchTraits,
+  { batch, callTime, itemTime }: configurations.BatchTraits,
   count: number,
 ): number {
-  return count === 0 ? 0 : callTime + Math.min(count, batch) * pieceTime;
+  return count === 0 ? 0 : callTime + Math.min(count, batch) * itemTime;
 }
--- a/src/batching/forecast_test.ts
+++ b/src/batching/forecast_test.ts
@@ -3,9 +3,9 @@
 import test from "ava";
 import * as fixture from "../configuration/fixture.ts";
 import * as forecast from "./forecast.ts";
-import * as pace from "./throughput.ts";
+import * as throughputs from "./throughput.ts";
 
-test("a stage begins when what it needs is made and its turn has come", (t) => {
+test("a stage starts once its inputs are complete and its wait is over", (t) => {
   const chain = [
     { after: [], wait: 100, work: 200 },
     { after: [0], wait: 250, work: 50 },
@@ -15,11 +15,11 @@
   t.is(forecast.completionTime(chain.slice(0, 2)), 350);
 });
 
-test("a stage without pieces takes no time", (t) => {
+test("a stage without items takes no time", (t) => {
   t.is(forecast.completionTime([{ after: [], wait: 500, work: 0 }]), 0);
 });
 
-test("what follows on a stage is the longest way behind it", (t) => {
+test("the remaining time behind a stage is its longest chain of dependents", (t) => {
   const tails = forecast.remainingTimes([
     { after: [], work: 5 },
     { after: [0], work: 10 },
@@ -29,15 +29,15 @@
   t.deepEqual(tails, [110, 100, 0, 0]);
 });
 
-test("calls for more pieces than a batch run side by side", (t) => {
+test("calls for more items than a batch run in parallel", (t) => {
   const traits = fixture.batchTraits();
   t.is(forecast.callDuration(traits, 2), 120);
   t.is(forecast.callDuration(traits, 9), 140);
   t.is(forecast.callDuration(traits, 0), 0);
 });
 
-test("a pace that is held up counts while pieces wait", (t) => {
-  const measured = pace.Throughput.create();
+test("the measured throughput applies while the queue is saturated", (t) => {
+  const measured = throughputs.Throughput.create();
   measured.recordSaturation(true, 0);
   for (let at = 100; at <= 1000; at += 100) measured.recordStart(1, at);
   t.is(measured.rate(0.02, 300), 0.02);
--- a/src/batching/mod.ts
+++ b/src/batching/mod.ts
@@ -1,4 +1,5 @@
-/** Pieces that must be made before a request can run.
+/** Batched computation of items: the parallel units of work of a route's
+ * stages, which have to complete before the request itself can run.
  * @module */
 
 export * from "./batcher.ts";
@@ -8,4 +9,4 @@
 export * from "./batcher_client.ts";
 export * from "./plan.ts";
 export { Scheduler } from "./scheduler.ts";
-export type { Task as Work, Worker } from "./task.ts";
+export type { Task, Worker } from "./task.ts";
--- a/src/batching/partition_batcher.ts
+++ b/src/batching/partition_batcher.ts
@@ -1,5 +1,5 @@
-/** Makes the pieces of one cell: gathers what hosts ask for and calls the
- * endpoints that its scheduler names.
+/** Computes the items of one partition: collects the items that hosts submit
+ * and makes the calls that the partition's scheduler assigns to endpoints.
  * @module */
 
 import type * as undici from "undici";
@@ -9,64 +9,69 @@
 import type * as runtime from "../runtime/mod.ts";
 import type * as schema from "../schema/fleet_types.ts";
 import type * as telemetry from "../telemetry/mod.ts";
-import * as pieceCall from "./batch_call.ts";
+import * as batchCalls from "./batch_call.ts";
 import * as schedulers from "./scheduler.ts";
-import * as works from "./task.ts";
+import * as tasks from "./task.ts";
 
-/** Times that a piece is tried; each costs an endpoint's time. */
-const TRIES = 4;
-/** Milliseconds over which results to be given up gather into one call: a small
- * part of a call, which their room may then be used for. */
-const GATHER = 20;
+/** Calls in which an item may be tried before it fails; each takes up time of
+ * an endpoint. */
+const MAX_ATTEMPTS = 4;
+/** Time over which results to be released are collected into one call. It is
+ * short beside a call, for which the released memory may be needed. */
+const RELEASE_DELAY_MS = 20;
 
-/** What a batcher needs of its host. */
+/** Dependencies that the batchers of a host share. */
 export interface BatcherDependencies {
   clock: runtime.Clock;
   dispatcher: undici.Dispatcher;
   protocol: protocols.GatewayProtocol;
   metrics: telemetry.Metrics;
   logger: telemetry.Logger;
-  /** Notes that an endpoint has answered a call. One that has not is left alone
-   * by its scheduler. */
+  /** Records that an endpoint has responded to a call. A scheduler gives no
+   * calls to an endpoint that does not respond. */
   recordResponse(endpoint: string): void;
-  /** Whether new calls may go to an endpoint, be it well or not. */
+  /** Whether new calls may be sent to an endpoint, whether it is healthy or
+   * not. */
   acceptsCalls(endpoint: string): boolean;
   quotas: Pick<rateLimits.QuotaClient, "recordLimit" | "isLimited" | "acquire">;
 }
 
-/** What a batcher of one cell is made from. */
+/** Options of the batcher of one partition. */
 export interface PartitionBatcherOptions extends BatcherDependencies {
   readonly service: string;
-  /** Whether no endpoint of the cell may get new calls: its data centre is
-   * evacuated. */
+  /** Whether the partition's data centre is evacuated, so that none of its
+   * endpoints may receive new calls. */
   isEvacuated(): boolean;
-  /** Figures of the service; those in force before when it has none now. */
+  /** Performance figures of the service; the last known ones if the
+   * configuration in force has none. */
   traits(): configurations.BatchTraits;
-  /** Endpoints that take calls. */
-  workers(): readonly works.Worker[];
+  /** Endpoints that accept calls. */
+  workers(): readonly tasks.Worker[];
 }
 
-/** When pieces would be made, and what that follows from. */
+/** Estimate of when items would start, with the values that it is derived
+ * from. */
 export type ReservationEstimate = Omit<schema.BookedReply, "type">;
 
-/** Nobody says when they would be made. */
+/** Estimate for the case that no batcher gave one. */
 export const UNKNOWN_ESTIMATE: ReservationEstimate = { wait: 0, work: 0 };
 
-interface Order {
+interface PendingStage {
   readonly question: schema.MakeQuestion;
   readonly results: Map<number, schema.Result>;
   resolve(results: schema.Result[]): void;
 }
 
-/** The scheduler of a cell, and the calls that it orders. */
+/** Runs the scheduler of a partition and makes the calls that it assigns. */
 export class PartitionBatcher {
   readonly #options: PartitionBatcherOptions;
   readonly #scheduler: schedulers.Scheduler;
-  readonly #orders = new Map<string, Order>();
-  /** Results to be given up, by their maker. */
-  readonly #released = new Map<string, Set<string>>();
-  #cancelWake: runtime.Cancel = () => {};
-  #isReleasing = false;
+  readonly #pending = new Map<string, PendingStage>();
+  /** Handles of results to be released, by the address of the endpoint that
+   * holds them. */
+  readonly #toRelease = new Map<string, Set<string>>();
+  #cancelTimer: runtime.Cancel = () => {};
+  #isReleaseScheduled = false;
 
   private constructor(options: PartitionBatcherOptions) {
     this.#options = options;
@@ -77,26 +82,26 @@
     return new PartitionBatcher(options);
   }
 
-  /** Makes pieces; resolves once each is made or cannot be. */
+  /** Computes items; resolves once each has a result or has failed. */
   compute(question: schema.MakeQuestion): Promise<schema.Result[]> {
     const now = this.#options.clock.now();
     return new Promise((resolve) => {
-      const order = { question, results: new Map(), resolve };
-      this.#orders.set(works.stageKey(question), order);
-      this.#scheduler.add(worksOf(question, now));
+      const pending = { question, results: new Map(), resolve };
+      this.#pending.set(tasks.stageKey(question), pending);
+      this.#scheduler.add(tasksOf(question, now));
       this.update();
     });
   }
 
-  /** Notes pieces that will be asked for; says how long they would wait, and
-   * how long calls take. */
+  /** Records items that a request will submit later; returns an estimate of how
+   * long they would wait and how long calls take. */
   reserve(question: schema.BookQuestion): ReservationEstimate {
     const { request, stage, pieces: count, slack, rank } = question;
     const now = this.#options.clock.now();
     this.#scheduler.setWorkers(this.#options.workers());
-    const wanted = now + slack;
-    const booking = { request, stage, count, dueAt: wanted, rank };
-    const { wait, ahead, rate } = this.#scheduler.reserve(booking, now);
+    const dueAt = now + slack;
+    const reservation = { request, stage, count, dueAt, rank };
+    const { wait, ahead, rate } = this.#scheduler.reserve(reservation, now);
     return {
       wait,
       work: this.#scheduler.callDuration(now),
@@ -106,221 +111,230 @@
     };
   }
 
-  /** Drops the pieces of a request that have not been begun. */
+  /** Cancels the items of a request that have not started. */
   cancel(request: string): void {
-    for (const work of this.#scheduler.cancelRequest(request)) {
-      this.#settle(work, { piece: work.itemIndex, failure: "late" });
+    for (const task of this.#scheduler.cancelRequest(request)) {
+      this.#complete(task, { piece: task.itemIndex, failure: "late" });
     }
   }
 
-  /** Gives results up, so that their room is free. */
+  /** Releases results, which frees the memory that they take. */
   release(handles: readonly string[]): void {
     const { protocol, clock } = this.#options;
     for (const handle of handles) {
-      const maker = protocol.holderOf(handle);
-      const gathered = this.#released.get(maker) ?? new Set();
-      gathered.add(handle);
-      this.#released.set(maker, gathered);
+      const holder = protocol.holderOf(handle);
+      const unsent = this.#toRelease.get(holder) ?? new Set();
+      unsent.add(handle);
+      this.#toRelease.set(holder, unsent);
     }
-    if (this.#isReleasing) return;
-    this.#isReleasing = true;
-    clock.after(GATHER, () => this.#sendReleases());
+    if (this.#isReleaseScheduled) return;
+    this.#isReleaseScheduled = true;
+    clock.after(RELEASE_DELAY_MS, () => this.#sendReleases());
   }
 
-  /** Follows a change of endpoints, of the configuration or of what waits:
-   * makes the calls that can be made now. */
+  /** Applies a change of the endpoints, the configuration or the queue, and
+   * makes the calls that are possible now. */
   update(): void {
-    const { clock, workers, traits, isEvacuated: isClosed } = this.#options;
+    const { clock, workers, traits, isEvacuated } = this.#options;
     const now = clock.now();
-    if (isClosed()) this.#giveBackWaiting();
+    if (isEvacuated()) this.#failQueued();
     this.#scheduler.setTraits(traits());
     this.#scheduler.setWorkers(workers());
-    for (const work of this.#scheduler.expire(now)) {
-      this.#settle(work, { piece: work.itemIndex, failure: "late" });
+    for (const task of this.#scheduler.expire(now)) {
+      this.#complete(task, { piece: task.itemIndex, failure: "late" });
     }
     for (const assignment of this.#scheduler.assign(now)) {
       void this.#call(assignment);
     }
-    this.#wakeLater(this.#scheduler.wakeAt(now));
+    this.#scheduleUpdate(this.#scheduler.wakeAt(now));
   }
 
-  /** Ends pieces that wait, so that another cell is asked for them. */
-  #giveBackWaiting(): void {
-    for (const work of this.#scheduler.clear()) {
-      this.#settle(work, { piece: work.itemIndex, failure: "unreachable" });
+  /** Fails all queued items as unreachable, so that their requests submit them
+   * to another partition. */
+  #failQueued(): void {
+    for (const task of this.#scheduler.clear()) {
+      this.#complete(task, { piece: task.itemIndex, failure: "unreachable" });
     }
   }
 
-  /** State for people. */
+  /** State for the state dump. */
   dump(): unknown {
     return this.#scheduler.dump(this.#options.clock.now());
   }
 
-  #wakeLater(at: number | undefined): void {
-    this.#cancelWake();
+  #scheduleUpdate(at: number | undefined): void {
+    this.#cancelTimer();
     if (at === undefined || at === Infinity) return;
     const { clock } = this.#options;
     const wait = at - clock.now() + 1;
-    this.#cancelWake = clock.after(wait, () => this.update());
+    this.#cancelTimer = clock.after(wait, () => this.update());
   }
 
-  async #call(assignment: works.Assignment): Promise<void> {
-    const { clock, metrics, service, quotas, acceptsCalls: isOpen } =
-      this.#options;
+  async #call(assignment: tasks.Assignment): Promise<void> {
+    const { clock, metrics, service, quotas, acceptsCalls } = this.#options;
     const { id } = assignment.worker;
     if (quotas.isLimited(id)) {
       const wait = await quotas.acquire(id);
-      if (wait > 0) return this.#putOff(assignment, wait);
+      if (wait > 0) return this.#postpone(assignment, wait);
     }
-    if (!isOpen(id)) return this.#putOff(assignment, 0);
+    if (!acceptsCalls(id)) return this.#postpone(assignment, 0);
     const started = clock.now();
     metrics.count("pieces.calls", 1, { service });
     metrics.count("pieces.made", assignment.tasks.length, { service });
-    const outcome = await pieceCall.call(assignment, {
+    const outcome = await batchCalls.call(assignment, {
       ...this.#options,
-      patience: this.#scheduler.callTimeout(assignment, started),
+      timeout: this.#scheduler.callTimeout(assignment, started),
       onHead: ({ isMisdirected, rateLimit }) => {
         if (!isMisdirected) quotas.recordLimit(id, rateLimit);
       },
     });
     const now = clock.now();
-    const isGood = outcome.type === "results" || outcome.cause === "full";
-    if (isGood) this.#options.recordResponse(assignment.worker.id);
+    const hasResponded = outcome.type === "results" || outcome.cause === "full";
+    if (hasResponded) this.#options.recordResponse(assignment.worker.id);
     if (outcome.type === "results") {
-      this.#takeResults(assignment, {
+      this.#handleResults(assignment, {
         results: outcome.results,
         duration: now - started,
         now,
       });
-    } else this.#takeFailure(assignment, outcome);
+    } else this.#handleFailure(assignment, outcome);
     this.update();
   }
 
-  /** Leaves an endpoint alone that takes no call for so many milliseconds. */
-  #putOff(assignment: works.Assignment, pause: number): void {
+  /** Puts the items of an assignment back into the queue and assigns no call to
+   * its endpoint for `pause` milliseconds. */
+  #postpone(assignment: tasks.Assignment, pause: number): void {
     this.#scheduler.failCall(assignment, {
       now: this.#options.clock.now(),
       pause,
     });
-    for (const work of assignment.tasks) {
-      this.#again(untried(work), "unreachable");
+    for (const task of assignment.tasks) {
+      this.#retry(withoutAttempt(task), "unreachable");
     }
     this.update();
   }
 
-  #takeResults(
-    assignment: works.Assignment,
+  #handleResults(
+    assignment: tasks.Assignment,
     { results, duration, now }: {
       results: readonly protocols.ItemResult[];
       duration: number;
       now: number;
     },
   ): void {
-    const { tasks: works } = assignment;
+    const { tasks } = assignment;
     const { metrics, service } = this.#options;
-    const made = results.flatMap((result, pos) =>
+    const held = results.flatMap((result, pos) =>
       result.type === "made"
-        ? [{ handle: result.handle, bytes: works[pos].bytes }]
+        ? [{ handle: result.handle, bytes: tasks[pos].bytes }]
         : []
     );
-    this.#scheduler.completeCall(assignment, { results: made, duration, now });
-    const rejected = works.filter((_, pos) => {
+    this.#scheduler.completeCall(assignment, { results: held, duration, now });
+    const rejected = tasks.filter((_, pos) => {
       const result = results[pos];
       return result.type === "failed" && result.failure === "room";
     });
-    const isFull = rejected.length > 0 &&
-      this.#noteFull(assignment, { rejected, made }, now);
+    const isMostlyRejected = rejected.length > 0 &&
+      this.#recordMemoryRejection(assignment, { rejected, made: held }, now);
     results.forEach((result, pos) => {
-      const work = works[pos];
-      const { itemIndex: piece } = work;
+      const task = tasks[pos];
+      const { itemIndex: piece } = task;
       if (result.type === "made") {
-        this.#settle(work, { piece, handle: result.handle });
+        this.#complete(task, { piece, handle: result.handle });
         return;
       }
       const { failure } = result;
       metrics.count("pieces.failed", 1, { service, failure });
       const isFinal = failure === "gone" || failure === "late";
-      if (isFinal) this.#settle(work, { piece, failure });
-      else this.#again(isFull ? untried(work) : work, failure);
+      if (isFinal) this.#complete(task, { piece, failure });
+      else this.#retry(isMostlyRejected ? withoutAttempt(task) : task, failure);
     });
   }
 
-  /** Notes that an endpoint had less room than was thought; says whether most
-   * of the call found none. */
-  #noteFull(
-    { worker, tasks: works }: works.Assignment,
+  /** Records that an endpoint had less memory than estimated; returns whether
+   * at least half of the call's items were rejected. */
+  #recordMemoryRejection(
+    { worker, tasks }: tasks.Assignment,
     { rejected, made }: {
-      rejected: readonly works.Task[];
+      rejected: readonly tasks.Task[];
       made: readonly { bytes: number }[];
     },
     now: number,
   ): boolean {
     const { logger, service } = this.#options;
-    const full = {
+    const rejection = {
       rejected: rejected.length,
-      pieces: works.length,
+      pieces: tasks.length,
       bytes: Math.min(...rejected.map(({ bytes }) => bytes)),
       made: made.reduce((sum, { bytes }) => sum + bytes, 0),
     };
-    const belief = this.#scheduler.recordMemoryRejection(worker.id, full, now);
+    const estimate = this.#scheduler.recordMemoryRejection(
+      worker.id,
+      rejection,
+      now,
+    );
     logger.info(
-      { service, endpoint: worker.id, ...full, ...belief },
-      "Endpoint had no room",
+      { service, endpoint: worker.id, ...rejection, ...estimate },
+      "Endpoint rejected items for lack of memory; estimate corrected",
     );
-    return belief.isMost;
+    return estimate.isMost;
   }
 
-  #takeFailure(
-    assignment: works.Assignment,
-    { cause }: { cause: pieceCall.CallFailure },
+  #handleFailure(
+    assignment: tasks.Assignment,
+    { cause }: { cause: batchCalls.CallFailure },
   ): void {
     const { clock, metrics, logger, service } = this.#options;
-    const { worker, tasks: works } = assignment;
+    const { worker, tasks } = assignment;
     const now = clock.now();
-    const pause = cause === "full" ? FULL_PAUSE : undefined;
-    metrics.count("pieces.failed", works.length, { service, failure: cause });
+    const pause = cause === "full" ? QUEUE_FULL_PAUSE_MS : undefined;
+    metrics.count("pieces.failed", tasks.length, { service, failure: cause });
     logger.info(
-      { service, endpoint: worker.id, cause, pieces: works.length },
-      "Call for pieces failed",
+      { service, endpoint: worker.id, cause, pieces: tasks.length },
+      "Call to compute items failed; its items are queued again or fail",
     );
     this.#scheduler.failCall(assignment, { now, pause });
-    for (const work of works) {
-      this.#again(cause === "full" ? untried(work) : work, "unreachable");
+    for (const task of tasks) {
+      this.#retry(
+        cause === "full" ? withoutAttempt(task) : task,
+        "unreachable",
+      );
     }
   }
 
-  #again(work: works.Task, failure: schema.Result["failure"]): void {
-    const order = this.#orders.get(works.stageKey(work));
-    const tries = work.attempts + 1;
-    if (order === undefined) return;
-    if (tries < TRIES) {
-      this.#scheduler.add([{ ...work, attempts: tries }]);
-    } else this.#settle(work, { piece: work.itemIndex, failure });
+  #retry(task: tasks.Task, failure: schema.Result["failure"]): void {
+    const pending = this.#pending.get(tasks.stageKey(task));
+    const attempts = task.attempts + 1;
+    if (pending === undefined) return;
+    if (attempts < MAX_ATTEMPTS) {
+      this.#scheduler.add([{ ...task, attempts }]);
+    } else this.#complete(task, { piece: task.itemIndex, failure });
   }
 
-  #settle(work: works.Task, result: schema.Result): void {
-    const key = works.stageKey(work);
-    const order = this.#orders.get(key);
-    if (order === undefined) {
+  #complete(task: tasks.Task, result: schema.Result): void {
+    const key = tasks.stageKey(task);
+    const pending = this.#pending.get(key);
+    if (pending === undefined) {
       if (result.handle !== undefined) this.release([result.handle]);
       return;
     }
-    order.results.set(work.itemIndex, result);
-    if (order.results.size < order.question.pieces.length) return;
-    this.#orders.delete(key);
-    order.resolve([...order.results.values()]);
+    pending.results.set(task.itemIndex, result);
+    if (pending.results.size < pending.question.pieces.length) return;
+    this.#pending.delete(key);
+    pending.resolve([...pending.results.values()]);
   }
 
   #sendReleases(): void {
-    this.#isReleasing = false;
-    const released = [...this.#released];
-    this.#released.clear();
-    for (const [maker, handles] of released) {
-      void this.#sendRelease(maker, [...handles]);
+    this.#isReleaseScheduled = false;
+    const batches = [...this.#toRelease];
+    this.#toRelease.clear();
+    for (const [holder, handles] of batches) {
+      void this.#sendRelease(holder, [...handles]);
     }
   }
 
-  /** Their room is free once their maker has heard of it, not before. */
+  /** Releases results at the endpoint that holds them. Their memory counts as
+   * free only once the endpoint has confirmed it. */
   async #sendRelease(
     address: string,
     handles: readonly string[],
@@ -329,47 +343,54 @@
     const worker = workers().find((each) => each.address === address);
     if (worker !== undefined && quotas.isLimited(worker.id)) {
       const wait = await quotas.acquire(worker.id);
-      // Results end by themselves; until then these gather with others.
+      // Results expire by themselves; until the next attempt these are
+      // collected with others.
       if (wait > 0) {
         clock.after(wait, () => this.release(handles));
         return;
       }
     }
-    const isDone = await pieceCall.release(address, handles, this.#options);
-    if (!isDone) return;
+    const isConfirmed = await batchCalls.release(
+      address,
+      handles,
+      this.#options,
+    );
+    if (!isConfirmed) return;
     this.#scheduler.releaseResults(address, handles);
     this.update();
   }
 }
 
-/** A piece that a full endpoint has not tried. */
-function untried(work: works.Task): works.Task {
-  return { ...work, attempts: work.attempts - 1 };
+/** The task with the attempt taken back: an endpoint without memory has not
+ * tried it. */
+function withoutAttempt(task: tasks.Task): tasks.Task {
+  return { ...task, attempts: task.attempts - 1 };
 }
 
-/** Milliseconds after which a full endpoint is asked again: about one call. */
-const FULL_PAUSE = 120;
+/** Pause after an endpoint has rejected a call because its queue was full:
+ * about the duration of one call. */
+const QUEUE_FULL_PAUSE_MS = 120;
 
-function worksOf(
+function tasksOf(
   question: schema.MakeQuestion,
   now: number,
-): works.Task[] {
+): tasks.Task[] {
   const { request, stage, key, inputs, bytes, rank, dataCentre } = question;
-  const { moved = bytes } = question;
-  const expires = now + question.remaining;
-  const wanted = now + (question.slack ?? question.remaining);
-  return question.pieces.map((piece) => ({
+  const { moved: transferBytes = bytes } = question;
+  const expiresAt = now + question.remaining;
+  const dueAt = now + (question.slack ?? question.remaining);
+  return question.pieces.map((itemIndex) => ({
     request,
     stage,
-    itemIndex: piece,
+    itemIndex,
     key,
     inputs,
     bytes,
-    expiresAt: expires,
-    dueAt: wanted,
+    expiresAt,
+    dueAt,
     rank,
     dataCentre,
-    transferBytes: moved,
+    transferBytes,
     attempts: 0,
   }));
 }
--- a/src/batching/partition_batcher_test.ts
+++ b/src/batching/partition_batcher_test.ts
@@ -8,8 +8,8 @@
 import * as runtime from "../runtime/mod.ts";
 import type * as schema from "../schema/fleet_types.ts";
 import * as telemetry from "../telemetry/mod.ts";
-import * as cellBatchers from "./partition_batcher.ts";
-import * as pieceFixture from "./fixture.ts";
+import * as partitionBatchers from "./partition_batcher.ts";
+import * as batchingFixture from "./fixture.ts";
 
 const QUESTION: schema.MakeQuestion = {
   type: "make",
@@ -23,16 +23,16 @@
   rank: 0,
 };
 
-/** A batcher of one endpoint, whose calls are counted and never answered. */
+/** A batcher with one endpoint, whose calls are counted and never answered. */
 function batcherOf(
-  { isEvacuated = false, take = () => Promise.resolve(0) }: {
+  { isEvacuated = false, acquire = () => Promise.resolve(0) }: {
     isEvacuated?: boolean;
-    take?: () => Promise<number>;
+    acquire?: () => Promise<number>;
   } = {},
 ) {
-  const [worker] = pieceFixture.workersAt({ hall: 1 });
+  const [worker] = batchingFixture.workersAt({ hall: 1 });
   const state = { isEvacuated, calls: 0 };
-  const batcher = cellBatchers.PartitionBatcher.create({
+  const batcher = partitionBatchers.PartitionBatcher.create({
     clock: new runtime.FakeClock(),
     metrics: telemetry.noMetrics,
     logger: telemetry.noLogger,
@@ -45,7 +45,7 @@
     quotas: {
       ...quotaFixture.unlimitedQuotas(),
       isLimited: () => true,
-      acquire: take,
+      acquire,
     },
     protocol: {
       batchCall: () => ({ method: "POST", path: "/", headers: {}, body: "" }),
@@ -60,7 +60,7 @@
   return { batcher, state };
 }
 
-test("pieces that wait for an evacuated data centre are given back", async (t) => {
+test("queued items fail as unreachable if their data centre is evacuated", async (t) => {
   const { batcher, state } = batcherOf({ isEvacuated: true });
   const results = await batcher.compute(QUESTION);
   t.deepEqual(results.map(({ failure }) => failure), [
@@ -70,19 +70,19 @@
   t.is(state.calls, 0);
 });
 
-test("a call that waits for a grant is not made after an evacuation began", async (t) => {
+test("a call that waited for a grant is not computed after an evacuation has begun", async (t) => {
   let grant = (_: number) => {};
-  const take = () => new Promise<number>((resolve) => grant = resolve);
-  const { batcher, state } = batcherOf({ take });
-  const made = batcher.compute(QUESTION);
+  const acquire = () => new Promise<number>((resolve) => grant = resolve);
+  const { batcher, state } = batcherOf({ acquire });
+  const computed = batcher.compute(QUESTION);
   state.isEvacuated = true;
   grant(0);
-  const results = await made;
+  const results = await computed;
   t.true(results.every(({ failure }) => failure === "unreachable"));
   t.is(state.calls, 0);
 });
 
-test("a call is made where nothing is evacuated", async (t) => {
+test("a call is computed if the data centre is not evacuated", async (t) => {
   const { batcher, state } = batcherOf();
   void batcher.compute(QUESTION);
   await new Promise(setImmediate);
--- a/src/batching/partition_owners.ts
+++ b/src/batching/partition_owners.ts
@@ -1,24 +1,33 @@
-/** Which host batches for which cell: the first that rendezvous hashing names
- * and that no other cell has, so that no host batches for two while another
- * batches for none. All hosts that know the same agree.
+/** Assigns partitions to hosts: each partition is owned by the first host in
+ * its rendezvous ranking that owns no other partition, so that no host owns two
+ * partitions while another owns none. Hosts that know the same hosts and
+ * partitions agree.
  * @module */
 
 import * as rendezvous from "../routing/rendezvous.ts";
 
-/** Hosts for a cell, the one that batches for it first; empty without hosts.
- * `cells` are all that share the hosts. */
+/** Hosts for a partition in order of preference, its owner first; empty without
+ * hosts. `partitions` are all partitions that share the hosts. */
 export function candidatesFor(
-  cell: string,
-  { cells, hosts }: { cells: readonly string[]; hosts: readonly string[] },
+  partition: string,
+  { partitions, hosts }: {
+    partitions: readonly string[];
+    hosts: readonly string[];
+  },
 ): string[] {
-  let free = new Set(hosts);
-  for (const each of [...cells].sort()) {
-    if (free.size === 0) free = new Set(hosts);
+  let available = new Set(hosts);
+  for (const each of [...partitions].sort()) {
+    if (available.size === 0) available = new Set(hosts);
     const ranked = rendezvous.rank(each, hosts);
-    const first = ranked.find((host) => free.has(host));
-    if (first === undefined) return [];
-    if (each === cell) return [first, ...ranked.filter((it) => it !== first)];
-    free.delete(first);
+    const owner = ranked.find((host) => available.has(host));
+    if (owner === undefined) return [];
+    if (each === partition) {
+      return [
+        owner,
+        ...ranked.filter((it) => it !== owner),
+      ];
+    }
+    available.delete(owner);
   }
-  return rendezvous.rank(cell, hosts);
+  return rendezvous.rank(partition, hosts);
 }
--- a/src/batching/partitions.ts
+++ b/src/batching/partitions.ts
@@ -1,130 +1,158 @@
-/** Cells: parts of a service's endpoints, each scheduled by a batcher of its
- * own. One batcher that sees all endpoints fills calls best; a service with
- * many endpoints asks more of one host than its processor and link can do, so
- * it is divided by data centre, and a large data centre once more. Data centres
- * that have few endpoints each share a cell: one or two endpoints by themselves
- * are overloaded by what their neighbours would take. In simulated loads of 190
- * hosts, where nine endpoints stand in five data centres, .033 more of a burst's
- * worth is served so, and .016 more of a calm load's; a fifth more bytes cross.
+/** Partitions: disjoint groups of a service's endpoints, each scheduled by a
+ * batcher of its own.
+ *
+ * A single batcher that sees all endpoints fills calls best, but a service with
+ * many endpoints needs more processor time and bandwidth than one host has.
+ * Endpoints are therefore grouped by data centre, and those of a large data
+ * centre are split further. Data centres with few endpoints share partitions: a
+ * partition of one or two endpoints is overloaded by bursts that its neighbours
+ * could absorb. With 190 hosts and nine endpoints in five data centres, sharing
+ * serves .033 more of the value of a burst's requests and .016 more of a steady
+ * load's, at the cost of a fifth more bytes between data centres.
  * @module */
 
 import * as rendezvous from "../routing/rendezvous.ts";
-import type * as works from "./task.ts";
+import type * as tasks from "./task.ts";
 
-/** Most endpoints of one cell: the batcher of 10 to 12 of them took 0.2 of a
- * core on average, and over 7 Mbit/s in bursts (docs/RUNS.md). */
-const MOST = 6;
-/** Endpoints in a data centre, on average, from which on they are a cell of
- * their own: what they make then crosses no data centres. */
-const LEAST = 3;
-/** Name of the cell that has all endpoints of a service. */
-const WHOLE = "all";
-/** Begins the names of cells of several data centres. */
-const SHARED = "*";
+/** Maximum number of endpoints of one partition: the batcher of 10 to 12
+ * endpoints took 0.2 of a core on average, and over 7 Mbit/s in bursts
+ * (docs/RUNS.md). */
+const MAX_ENDPOINTS = 6;
+/** Average number of endpoints per data centre from which each data centre has
+ * partitions of its own, so that results do not cross data centres. */
+const MIN_AVERAGE_ENDPOINTS = 3;
+/** Name of the partition that contains all endpoints of a service. */
+const ALL_ENDPOINTS = "all";
+/** Prefix of the names of partitions that span several data centres. */
+const SHARED_PREFIX = "*";
 
-/** Endpoints that one batcher gives calls to. */
+/** A group of endpoints that one batcher assigns calls to. */
 export interface Partition {
-  /** The same on all hosts that know the same endpoints. */
+  /** Equal on all hosts that know the same endpoints. */
   readonly name: string;
-  /** Where all of them are; undefined where they are in several places. */
+  /** Data centre of all its endpoints; undefined if they are in several. */
   readonly dataCentre?: string;
-  /** Data centres that it is near to; undefined of all. */
+  /** Data centres whose requests prefer this partition; undefined if all do. */
   readonly localDataCentres?: readonly string[];
-  readonly workers: readonly works.Worker[];
+  readonly workers: readonly tasks.Worker[];
 }
 
-/** The cell of a service. */
+/** Identifies a partition of a service. */
 export interface PartitionName {
   readonly service: string;
   readonly cell: string;
 }
 
-/** Divides the endpoints of a service. Which are sound must not matter: a cell
- * that came and went would lose sight of its results. */
+/** Partitions the endpoints of a service into partitions. The health of
+ * endpoints is ignored on purpose: if partitions came and went with it,
+ * batchers would lose track of the results that endpoints hold. */
 export function partition(
-  workers: readonly works.Worker[],
-  most = MOST,
+  workers: readonly tasks.Worker[],
+  maxEndpoints = MAX_ENDPOINTS,
 ): Partition[] {
-  if (workers.length <= most) return [{ name: WHOLE, workers }];
-  const places = new Map<string, works.Worker[]>();
+  if (workers.length <= maxEndpoints) return [{ name: ALL_ENDPOINTS, workers }];
+  const byDataCentre = new Map<string, tasks.Worker[]>();
   for (const worker of workers) {
     const { dataCentre } = worker;
-    places.set(dataCentre, [...(places.get(dataCentre) ?? []), worker]);
+    byDataCentre.set(dataCentre, [
+      ...(byDataCentre.get(dataCentre) ?? []),
+      worker,
+    ]);
   }
-  const isSparse = workers.length < LEAST * places.size;
-  if (isSparse) return group(places, Math.ceil(workers.length / most));
-  return [...places].flatMap(([place, there]) => divideAt(place, there, most));
+  const isSparse = workers.length < MIN_AVERAGE_ENDPOINTS * byDataCentre.size;
+  if (isSparse) {
+    return groupDataCentres(
+      byDataCentre,
+      Math.ceil(workers.length / maxEndpoints),
+    );
+  }
+  return [...byDataCentre].flatMap(([dataCentre, local]) =>
+    partitionDataCentre(dataCentre, local, maxEndpoints)
+  );
 }
 
-/** Endpoints of a cell; all of them where hosts do not know the same cells,
- * which is so for a moment when endpoints come or go. */
+/** Endpoints of a partition; all endpoints if this host does not know the
+ * partition, since hosts disagree about partitions for a moment after endpoints
+ * have joined or left. */
 export function workersOf(
   name: string,
-  workers: readonly works.Worker[],
-  most = MOST,
-): readonly works.Worker[] {
-  const cell = partition(workers, most).find((each) => each.name === name);
-  return cell?.workers ?? workers;
+  workers: readonly tasks.Worker[],
+  maxEndpoints = MAX_ENDPOINTS,
+): readonly tasks.Worker[] {
+  const match = partition(workers, maxEndpoints).find((each) =>
+    each.name === name
+  );
+  return match?.workers ?? workers;
 }
 
-/** Data centre of a cell; undefined of one in several places. */
+/** Data centre of a partition; undefined if the partition spans several. */
 export function dataCentreOf(name: string): string | undefined {
-  const isShared = name === WHOLE || name.startsWith(SHARED);
+  const isShared = name === ALL_ENDPOINTS || name.startsWith(SHARED_PREFIX);
   return isShared ? undefined : name.slice(0, name.lastIndexOf("/"));
 }
 
-/** The cell that makes a request's pieces: one where they are wanted, if any
- * there has endpoints that are sound. */
+/** Selects the partition that computes the items of a request: one local to
+ * `dataCentre` if any of these has an available endpoint. */
 export function select(
-  cells: readonly Partition[],
-  { request, dataCentre, isSound }: {
+  partitions: readonly Partition[],
+  { request, dataCentre, isAvailable }: {
     request: string;
     dataCentre: string;
-    isSound(worker: works.Worker): boolean;
+    isAvailable(worker: tasks.Worker): boolean;
   },
 ): Partition {
-  const able = cells.filter(({ workers }) => workers.some(isSound));
-  const near = able.filter((cell) =>
-    cell.localDataCentres?.includes(dataCentre)
+  const available = partitions.filter(({ workers }) =>
+    workers.some(isAvailable)
   );
-  const candidates = [near, able, cells].find(({ length }) => length > 0)!;
-  const [first] = rendezvous.rank(request, candidates.map(({ name }) => name));
-  return candidates.find(({ name }) => name === first)!;
+  const local = available.filter((partition) =>
+    partition.localDataCentres?.includes(dataCentre)
+  );
+  const candidates = [local, available, partitions].find(({ length }) =>
+    length > 0
+  )!;
+  const [selected] = rendezvous.rank(
+    request,
+    candidates.map(({ name }) => name),
+  );
+  return candidates.find(({ name }) => name === selected)!;
 }
 
-/** So many cells of neighbours by name, so that endpoints which come and go
- * leave the others where they are. */
-function group(
-  places: ReadonlyMap<string, readonly works.Worker[]>,
+/** Groups data centres that are adjacent in name order into `count` partitions,
+ * so that endpoints which join or leave do not move other data centres between
+ * partitions. */
+function groupDataCentres(
+  byDataCentre: ReadonlyMap<string, readonly tasks.Worker[]>,
   count: number,
 ): Partition[] {
-  const names = [...places.keys()].sort();
-  return Array.from({ length: count }, (_, number) => {
-    const near = names.filter((_, pos) =>
-      Math.floor(pos * count / names.length) === number
+  const names = [...byDataCentre.keys()].sort();
+  return Array.from({ length: count }, (_, index) => {
+    const local = names.filter((_, pos) =>
+      Math.floor(pos * count / names.length) === index
+    );
+    const workers = local.flatMap((dataCentre) =>
+      byDataCentre.get(dataCentre)!
     );
-    const workers = near.flatMap((place) => places.get(place)!);
     return {
-      name: `${SHARED}${number}.${count}`,
-      localDataCentres: near,
+      name: `${SHARED_PREFIX}${index}.${count}`,
+      localDataCentres: local,
       workers,
     };
   });
 }
 
-function divideAt(
+function partitionDataCentre(
   dataCentre: string,
-  workers: readonly works.Worker[],
-  most: number,
+  workers: readonly tasks.Worker[],
+  maxEndpoints: number,
 ): Partition[] {
-  const count = Math.ceil(workers.length / most);
+  const count = Math.ceil(workers.length / maxEndpoints);
   const sorted = [...workers].sort((one, other) =>
     one.address < other.address ? -1 : 1
   );
-  return Array.from({ length: count }, (_, number) => ({
-    name: `${dataCentre}/${number}.${count}`,
+  return Array.from({ length: count }, (_, index) => ({
+    name: `${dataCentre}/${index}.${count}`,
     dataCentre,
     localDataCentres: [dataCentre],
-    workers: sorted.filter((_, pos) => pos % count === number),
+    workers: sorted.filter((_, pos) => pos % count === index),
   }));
 }
--- a/src/batching/plan.ts
+++ b/src/batching/plan.ts
@@ -1,35 +1,37 @@
-/** Which pieces of a request's stages can be made now, and what they give: an
- * immutable value, changed by steps.
+/** Progress of a request's stages: which items can be computed now and which
+ * results they have given. Immutable.
  * @module */
 
 import type * as configurations from "../configuration/mod.ts";
 
-/** A stage with the results so far. */
+/** A stage and the results of its items so far. */
 export interface StageState {
   readonly stage: configurations.Stage;
-  /** Handle of each piece; undefined until it is made. */
+  /** Handle of each item's result; undefined until it is computed. */
   readonly handles: readonly (string | undefined)[];
-  /** Whether its pieces have been asked for. */
+  /** Whether its items have been requested. */
   readonly isRequested: boolean;
-  /** Whether its results have been given up, since all have worked on them. */
+  /** Whether its results have been released, since all stages that depend on
+   * them are complete. */
   readonly isReleased: boolean;
 }
 
-/** Results that one service holds. */
+/** Results that the endpoints of one service hold. */
 export interface HeldResults {
   readonly service: string;
   readonly handles: readonly string[];
 }
 
-/** Pieces to ask for at once. */
+/** The items of a stage that can be requested together. */
 export interface StageRequest {
   readonly stage: number;
   readonly service: string;
   readonly items: readonly number[];
   readonly bytes: number;
-  /** Results that they need; undefined for stages that work on the key. */
+  /** Results that they take as input; undefined for stages whose input is the
+   * request's item key. */
   readonly inputs?: readonly string[];
-  /** Bytes of all these; each piece fetches them by itself. */
+  /** Total size of the inputs; each item fetches all of them. */
   readonly inputBytes: number;
 }
 
@@ -41,100 +43,103 @@
     this.#stages = stages;
   }
 
-  /** A plan with nothing made; `counts` says how many pieces each stage has,
-   * 0 where it is left out. */
+  /** A plan without results. `counts` gives the number of items of each stage,
+   * 0 for a stage that is skipped. */
   static create(
     stages: readonly configurations.Stage[],
     counts: readonly number[],
   ): Plan {
-    return new Plan(stages.map((stage, number) => ({
+    return new Plan(stages.map((stage, index) => ({
       stage,
-      handles: new Array(counts[number] ?? 0).fill(undefined),
+      handles: new Array(counts[index] ?? 0).fill(undefined),
       isRequested: false,
       isReleased: false,
     })));
   }
 
-  /** Whether every piece is made. */
+  /** Whether all items are computed. */
   get isComplete(): boolean {
-    return this.#stages.every(isMade);
+    return this.#stages.every(isStageComplete);
   }
 
-  /** Results that no other stage works on: the request itself needs them. */
+  /** Results that no other stage takes as input: they are the inputs of the
+   * request itself. */
   get outputs(): string[] {
-    const followed = new Set(this.#stages.flatMap(({ stage }) => stage.after));
+    const consumed = new Set(this.#stages.flatMap(({ stage }) => stage.after));
     return this.#stages
-      .filter((_, number) => !followed.has(number))
+      .filter((_, index) => !consumed.has(index))
       .flatMap(({ handles }) => handles as string[]);
   }
 
-  /** Stages whose pieces can be made and have not been asked for. */
+  /** Requests for the stages whose inputs are complete and that have not been
+   * requested. */
   get readyRequests(): StageRequest[] {
     return this.#stages.flatMap((state, stage) => {
       const {
         handles,
-        isRequested: isAsked,
+        isRequested,
         stage: { service, after, bytes },
       } = state;
-      const isReady = after.every((other) => isMade(this.#stages[other]));
-      const pieces = missing(handles);
-      if (isAsked || !isReady || pieces.length === 0) return [];
+      const isReady = after.every((other) =>
+        isStageComplete(this.#stages[other])
+      );
+      const items = missingItems(handles);
+      if (isRequested || !isReady || items.length === 0) return [];
       const inputs = after.length === 0 ? undefined : this.#handlesOf(after);
       const inputBytes = after.reduce((sum, other) => {
         const { handles, stage } = this.#stages[other];
         return sum + handles.length * stage.bytes;
       }, 0);
-      return [{ stage, service, items: pieces, bytes, inputs, inputBytes }];
+      return [{ stage, service, items, bytes, inputs, inputBytes }];
     });
   }
 
-  /** Results that somebody may still work on, by the service that holds
-   * them. */
+  /** Results that have not been released, by service. */
   get heldResults(): HeldResults[] {
     return this.#stages.flatMap((state) =>
-      state.isReleased ? [] : holdingOf(state)
+      state.isReleased ? [] : heldResultsOf(state)
     );
   }
 
-  /** Results that have been worked on by all stages that need them: their room
-   * is wanted by others. */
+  /** Results that no incomplete stage needs any more. They should be released,
+   * since other requests need the memory. */
   get consumedResults(): HeldResults[] {
-    return this.#stages.flatMap((state, number) =>
-      this.#isRead(number) && !state.isReleased ? holdingOf(state) : []
+    return this.#stages.flatMap((state, index) =>
+      this.#isConsumed(index) && !state.isReleased ? heldResultsOf(state) : []
     );
   }
 
-  /** Notes that what was `read` has been given up. */
+  /** Marks the consumed results as released. */
   markConsumedReleased(): Plan {
     return new Plan(
-      this.#stages.map((state, number) =>
-        this.#isRead(number) ? { ...state, isReleased: true } : state
+      this.#stages.map((state, index) =>
+        this.#isConsumed(index) ? { ...state, isReleased: true } : state
       ),
     );
   }
 
-  /** Notes that the missing pieces of a stage have been asked for. */
+  /** Marks the missing items of a stage as requested. */
   markRequested(stage: number): Plan {
-    return this.#with(stage, (state) => ({ ...state, isRequested: true }));
+    return this.#withStage(stage, (state) => ({ ...state, isRequested: true }));
   }
 
-  /** Notes results; pieces that failed may be asked for again. */
+  /** Adds results; items without a result may be requested again. */
   addResults(
     stage: number,
     results: readonly { piece: number; handle?: string }[],
   ): Plan {
-    return this.#with(stage, (state) => {
+    return this.#withStage(stage, (state) => {
       const handles = [...state.handles];
       for (const { piece, handle } of results) handles[piece] = handle;
       return { ...state, handles, isRequested: false };
     });
   }
 
-  /** Forgets the results that stages have given: one of them is gone. */
+  /** Discards the results of stages, of which at least one is lost. */
   discardResults(stages: readonly number[]): Plan {
     return new Plan(
-      this.#stages.map((state, number) =>
-        stages.includes(number)
+      this.#stages.map((state, index) =>
+        stages.includes(index)
           ? {
             ...state,
             handles: state.handles.map(() => undefined),
@@ -145,53 +150,55 @@
     );
   }
 
-  /** Number of pieces of each stage. */
+  /** Number of items of each stage. */
   get itemCounts(): number[] {
     return this.#stages.map(({ handles }) => handles.length);
   }
 
-  /** Stages that a stage works on. */
+  /** Stages whose results a stage takes as input. */
   dependenciesOf(stage: number): readonly number[] {
     return this.#stages[stage].stage.after;
   }
 
-  /** All stages. */
+  /** Indexes of all stages. */
   get stageIndexes(): number[] {
-    return this.#stages.map((_, number) => number);
+    return this.#stages.map((_, index) => index);
   }
 
-  /** Whether all stages that work on a stage's results are made. */
-  #isRead(number: number): boolean {
-    const followers = this.#stages.filter(({ stage }) =>
-      stage.after.includes(number)
+  /** Whether all stages that take a stage's results as input are complete. */
+  #isConsumed(index: number): boolean {
+    const dependents = this.#stages.filter(({ stage }) =>
+      stage.after.includes(index)
     );
-    return followers.length > 0 && followers.every(isMade);
+    return dependents.length > 0 && dependents.every(isStageComplete);
   }
 
   #handlesOf(stages: readonly number[]): string[] {
-    return stages.flatMap((number) => this.#stages[number].handles as string[]);
+    return stages.flatMap((index) => this.#stages[index].handles as string[]);
   }
 
-  #with(stage: number, change: (state: StageState) => StageState): Plan {
+  #withStage(stage: number, change: (state: StageState) => StageState): Plan {
     return new Plan(
-      this.#stages.map((state, number) =>
-        number === stage ? change(state) : state
+      this.#stages.map((state, index) =>
+        index === stage ? change(state) : state
       ),
     );
   }
 }
 
-function holdingOf({ stage: { service }, handles }: StageState): HeldResults[] {
+function heldResultsOf(
+  { stage: { service }, handles }: StageState,
+): HeldResults[] {
   const held = handles.filter((handle) => handle !== undefined);
   return held.length > 0 ? [{ service, handles: held }] : [];
 }
 
-function isMade({ handles }: StageState): boolean {
+function isStageComplete({ handles }: StageState): boolean {
   return handles.every((handle) => handle !== undefined);
 }
 
-function missing(handles: readonly (string | undefined)[]): number[] {
-  return handles.flatMap((handle, piece) =>
-    handle === undefined ? [piece] : []
+function missingItems(handles: readonly (string | undefined)[]): number[] {
+  return handles.flatMap((handle, index) =>
+    handle === undefined ? [index] : []
   );
 }
--- a/src/batching/plan_test.ts
+++ b/src/batching/plan_test.ts
@@ -9,9 +9,9 @@
   { service: "side", after: [], bytes: 30 },
 ];
 
-/** A plan whose stages in `made` have their pieces. */
-function planOf(counts: number[], ...made: number[]): plans.Plan {
-  return made.reduce(
+/** A plan in which the given stages are complete. */
+function planOf(counts: number[], ...complete: number[]): plans.Plan {
+  return complete.reduce(
     (plan, stage) =>
       plan.addResults(
         stage,
@@ -24,34 +24,34 @@
   );
 }
 
-function roundsOf(plan: plans.Plan) {
+function readyItemCounts(plan: plans.Plan) {
   return plan.readyRequests.map((
-    { stage, items: pieces },
-  ) => [stage, pieces.length]);
+    { stage, items },
+  ) => [stage, items.length]);
 }
 
-test("a stage waits for all that it works on", (t) => {
-  t.deepEqual(roundsOf(planOf([2, 3, 1])), [[0, 2], [2, 1]]);
+test("a stage is not ready before all its inputs are complete", (t) => {
+  t.deepEqual(readyItemCounts(planOf([2, 3, 1])), [[0, 2], [2, 1]]);
   const plan = planOf([2, 3, 1], 0);
   t.deepEqual(plan.readyRequests[0].inputs, ["h0.0", "h0.1"]);
 });
 
-test("a stage that was asked for is not asked for again", (t) => {
-  t.deepEqual(roundsOf(planOf([2, 3, 1]).markRequested(0)), [[2, 1]]);
+test("a stage that has been requested is not requested again", (t) => {
+  t.deepEqual(readyItemCounts(planOf([2, 3, 1]).markRequested(0)), [[2, 1]]);
 });
 
-test("a stage without pieces holds nothing up", (t) => {
-  t.deepEqual(roundsOf(planOf([0, 3, 0])), [[1, 3]]);
+test("a stage without items counts as complete", (t) => {
+  t.deepEqual(readyItemCounts(planOf([0, 3, 0])), [[1, 3]]);
   t.true(planOf([0, 0, 0]).isComplete);
 });
 
-test("the request is given what no other stage works on", (t) => {
+test("the outputs are the results that no other stage takes as input", (t) => {
   const plan = planOf([1, 1, 1], 0, 1, 2);
   t.true(plan.isComplete);
   t.deepEqual(plan.outputs, ["h1.0", "h2.0"]);
 });
 
-test("results are read once all stages after them are made", (t) => {
+test("results are consumed once all dependent stages are complete", (t) => {
   t.deepEqual(planOf([1, 1, 1], 0).consumedResults, []);
   const plan = planOf([1, 1, 1], 0, 1);
   t.deepEqual(plan.consumedResults, [{ service: "first", handles: ["h0.0"] }]);
@@ -62,13 +62,13 @@
   );
 });
 
-test("pieces that failed are asked for again", (t) => {
+test("items without a result are requested again", (t) => {
   const plan = planOf([2, 1, 0]).markRequested(0)
     .addResults(0, [{ piece: 1, handle: "h" }]);
-  t.deepEqual(plan.readyRequests.map(({ items: pieces }) => pieces), [[0]]);
+  t.deepEqual(plan.readyRequests.map(({ items }) => items), [[0]]);
 });
 
-test("what is forgotten is made again", (t) => {
+test("discarded results are computed again", (t) => {
   const plan = planOf([1, 1, 1], 0, 1, 2).discardResults([0, 1]);
-  t.deepEqual(roundsOf(plan), [[0, 1]]);
+  t.deepEqual(readyItemCounts(plan), [[0, 1]]);
 });
--- a/src/batching/reservations.ts
+++ b/src/batching/reservations.ts
@@ -1,16 +1,16 @@
-/** Pieces that were booked and have not been asked for, and what they say of
- * those to come.
+/** Reserved items that have not been submitted, and the wait that they and
+ * further arrivals cause.
  * @module */
 
 import * as arrivals from "./arrivals.ts";
-import * as work from "./task.ts";
+import * as tasks from "./task.ts";
 
-/** Milliseconds after which pieces that were booked are not expected. */
-const MEMORY = 1000;
-/** Steps towards the wait that agrees with what comes during it. */
-const STEPS = 4;
+/** Time after its due time at which a reservation is dropped. */
+const RETENTION_MS = 1000;
+/** Iterations of the fixed point of the wait and the arrivals during it. */
+const ITERATION_COUNT = 4;
 
-/** Pieces that will be asked for. */
+/** Items of a stage that will be submitted. */
 export interface Reservation {
   readonly request: string;
   readonly stage: number;
@@ -19,63 +19,65 @@
   readonly rank: number;
 }
 
-/** Bookings of one cell; changed in place. */
+/** Reservations of one partition. Mutable. */
 export class Reservations {
-  readonly #booked = new Map<string, Reservation>();
+  readonly #reservations = new Map<string, Reservation>();
   readonly #arrivals = arrivals.Arrivals.create();
 
   static create(): Reservations {
     return new Reservations();
   }
 
-  add(booking: Reservation, now: number): void {
-    const { request, count } = booking;
-    const allowed = work.virtualDeadline(booking) - now;
-    this.#booked.set(work.stageKey(booking), booking);
-    this.#arrivals.record({ request, count, leadTime: allowed, bookedAt: now });
+  add(reservation: Reservation, now: number): void {
+    const { request, count } = reservation;
+    const leadTime = tasks.virtualDeadline(reservation) - now;
+    this.#reservations.set(tasks.stageKey(reservation), reservation);
+    this.#arrivals.record({ request, count, leadTime, bookedAt: now });
   }
 
-  /** Notes that pieces have been asked for. */
-  remove(asked: Pick<Reservation, "request" | "stage">): void {
-    this.#booked.delete(work.stageKey(asked));
+  /** Removes the reservation of a stage, whose items have been submitted. */
+  remove(submitted: Pick<Reservation, "request" | "stage">): void {
+    this.#reservations.delete(tasks.stageKey(submitted));
   }
 
-  /** Forgets a request. */
+  /** Removes all reservations of a request. */
   removeRequest(request: string): void {
     this.#arrivals.removeRequest(request);
-    for (const [key, booking] of this.#booked) {
-      if (booking.request === request) this.#booked.delete(key);
+    for (const [key, reservation] of this.#reservations) {
+      if (reservation.request === request) this.#reservations.delete(key);
     }
   }
 
-  /** Forgets what was booked and did not come in time. */
+  /** Removes reservations that were not fulfilled in time. */
   expire(now: number): void {
     this.#arrivals.expire(now);
-    for (const [key, { dueAt: wanted }] of this.#booked) {
-      if (wanted + MEMORY < now) this.#booked.delete(key);
+    for (const [key, { dueAt }] of this.#reservations) {
+      if (dueAt + RETENTION_MS < now) this.#reservations.delete(key);
     }
   }
 
-  /** Milliseconds until `turn` has come, behind `waiting` pieces, what is booked
-   * before it and what will come meanwhile; `rate` pieces are begun in a
-   * millisecond. */
+  /** Milliseconds until a task with the virtual deadline `deadline` starts:
+   * behind `waiting` queued tasks, earlier reservations, and arrivals expected
+   * meanwhile. `rate` is the number of items that start per millisecond. */
   estimateWait(
-    turn: number,
+    deadline: number,
     { waiting, rate, now }: { waiting: number; rate: number; now: number },
   ): number {
-    const ahead = waiting + this.#ahead(turn);
+    const ahead = waiting + this.#countAhead(deadline);
     let wait = ahead / rate;
-    for (let step = 0; step < STEPS; step++) {
-      const coming = this.#arrivals.expectedAhead(turn, { wait, now });
-      wait = (ahead + coming) / rate;
+    for (let step = 0; step < ITERATION_COUNT; step++) {
+      const arriving = this.#arrivals.expectedAhead(deadline, { wait, now });
+      wait = (ahead + arriving) / rate;
     }
     return wait;
   }
 
-  #ahead(turn: number): number {
+  #countAhead(deadline: number): number {
     let count = 0;
-    for (const booking of this.#booked.values()) {
-      if (work.virtualDeadline(booking) <= turn) count += booking.count;
+    for (const reservation of this.#reservations.values()) {
+      if (tasks.virtualDeadline(reservation) <= deadline) {
+        count += reservation.count;
+      }
     }
     return count;
   }
--- a/src/batching/reservations_test.ts
+++ b/src/batching/reservations_test.ts
@@ -1,50 +1,50 @@
 /** @module */
 
 import test from "ava";
-import * as bookings from "./reservations.ts";
+import * as reservations from "./reservations.ts";
 
-/** Bookings of 10 pieces each, wanted at the times given. */
-function bookedFor(...wanted: number[]) {
-  const known = bookings.Reservations.create();
-  wanted.forEach((time, number) =>
-    known.add(
+/** Reservations of 10 items each, due at the times given. */
+function reservedFor(...dueTimes: number[]) {
+  const pending = reservations.Reservations.create();
+  dueTimes.forEach((time, number) =>
+    pending.add(
       { request: `r${number}`, stage: 0, count: 10, dueAt: time, rank: 0 },
       0,
     )
   );
-  return known;
+  return pending;
 }
 
-/** A tenth of a piece is begun in a millisecond. */
-const AT_ONCE = { waiting: 0, rate: 0.1, now: 0 };
+/** An empty queue from which 0.1 items start per millisecond. */
+const EMPTY_QUEUE = { waiting: 0, rate: 0.1, now: 0 };
 
-test("a turn comes behind what waits and what is booked before it", (t) => {
-  const known = bookedFor(500, 900);
-  t.is(known.estimateWait(500, AT_ONCE), 100);
-  t.is(known.estimateWait(499, AT_ONCE), 0);
-  t.is(known.estimateWait(499, { ...AT_ONCE, waiting: 4 }), 40);
+test("the wait covers queued tasks and earlier reservations", (t) => {
+  const pending = reservedFor(500, 900);
+  t.is(pending.estimateWait(500, EMPTY_QUEUE), 100);
+  t.is(pending.estimateWait(499, EMPTY_QUEUE), 0);
+  t.is(pending.estimateWait(499, { ...EMPTY_QUEUE, waiting: 4 }), 40);
 });
 
-test("a higher rank lets a piece go behind", (t) => {
-  const known = bookings.Reservations.create();
-  const booking = { request: "r", stage: 0, count: 10, dueAt: 500 };
-  known.add({ ...booking, rank: 1 }, 0);
-  t.is(known.estimateWait(899, AT_ONCE), 0);
-  t.is(known.estimateWait(900, AT_ONCE), 100);
+test("a reservation with a higher rank number has a later virtual deadline", (t) => {
+  const pending = reservations.Reservations.create();
+  const reservation = { request: "r", stage: 0, count: 10, dueAt: 500 };
+  pending.add({ ...reservation, rank: 1 }, 0);
+  t.is(pending.estimateWait(899, EMPTY_QUEUE), 0);
+  t.is(pending.estimateWait(900, EMPTY_QUEUE), 100);
 });
 
-test("what has been asked for or dropped is not booked any more", (t) => {
-  const known = bookedFor(500, 500);
-  known.remove({ request: "r0", stage: 0 });
-  t.is(known.estimateWait(500, AT_ONCE), 100);
-  known.removeRequest("r1");
-  t.is(known.estimateWait(500, AT_ONCE), 0);
+test("submitted and cancelled items do not count as reserved", (t) => {
+  const pending = reservedFor(500, 500);
+  pending.remove({ request: "r0", stage: 0 });
+  t.is(pending.estimateWait(500, EMPTY_QUEUE), 100);
+  pending.removeRequest("r1");
+  t.is(pending.estimateWait(500, EMPTY_QUEUE), 0);
 });
 
-test("what did not come in time is forgotten", (t) => {
-  const known = bookedFor(500);
-  known.expire(1500);
-  t.is(known.estimateWait(500, { ...AT_ONCE, now: 1500 }), 100);
-  known.expire(1501);
-  t.is(known.estimateWait(500, { ...AT_ONCE, now: 1501 }), 0);
+test("a reservation that is not fulfilled in time is dropped", (t) => {
+  const pending = reservedFor(500);
+  pending.expire(1500);
+  t.is(pending.estimateWait(500, { ...EMPTY_QUEUE, now: 1500 }), 100);
+  pending.expire(1501);
+  t.is(pending.estimateWait(500, { ...EMPTY_QUEUE, now: 1501 }), 0);
 });
--- a/src/batching/scheduler.ts
+++ b/src/batching/scheduler.ts
@@ -1,51 +1,56 @@
-/** Which pieces go to which endpoint of one cell, and when.
+/** Assigns the queued items of one partition to its endpoints.
  *
- * One scheduler sees all pieces that wait and knows which endpoint is free and
- * how much room it has left. An endpoint that gets free is given the most
- * urgent pieces that wait, from any requests, up to a full call: so calls fill
- * up under load by themselves, and nothing waits for a timer.
+ * One scheduler sees all queued items of the partition and knows which
+ * endpoints are idle and how much memory they have left. An endpoint that
+ * becomes idle is assigned the most urgent items of any requests, up to a full
+ * call. Under load, calls therefore fill up without a batching timer.
  * @module */
 
 import type * as configurations from "../configuration/mod.ts";
-import * as fadingMeans from "../runtime/decaying_mean.ts";
-import * as bookings from "./reservations.ts";
-import * as pace from "./throughput.ts";
-import * as suitabilities from "./delay_scheduling.ts";
-import * as works from "./task.ts";
+import * as decayingMeans from "../runtime/decaying_mean.ts";
+import * as reservations from "./reservations.ts";
+import * as throughputs from "./throughput.ts";
+import * as delayScheduling from "./delay_scheduling.ts";
+import * as tasks from "./task.ts";
 import * as workerStates from "./worker_state.ts";
 
-/** The running mean of the time of calls: some dozens of calls, which is a
- * second or two of a busy cell. */
-const WORK = { gain: 0.05, freshMs: 2000, halfLifeMs: 1000 };
-/** Times of its service's figures up to which a first call is believed. */
-const FIRST_WORK = 2;
-/** Part of the pieces that could be in a call which make it worthwhile before
- * its endpoint has waited for as long as a call costs. */
-const WORTHWHILE = 0.5;
-/** Milliseconds by which a piece may be late and still go before others. */
-const LATE_TOLERANCE = 100;
-/** Full calls that are kept for what follows on a late piece before its caller
- * leaves: a chain has three stages or so, and an engine. */
-const LATE_CALLS = 4;
-
-/** When pieces would be begun, and what that follows from. */
+/** Running mean of call durations: covers some dozens of calls, which is one or
+ * two seconds in a busy partition. */
+const CALL_DURATION_MEAN = { gain: 0.05, freshMs: 2000, halfLifeMs: 1000 };
+/** Limit on the first measured duration, as a multiple of the duration that the
+ * configuration gives. */
+const MAX_FIRST_RATIO = 2;
+/** Fraction of the possible batch from which a call is made at once; a smaller
+ * call is delayed for at most the fixed duration of a call. */
+const MIN_BATCH_RATIO = 0.5;
+/** Lateness up to which a task keeps its priority. */
+const LATE_TOLERANCE_MS = 100;
+/** Number of full calls that are reserved between a late task and its expiry,
+ * for the stages that depend on it: a pipeline has about three stages and an
+ * engine call. */
+const RESERVED_CALL_COUNT = 4;
+
+/** Estimate of when items would start. */
 export interface Forecast {
-  /** Milliseconds until then. */
+  /** Milliseconds until they start. */
   readonly wait: number;
-  /** Pieces that come before them: asked for, booked, or expected meanwhile. */
+  /** Items that start before them: queued, reserved, or expected to arrive
+   * meanwhile. */
   readonly ahead: number;
-  /** Pieces that are begun in a millisecond. */
+  /** Items that start per millisecond. */
   readonly rate: number;
 }
 
-/** Pieces and endpoints of one cell; changed in place. */
+/** The queue and the endpoints of one partition. Mutable. */
 export class Scheduler {
   #traits: configurations.BatchTraits;
   readonly #workers = new Map<string, workerStates.WorkerState>();
-  #waiting: works.Task[] = [];
-  readonly #bookings = bookings.Reservations.create();
-  readonly #pace = pace.Throughput.create();
-  readonly #work = fadingMeans.DecayingMean.create(WORK);
+  #queued: tasks.Task[] = [];
+  readonly #reservations = reservations.Reservations.create();
+  readonly #throughput = throughputs.Throughput.create();
+  readonly #callDuration = decayingMeans.DecayingMean.create(
+    CALL_DURATION_MEAN,
+  );
 
   private constructor(traits: configurations.BatchTraits) {
     this.#traits = traits;
@@ -55,19 +60,20 @@
     return new Scheduler(traits);
   }
 
-  /** Pieces that wait. */
-  get waiting(): readonly works.Task[] {
-    return this.#waiting;
+  /** Queued tasks. */
+  get waiting(): readonly tasks.Task[] {
+    return this.#queued;
   }
 
-  /** Follows a change of the service's figures. */
+  /** Applies a change of the service's performance figures. */
   setTraits(traits: configurations.BatchTraits): void {
     this.#traits = traits;
   }
 
-  /** Follows the endpoints that take work. One that is left out is remembered
-   * with its calls and results: it may only be out of reach for a while. */
-  setWorkers(workers: readonly works.Worker[]): void {
+  /** Sets the endpoints that accept calls. An endpoint that is no longer listed
+   * is kept while it has calls or results: it may only be unreachable for a
+   * while. */
+  setWorkers(workers: readonly tasks.Worker[]): void {
     for (const state of this.#workers.values()) state.isListed = false;
     for (const worker of workers) {
       const state = this.#workers.get(worker.id) ??
@@ -76,159 +82,166 @@
       this.#workers.set(worker.id, state);
     }
     for (
-      const [id, { isListed, calls, hasResults: isHolding }] of this.#workers
+      const [id, { isListed, calls, hasResults }] of this.#workers
     ) {
-      if (!isListed && calls === 0 && !isHolding) this.#workers.delete(id);
+      if (!isListed && calls === 0 && !hasResults) this.#workers.delete(id);
     }
   }
 
-  /** Milliseconds that calls take lately, with what others put into them; those
-   * of a call for one piece where none was made lately. */
+  /** Mean duration of recent calls, whatever their size; the configured
+   * duration of a call with one item if none was made recently. */
   callDuration(now: number): number {
-    return this.#work.value({ now, prior: this.#expected(1) });
+    return this.#callDuration.value({ now, prior: this.#expectedDuration(1) });
   }
 
-  /** Milliseconds since a call was last measured; undefined before the first. */
+  /** Milliseconds since the duration of a call was last measured; undefined
+   * before the first one. */
   callDurationAge(now: number): number | undefined {
-    return this.#work.age(now);
+    return this.#callDuration.age(now);
   }
 
-  /** Notes pieces that will be asked for; says when they would be begun if they
-   * were asked for now. */
-  reserve(booking: bookings.Reservation, now: number): Forecast {
-    this.#bookings.expire(now);
-    const forecast = this.forecast(booking, now);
-    this.#bookings.add(booking, now);
+  /** Records a reservation; returns an estimate of when its items would start
+   * if they were submitted now. */
+  reserve(reservation: reservations.Reservation, now: number): Forecast {
+    this.#reservations.expire(now);
+    const forecast = this.forecast(reservation, now);
+    this.#reservations.add(reservation, now);
     return forecast;
   }
 
-  /** Forecasts when pieces would be begun, behind all that is more urgent. */
+  /** Estimates when items would start, behind all that are more urgent. */
   forecast(
-    { dueAt: wanted, rank }: Pick<works.Task, "dueAt" | "rank">,
+    { dueAt, rank }: Pick<tasks.Task, "dueAt" | "rank">,
     now: number,
   ): Forecast {
-    const turn = works.virtualDeadline({ dueAt: wanted, rank });
-    const waiting = this.#waiting.filter((work) =>
-      this.#turnOf(work, now) <= turn
+    const deadline = tasks.virtualDeadline({ dueAt, rank });
+    const queuedAhead = this.#queued.filter((task) =>
+      this.#virtualDeadline(task, now) <= deadline
     );
     const usable = [...this.#workers.values()]
       .filter((state) => state.isUsable(now));
-    if (usable.length === 0) return NO_WORKER;
+    if (usable.length === 0) return NO_WORKER_FORECAST;
     const { batch, slots } = this.#traits;
-    const full = this.#expected(batch);
+    const fullCall = this.#expectedDuration(batch);
     const nominal = usable.reduce(
       (sum, state) =>
-        sum + slots * batch / (full * Math.max(1, state.slowness(now))),
+        sum + slots * batch / (fullCall * Math.max(1, state.slowness(now))),
       0,
     );
-    const rate = this.#pace.rate(nominal, now);
+    const rate = this.#throughput.rate(nominal, now);
     const isBusy = usable.every(({ calls }) => calls >= slots);
-    // The first of so many calls under way ends then, each as likely any time.
-    const first = isBusy ? full / (usable.length + 1) : 0;
-    const wait = this.#bookings.estimateWait(turn, {
-      waiting: waiting.length,
+    // If the remaining times of the running calls are independent and uniform,
+    // this is the expected time until the first one ends.
+    const firstIdle = isBusy ? fullCall / (usable.length + 1) : 0;
+    const wait = this.#reservations.estimateWait(deadline, {
+      waiting: queuedAhead.length,
       rate,
       now,
     });
-    return { wait: first + wait, ahead: wait * rate, rate };
+    return { wait: firstIdle + wait, ahead: wait * rate, rate };
   }
 
-  /** Adds pieces. */
-  add(added: readonly works.Task[]): void {
-    for (const work of added) this.#bookings.remove(work);
-    this.#waiting.push(...added);
+  /** Adds tasks to the queue and removes the reservations that they fulfil. */
+  add(added: readonly tasks.Task[]): void {
+    for (const task of added) this.#reservations.remove(task);
+    this.#queued.push(...added);
   }
 
-  /** Takes out the pieces of a request that nobody waits for any more. */
-  cancelRequest(request: string): works.Task[] {
-    this.#bookings.removeRequest(request);
-    return this.#takeOut((work) => work.request === request);
+  /** Removes and returns the queued tasks of a request that has been
+   * cancelled. */
+  cancelRequest(request: string): tasks.Task[] {
+    this.#reservations.removeRequest(request);
+    return this.#removeIf((task) => task.request === request);
   }
 
-  /** Takes out all pieces that wait. */
-  clear(): works.Task[] {
-    return this.#takeOut(() => true);
+  /** Removes and returns all queued tasks. */
+  clear(): tasks.Task[] {
+    return this.#removeIf(() => true);
   }
 
-  /** Takes out the pieces that are of no use any more. */
-  expire(now: number): works.Task[] {
-    return this.#takeOut((work) => work.expiresAt <= now);
+  /** Removes and returns the queued tasks that have expired. */
+  expire(now: number): tasks.Task[] {
+    return this.#removeIf((task) => task.expiresAt <= now);
   }
 
-  /** The calls that can be made now; they count as made. */
-  assign(now: number): works.Assignment[] {
-    const assignments: works.Assignment[] = [];
-    const free = this.#waiting.length > 0 ? this.#free(now) : [];
-    if (free.length > 0) this.#sort(now);
-    for (const state of free) {
-      const taken = this.#fill(state, now);
-      if (taken.length === 0 || this.#holdsBack(state, taken, now)) continue;
-      this.#remove(taken);
+  /** Returns the calls to make now, and counts them as running. */
+  assign(now: number): tasks.Assignment[] {
+    const assignments: tasks.Assignment[] = [];
+    const idle = this.#queued.length > 0 ? this.#idleWorkers(now) : [];
+    if (idle.length > 0) this.#sort(now);
+    for (const state of idle) {
+      const selected = this.#selectTasks(state, now);
+      if (selected.length === 0 || this.#shouldDelay(state, selected, now)) {
+        continue;
+      }
+      this.#removeStarted(selected);
       const slowness = Math.max(1, state.slowness(now));
-      const time = this.#expected(taken.length) * slowness;
-      state.startCall(taken, now + time);
-      this.#pace.recordStart(taken.length, now);
-      assignments.push({ worker: state.worker, tasks: taken });
+      const duration = this.#expectedDuration(selected.length) * slowness;
+      state.startCall(selected, now + duration);
+      this.#throughput.recordStart(selected.length, now);
+      assignments.push({ worker: state.worker, tasks: selected });
     }
-    this.#pace.recordSaturation(
-      this.#waiting.length >= this.#traits.batch,
+    this.#throughput.recordSaturation(
+      this.#queued.length >= this.#traits.batch,
       now,
     );
     return assignments;
   }
 
-  /** Milliseconds after which a call counts as hung. */
+  /** Timeout of a call, in milliseconds. */
   callTimeout(
-    { tasks: called, worker }: works.Assignment,
+    { tasks, worker }: tasks.Assignment,
     now: number,
   ): number {
     const state = this.#workers.get(worker.id);
     const slowness = Math.max(1, state?.slowness(now) ?? 1);
-    return LEAST_PATIENCE + HANGING * slowness * this.#expected(called.length);
+    return MIN_CALL_TIMEOUT_MS +
+      CALL_TIMEOUT_RATIO * slowness * this.#expectedDuration(tasks.length);
   }
 
-  /** Notes the end of a call with the results it gave. */
+  /** Records that a call has completed, and the results that it gave. */
   completeCall(
-    { worker, tasks: called }: works.Assignment,
+    { worker, tasks }: tasks.Assignment,
     { results, duration, now }: {
       results: readonly workerStates.HeldResult[];
       duration: number;
       now: number;
     },
   ): void {
-    const expected = this.#expected(called.length);
-    const prior = Math.min(duration, FIRST_WORK * expected);
-    this.#work.add(duration, { now, prior });
+    const expected = this.#expectedDuration(tasks.length);
+    const prior = Math.min(duration, MAX_FIRST_RATIO * expected);
+    this.#callDuration.add(duration, { now, prior });
     const ratio = duration / expected;
     const until = now + this.#traits.keepTime;
     const state = this.#workers.get(worker.id);
-    state?.completeCall(called, { results, until, ratio, now });
+    state?.completeCall(tasks, { results, until, ratio, now });
   }
 
-  /** Notes that a call gave nothing. `pause` says for how long the endpoint is
-   * left alone, where it is not failing but full. */
+  /** Records that a call gave no results. `pause` is the time for which the
+   * endpoint gets no calls, if it has not failed but was full. */
   failCall(
-    { worker, tasks: called }: works.Assignment,
+    { worker, tasks }: tasks.Assignment,
     { now, pause }: { now: number; pause?: number },
   ): void {
-    this.#workers.get(worker.id)?.failCall(called, { now, pause });
+    this.#workers.get(worker.id)?.failCall(tasks, { now, pause });
   }
 
-  /** Notes that an endpoint had no room for some pieces of a call, whatever was
-   * thought; returns what was thought, and whether those were most of it. */
+  /** Records that an endpoint rejected some items of a call for lack of memory,
+   * contrary to the estimate. Returns the estimate so far, and whether at least
+   * half of the call's items were rejected. */
   recordMemoryRejection(
     worker: string,
-    full: Omit<workerStates.MemoryRejection, "room">,
+    rejection: Omit<workerStates.MemoryRejection, "room">,
     now: number,
   ): Partial<workerStates.MemoryEstimate> & { isMost: boolean } {
     const { room } = this.#traits;
     const state = this.#workers.get(worker);
-    const isMost = state?.recordMemoryRejection({ ...full, room }, now) ??
+    const isMost = state?.recordMemoryRejection({ ...rejection, room }, now) ??
       false;
     return { ...state?.memoryEstimate(room), isMost };
   }
 
-  /** Notes that the endpoint at an address has given results up. */
+  /** Records that the endpoint at an address has released results. */
   releaseResults(address: string, handles: readonly string[]): void {
     for (const state of this.#workers.values()) {
       if (state.worker.address !== address) continue;
@@ -236,144 +249,155 @@
     }
   }
 
-  /** When a blocked endpoint may be tried again. */
+  /** When to schedule again, if tasks are queued: at the first time at which an
+   * endpoint may accept a call, a task expires, or a task stops waiting for a
+   * local endpoint. */
   wakeAt(now: number): number | undefined {
-    if (this.#waiting.length === 0) return undefined;
+    if (this.#queued.length === 0) return undefined;
     const { callTime } = this.#traits;
     const times = [...this.#workers.values()]
       .flatMap((state) => state.wakeTimes(callTime, now))
       .filter((time) => time > now);
-    const patience = suitabilities.localityMargin(this.#traits);
-    const first = this.#waiting.reduce(
-      (least, { expiresAt: expires, dueAt: wanted }) =>
+    const margin = delayScheduling.localityMargin(this.#traits);
+    const firstTask = this.#queued.reduce(
+      (earliest, { expiresAt, dueAt }) =>
         Math.min(
-          least,
-          expires,
-          wanted - patience > now ? wanted - patience : Infinity,
+          earliest,
+          expiresAt,
+          dueAt - margin > now ? dueAt - margin : Infinity,
         ),
       Infinity,
     );
-    return Math.min(first, ...times);
+    return Math.min(firstTask, ...times);
   }
 
-  /** State for people. */
+  /** State for the state dump. */
   dump(now: number): unknown {
     return {
-      waiting: this.#waiting.length,
+      waiting: this.#queued.length,
       workers: [...this.#workers.values()].map((state) => state.dump(now)),
     };
   }
 
-  #expected(count: number): number {
-    const { callTime, itemTime: pieceTime } = this.#traits;
-    return callTime + count * pieceTime;
+  #expectedDuration(count: number): number {
+    const { callTime, itemTime } = this.#traits;
+    return callTime + count * itemTime;
   }
 
-  /** Puts the most urgent pieces first. */
+  /** Sorts the queue by urgency. */
   #sort(now: number): void {
-    const turns = new Map(
-      this.#waiting.map((work) => [work, this.#turnOf(work, now)]),
+    const deadlines = new Map(
+      this.#queued.map((task) => [task, this.#virtualDeadline(task, now)]),
+    );
+    this.#queued.sort((one, other) =>
+      deadlines.get(one)! - deadlines.get(other)!
     );
-    this.#waiting.sort((one, other) => turns.get(one)! - turns.get(other)!);
   }
 
-  /** The time that decides a piece's turn. One that cannot be in time any more
-   * must not make others late: it is wanted only before its caller leaves. But
-   * results of its own stage, or those that it works on, take up room until it
-   * is made, and end by themselves before that: what is begun keeps its turn.
-   * In simulated bursts .05 of the worth hangs on it. */
-  #turnOf(work: works.Task, now: number): number {
+  /** Sort key of a task.
+   *
+   * A task that can no longer be on time must not make others late, so it is
+   * treated as due only shortly before it expires. Tasks of a stage that has
+   * started, and tasks with inputs, keep their priority: results of their
+   * stage, or their inputs, take up memory until they are complete, and expire
+   * before the late task would run. This is worth .05 of the value served in
+   * bursts. */
+  #virtualDeadline(task: tasks.Task, now: number): number {
     const {
-      dueAt: wanted,
-      expiresAt: expires,
+      dueAt,
+      expiresAt,
       rank,
-      isStageStarted: isBegun,
+      isStageStarted,
       inputs,
-    } = work;
-    const soonest = now + this.#expected(1) - LATE_TOLERANCE;
-    if (wanted >= soonest || isBegun || inputs !== undefined) {
-      return works.virtualDeadline(work);
+    } = task;
+    const earliestEnd = now + this.#expectedDuration(1) - LATE_TOLERANCE_MS;
+    if (dueAt >= earliestEnd || isStageStarted || inputs !== undefined) {
+      return tasks.virtualDeadline(task);
     }
     const { batch } = this.#traits;
-    const last = expires - LATE_CALLS * this.#expected(batch);
-    return works.virtualDeadline({ dueAt: Math.max(wanted, last), rank });
+    const latestStart = expiresAt -
+      RESERVED_CALL_COUNT * this.#expectedDuration(batch);
+    return tasks.virtualDeadline({ dueAt: Math.max(dueAt, latestStart), rank });
   }
 
-  /** Endpoints that can take a call, the fastest first. */
-  #free(now: number): workerStates.WorkerState[] {
-    const free = [...this.#workers.values()].filter((state) =>
+  /** Endpoints that can accept a call, the fastest first. */
+  #idleWorkers(now: number): workerStates.WorkerState[] {
+    const idle = [...this.#workers.values()].filter((state) =>
       state.isUsable(now) && state.calls < this.#traits.slots
     );
-    free.forEach((state) => state.expire(now));
-    return free.sort((one, other) => one.slowness(now) - other.slowness(now));
+    idle.forEach((state) => state.expire(now));
+    return idle.sort((one, other) => one.slowness(now) - other.slowness(now));
   }
 
-  /** Takes the most urgent pieces that one call can hold and that may be made
-   * there. */
-  #fill(state: workerStates.WorkerState, now: number): works.Task[] {
-    const taken = new Set<works.Task>();
-    let room = state.freeBytes(this.#traits.room, now);
-    const take = (suits: (work: works.Task) => boolean) => {
-      for (const work of this.#waiting) {
-        if (taken.size >= this.#traits.batch) return;
-        if (work.bytes > room || taken.has(work) || !suits(work)) continue;
-        taken.add(work);
-        room -= work.bytes;
+  /** Selects the most urgent tasks that fit into one call and that may run at
+   * the endpoint. */
+  #selectTasks(state: workerStates.WorkerState, now: number): tasks.Task[] {
+    const selected = new Set<tasks.Task>();
+    let freeBytes = state.freeBytes(this.#traits.room, now);
+    const selectIf = (accepts: (task: tasks.Task) => boolean) => {
+      for (const task of this.#queued) {
+        if (selected.size >= this.#traits.batch) return;
+        if (task.bytes > freeBytes || selected.has(task) || !accepts(task)) {
+          continue;
+        }
+        selected.add(task);
+        freeBytes -= task.bytes;
       }
     };
-    const suitability = suitabilities.DelayScheduling.of(state, {
+    const policy = delayScheduling.DelayScheduling.of(state, {
       workers: this.#workers.values(),
       traits: this.#traits,
       now,
     });
-    take((work) => suitability.accepts(work));
-    return [...taken];
+    selectIf((task) => policy.accepts(task));
+    return [...selected];
   }
 
-  /** Whether an endpoint waits for more of its room before it is called: each
-   * call costs as much again as some pieces, so calls for one or two, as room
-   * comes free, would halve what it makes. */
-  #holdsBack(
+  /** Whether a small call is delayed until the endpoint has more free memory.
+   * The fixed cost of a call equals that of several items, so that calls for
+   * one or two items, made as memory is released, would halve the endpoint's
+   * throughput. */
+  #shouldDelay(
     state: workerStates.WorkerState,
-    taken: readonly works.Task[],
+    selected: readonly tasks.Task[],
     now: number,
   ): boolean {
     const { batch, callTime } = this.#traits;
-    const wanted = Math.min(batch, this.#waiting.length);
-    const isSmall = taken.length < wanted * WORTHWHILE;
+    const possible = Math.min(batch, this.#queued.length);
+    const isSmall = selected.length < possible * MIN_BATCH_RATIO;
     if (!isSmall || !state.hasResults) return false;
     state.batchingSince ??= now;
     return now - state.batchingSince < callTime;
   }
 
-  /** Takes out what is begun, and notes that for what waits of the same
-   * stages. */
-  #remove(taken: readonly works.Task[]): void {
-    const gone = new Set(taken);
-    const begun = new Set(taken.map(works.stageKey));
-    this.#waiting = this.#waiting.filter((work) => !gone.has(work))
-      .map((work) =>
-        begun.has(works.stageKey(work))
-          ? { ...work, isStageStarted: true }
-          : work
+  /** Removes started tasks from the queue and marks the remaining tasks of
+   * their stages. */
+  #removeStarted(started: readonly tasks.Task[]): void {
+    const startedSet = new Set(started);
+    const startedStages = new Set(started.map(tasks.stageKey));
+    this.#queued = this.#queued.filter((task) => !startedSet.has(task))
+      .map((task) =>
+        startedStages.has(tasks.stageKey(task))
+          ? { ...task, isStageStarted: true }
+          : task
       );
   }
 
-  #takeOut(isOut: (work: works.Task) => boolean): works.Task[] {
-    const out = this.#waiting.filter(isOut);
-    if (out.length > 0) {
-      this.#waiting = this.#waiting.filter((work) => !isOut(work));
+  #removeIf(predicate: (task: tasks.Task) => boolean): tasks.Task[] {
+    const removed = this.#queued.filter(predicate);
+    if (removed.length > 0) {
+      this.#queued = this.#queued.filter((task) => !predicate(task));
     }
-    return out;
+    return removed;
   }
 }
 
-/** Milliseconds that a call may take however short its work is. */
-const LEAST_PATIENCE = 400;
-/** A call that takes so many times as long as it should counts as hung: slow
- * endpoints take some times as long, and are still of use. */
-const HANGING = 6;
+/** Minimum timeout of a call. */
+const MIN_CALL_TIMEOUT_MS = 400;
+/** Timeout of a call as a multiple of its expected duration. Endpoints that are
+ * a few times slower than expected are still useful. */
+const CALL_TIMEOUT_RATIO = 6;
 
-/** Pieces wait where nobody can make them until about the time at which an
- * endpoint is tried again. */
-const NO_WORKER: Forecast = { wait: 1000, ahead: 0, rate: 0 };
+/** Forecast without a usable endpoint: items wait for about the time after
+ * which a failed endpoint is tried again. */
+const NO_WORKER_FORECAST: Forecast = { wait: 1000, ahead: 0, rate: 0 };
--- a/src/batching/scheduler_test.ts
+++ b/src/batching/scheduler_test.ts
@@ -4,33 +4,33 @@
 import * as configurations from "../configuration/fixture.ts";
 import * as fixture from "./fixture.ts";
 import * as schedulers from "./scheduler.ts";
-import type * as work from "./task.ts";
+import type * as tasks from "./task.ts";
 
-function worker(id: string, dataCentre = "town"): work.Worker {
+function worker(id: string, dataCentre = "town"): tasks.Worker {
   return { id, name: id, address: `10.0.0.1:${id}`, dataCentre };
 }
 
-function schedulerOf(...workers: work.Worker[]) {
+function schedulerOf(...workers: tasks.Worker[]) {
   const scheduler = schedulers.Scheduler.create(configurations.batchTraits());
   scheduler.setWorkers(workers);
   return scheduler;
 }
 
-function finish(
+function completeCall(
   scheduler: schedulers.Scheduler,
-  assignment: work.Assignment,
+  assignment: tasks.Assignment,
   now = 140,
 ) {
   const results = assignment.tasks.map((
-    { request, itemIndex: piece, bytes },
+    { request, itemIndex, bytes },
   ) => ({
-    handle: `${request}.${piece}`,
+    handle: `${request}.${itemIndex}`,
     bytes,
   }));
   scheduler.completeCall(assignment, { results, duration: 140, now });
 }
 
-test("a call takes pieces of any requests, up to a batch", (t) => {
+test("a call combines tasks of several requests, up to the batch size", (t) => {
   const scheduler = schedulerOf(worker("1"));
   scheduler.add([...fixture.tasks("a", 3), ...fixture.tasks("b", 3)]);
   const [call, ...others] = scheduler.assign(0);
@@ -39,16 +39,16 @@
   t.is(scheduler.waiting.length, 2);
 });
 
-test("an endpoint has one call at a time", (t) => {
+test("an endpoint gets no more calls at once than it has slots", (t) => {
   const scheduler = schedulerOf(worker("1"));
   scheduler.add(fixture.tasks("a", 5));
   const [call] = scheduler.assign(0);
   t.deepEqual(scheduler.assign(1), []);
-  finish(scheduler, call);
+  completeCall(scheduler, call);
   t.is(scheduler.assign(140).length, 1);
 });
 
-test("the most urgent goes first, but not what is late already", (t) => {
+test("the most urgent task runs first, unless it is late already", (t) => {
   const scheduler = schedulerOf(worker("1"));
   scheduler.add(fixture.tasks("late", 4, { dueAt: 10 }));
   scheduler.add(fixture.tasks("later", 4, { dueAt: 3000 }));
@@ -57,7 +57,7 @@
   t.is(call.tasks[0].request, "soon");
 });
 
-test("what is late goes before what can wait when its caller is about to leave", (t) => {
+test("a late task that is about to expire runs before tasks that can wait", (t) => {
   const scheduler = schedulerOf(worker("1"));
   scheduler.add(fixture.tasks("late", 4, { dueAt: 10, expiresAt: 1000 }));
   scheduler.add(fixture.tasks("later", 4, { dueAt: 3000 }));
@@ -65,38 +65,38 @@
   t.is(call.tasks[0].request, "late");
 });
 
-test("what is begun is ended, though it has become late", (t) => {
+test("the rest of a started stage keeps its priority after it has become late", (t) => {
   const scheduler = schedulerOf(worker("1"));
-  scheduler.add(fixture.tasks("begun", 5, { dueAt: 200 }));
+  scheduler.add(fixture.tasks("started", 5, { dueAt: 200 }));
   const [first] = scheduler.assign(0);
   scheduler.add(fixture.tasks("fresh", 4, { dueAt: 1000 }));
   scheduler.add(fixture.tasks("late", 4, { dueAt: 200 }));
-  finish(scheduler, first, 500);
+  completeCall(scheduler, first, 500);
   const [call] = scheduler.assign(500);
   const requests = call.tasks.map(({ request }) => request);
-  t.deepEqual(requests, ["begun", "fresh", "fresh", "fresh"]);
+  t.deepEqual(requests, ["started", "fresh", "fresh", "fresh"]);
 });
 
-test("no more is ordered than an endpoint has room for", (t) => {
+test("a call contains no more items than the endpoint's memory can hold", (t) => {
   const scheduler = schedulerOf(worker("1"));
   scheduler.add(fixture.tasks("a", 8, { bytes: 300 }));
   const [call] = scheduler.assign(0);
   t.is(call.tasks.length, 3);
-  finish(scheduler, call);
+  completeCall(scheduler, call);
   t.deepEqual(scheduler.assign(140), []);
   scheduler.releaseResults("10.0.0.1:1", ["a.0", "a.1"]);
   t.is(scheduler.assign(140)[0].tasks.length, 2);
 });
 
-test("results that nobody gives up end by themselves", (t) => {
+test("results that are not released expire and free their memory", (t) => {
   const scheduler = schedulerOf(worker("1"));
   scheduler.add(fixture.tasks("a", 8, { bytes: 300, expiresAt: 20_000 }));
-  finish(scheduler, scheduler.assign(0)[0]);
+  completeCall(scheduler, scheduler.assign(0)[0]);
   t.deepEqual(scheduler.assign(4000), []);
   t.is(scheduler.assign(4200)[0].tasks.length, 3);
 });
 
-test("a failed endpoint is left alone for a while", (t) => {
+test("an endpoint is paused after a failure", (t) => {
   const scheduler = schedulerOf(worker("1"));
   scheduler.add(fixture.tasks("a", 4));
   const [call] = scheduler.assign(0);
@@ -106,21 +106,21 @@
   t.is(scheduler.assign(500).length, 1);
 });
 
-test("an endpoint that is out of reach for a while keeps calls and room", (t) => {
+test("the calls and results of an endpoint still count after it was unreachable", (t) => {
   const scheduler = schedulerOf(worker("1"));
   scheduler.add(fixture.tasks("a", 8, { bytes: 300 }));
   const [call] = scheduler.assign(0);
   scheduler.setWorkers([]);
   scheduler.setWorkers([worker("1")]);
   t.deepEqual(scheduler.assign(10), []);
-  finish(scheduler, call);
+  completeCall(scheduler, call);
   scheduler.setWorkers([]);
   t.deepEqual(scheduler.assign(150), []);
   scheduler.setWorkers([worker("1")]);
   t.deepEqual(scheduler.assign(160), []);
 });
 
-test("a slow endpoint is given work last", (t) => {
+test("a slow endpoint is assigned calls after faster ones", (t) => {
   const scheduler = schedulerOf(worker("1"), worker("2"));
   scheduler.add(fixture.tasks("a", 4));
   const [call] = scheduler.assign(0);
@@ -130,7 +130,7 @@
   t.not(scheduler.assign(1000)[0].worker.id, call.worker.id);
 });
 
-test("a large result waits for an endpoint where it is needed", (t) => {
+test("a task with a large result waits for an endpoint where the result is needed", (t) => {
   const scheduler = schedulers.Scheduler.create(
     configurations.batchTraits({ room: 10_000_000 }),
   );
@@ -147,11 +147,11 @@
   t.is(scheduler.assign(1800)[0].worker.id, "2");
 });
 
-test("an endpoint short of room waits for more before a small call", (t) => {
+test("an endpoint short of memory delays a small call until more is released", (t) => {
   const scheduler = schedulerOf(worker("1"));
   scheduler.add(fixture.tasks("a", 4, { bytes: 200 }));
   const [call] = scheduler.assign(0);
-  finish(scheduler, call);
+  completeCall(scheduler, call);
   scheduler.add(fixture.tasks("b", 4, { bytes: 150 }));
   t.deepEqual(scheduler.assign(140), []);
   t.is(scheduler.wakeAt(140), 240);
@@ -159,81 +159,83 @@
   t.is(scheduler.assign(150)[0].tasks.length, 2);
 });
 
-test("it does not wait for longer than a call costs", (t) => {
+test("a small call is delayed for at most the fixed duration of a call", (t) => {
   const scheduler = schedulerOf(worker("1"));
   scheduler.add(fixture.tasks("a", 4, { bytes: 200 }));
   const [call] = scheduler.assign(0);
-  finish(scheduler, call);
+  completeCall(scheduler, call);
   scheduler.add(fixture.tasks("b", 4, { bytes: 150 }));
   scheduler.assign(140);
   t.is(scheduler.assign(240)[0].tasks.length, 1);
 });
 
-test("when more than a call waits, an endpoint takes what is near first", (t) => {
+test("an endpoint runs tasks of its own data centre before more urgent ones of others", (t) => {
   const scheduler = schedulerOf(worker("1", "near"));
-  const moved = 1_000_000;
+  const transferBytes = 1_000_000;
   scheduler.add(
     fixture.tasks("far", 4, {
-      transferBytes: moved,
+      transferBytes,
       dataCentre: "far",
       dueAt: 1500,
     }),
   );
   scheduler.add(
-    fixture.tasks("near", 2, { transferBytes: moved, dataCentre: "near" }),
+    fixture.tasks("near", 2, { transferBytes, dataCentre: "near" }),
   );
   scheduler.setWorkers([worker("1", "near"), worker("2", "far")]);
   const calls = scheduler.assign(0);
   const requestsAt = (id: string) =>
-    calls.find((call) => call.worker.id === id)!.tasks.map((work) =>
-      work.request
+    calls.find((call) => call.worker.id === id)!.tasks.map((task) =>
+      task.request
     );
   t.deepEqual(requestsAt("1").slice(0, 2), ["near", "near"]);
 });
 
-test("a booking makes those behind it wait", (t) => {
+test("a reservation adds to the wait of tasks behind it", (t) => {
   const scheduler = schedulerOf(worker("1"));
-  const booking = { stage: 0, count: 8, dueAt: 1000, rank: 0 };
-  t.is(scheduler.reserve({ ...booking, request: "a" }, 0).wait, 0);
+  const reservation = { stage: 0, count: 8, dueAt: 1000, rank: 0 };
+  t.is(scheduler.reserve({ ...reservation, request: "a" }, 0).wait, 0);
   t.is(Math.round(scheduler.forecast({ dueAt: 1000, rank: 0 }, 0).wait), 280);
-  scheduler.reserve({ ...booking, request: "b", dueAt: 1500 }, 0);
+  scheduler.reserve({ ...reservation, request: "b", dueAt: 1500 }, 0);
   const urgent = scheduler.forecast({ dueAt: 500, rank: 0 }, 0);
   t.is(urgent.wait, 0);
   scheduler.cancelRequest("a");
   t.true(scheduler.forecast({ dueAt: 1200, rank: 0 }, 0).wait < 280);
 });
 
-test("what comes later and is more urgent counts before it comes", (t) => {
+test("expected arrivals that are more urgent add to the wait", (t) => {
   const scheduler = schedulerOf(worker("1"));
   const urgent = { stage: 0, count: 8, dueAt: 500, rank: 0, request: "a" };
   scheduler.reserve(urgent, 0);
-  // 8 pieces in 280 ms, as many again for each second of waiting.
+  // 8 items take 280 ms; as many are expected to arrive in each second of
+  // waiting.
   t.is(Math.round(scheduler.forecast({ dueAt: 1500, rank: 0 }, 0).wait), 388);
   t.is(Math.round(scheduler.forecast({ dueAt: 500, rank: 0 }, 0).wait), 280);
 });
 
-test("nobody waits for nothing: without endpoints a forecast says so", (t) => {
+test("the forecast is a long wait if there are no endpoints", (t) => {
   t.true(schedulerOf().forecast({ dueAt: 500, rank: 0 }, 0).wait > 500);
 });
 
-test("a piece that moves much is not made elsewhere while it is in time there", (t) => {
+test("a task with a large transfer waits for its data centre while it is on time there", (t) => {
   const scheduler = schedulerOf(worker("1", "near"), worker("2", "far"));
-  const moved = 1_000_000;
-  const near = { transferBytes: moved, dataCentre: "near", bytes: 1 };
-  scheduler.add(fixture.tasks("begun", 4, near));
+  const transferBytes = 1_000_000;
+  const near = { transferBytes, dataCentre: "near", bytes: 1 };
+  scheduler.add(fixture.tasks("started", 4, near));
   t.deepEqual(scheduler.assign(0).map((call) => call.worker.id), ["1"]);
-  // A call of four takes 140 ms and ends then; each of the next takes as long.
+  // The running call of four items ends at 140 ms; the next ones take 140 ms
+  // each.
   scheduler.add(fixture.tasks("next", 4, { ...near, dueAt: 440 }));
   t.deepEqual(scheduler.assign(1), []);
-  scheduler.add(fixture.tasks("hurried", 4, { ...near, dueAt: 410 }));
+  scheduler.add(fixture.tasks("urgent", 4, { ...near, dueAt: 410 }));
   const [call] = scheduler.assign(2);
   t.is(call.worker.id, "2");
   t.deepEqual(new Set(call.tasks.map(({ request }) => request)).size, 1);
 });
 
-/** A scheduler of a fast endpoint, which is at a call, and of one that was four
- * times slower than the service's figures. */
-function withSlow() {
+/** A scheduler with a fast endpoint, which is busy, and one that was four times
+ * slower than configured. */
+function withSlowWorker() {
   const scheduler = schedulerOf(worker("fast"), worker("slow"));
   scheduler.add(fixture.tasks("first", 8, { dueAt: 5000 }));
   const calls = scheduler.assign(0);
@@ -244,22 +246,23 @@
   return scheduler;
 }
 
-test("a piece that would be late at a slow endpoint waits for a faster one", (t) => {
-  const scheduler = withSlow();
+test("a task that would be late at a slow endpoint waits for a faster one", (t) => {
+  const scheduler = withSlowWorker();
   scheduler.add(fixture.tasks("urgent", 2, { dueAt: 3200, expiresAt: 9000 }));
   t.deepEqual(scheduler.assign(2800), []);
 });
 
-test("a slow endpoint makes what can wait, and what is late anyway", (t) => {
-  for (const wanted of [6000, 2700]) {
-    const scheduler = withSlow();
-    scheduler.add(fixture.tasks("any", 2, { dueAt: wanted, expiresAt: 9000 }));
+test("a slow endpoint runs tasks that can wait and tasks that are late anyway", (t) => {
+  for (const dueAt of [6000, 2700]) {
+    const scheduler = withSlowWorker();
+    scheduler.add(fixture.tasks("any", 2, { dueAt, expiresAt: 9000 }));
     const [call] = scheduler.assign(2800);
     t.is(call?.worker.id, "slow");
   }
 });
 
-/** A scheduler after so many calls of two seconds each, and when they end. */
+/** A scheduler after `count` calls of two seconds each, and the time at which
+ * they have ended. */
 function afterSlowCalls(count: number) {
   const scheduler = schedulerOf(worker("1"));
   let now = 0;
@@ -272,9 +275,9 @@
   return { scheduler, now };
 }
 
-// Guards against a forecast that refuses for good: what is refused by it would
-// be what makes calls that correct it.
-test("what calls took is forgotten once none was made for long", (t) => {
+// Guards against a forecast that never recovers: it rejects the requests whose
+// calls would correct it.
+test("the mean call duration returns to the configured one without calls", (t) => {
   const { scheduler, now } = afterSlowCalls(30);
   t.true(scheduler.callDuration(now) > 1500, `${scheduler.callDuration(now)}`);
   const later = now + 10_000;
@@ -282,20 +285,21 @@
     { request: "b", stage: 0, count: 1, dueAt: later + 500, rank: 0 },
     later,
   );
-  const work = scheduler.callDuration(later);
-  t.true(work < 500, `${work}`);
+  const duration = scheduler.callDuration(later);
+  t.true(duration < 500, `${duration}`);
 });
 
-// Guards against requests refused after a start, when the first call is slow.
-test("one slow call does not pass for what calls take", (t) => {
+// Guards against requests that are rejected after a start because the first
+// call is slow.
+test("a single slow call does not determine the mean call duration", (t) => {
   const { scheduler, now } = afterSlowCalls(1);
   t.true(scheduler.callDuration(now) < 500, `${scheduler.callDuration(now)}`);
 });
 
-// Guards against an endpoint that gets no call since it was slow once, and so
-// never shows that it is as fast as others again.
-test("a slow endpoint that got no call for long counts as fast again", (t) => {
-  const scheduler = withSlow();
+// Guards against an endpoint that gets no calls after it was slow once, and
+// therefore never shows that it has recovered.
+test("a slow endpoint counts as fast again after a long time without calls", (t) => {
+  const scheduler = withSlowWorker();
   scheduler.add(
     fixture.tasks("urgent", 2, { dueAt: 23_300, expiresAt: 30_000 }),
   );
--- a/src/batching/task.ts
+++ b/src/batching/task.ts
@@ -1,64 +1,66 @@
-/** Pieces to be made, who makes them, and whose turn it is.
+/** Tasks (items to compute), the endpoints that compute them, and the order in
+ * which tasks run.
  * @module */
 
-/** Milliseconds by which a rank lets a piece wait behind those of the rank
- * above: a few calls, so that the higher goes first where time is short and
- * the lower is not passed over for long. */
-const RANK_DELAY = 400;
+/** Delay of the virtual deadline per rank: a few calls, so that higher ranks
+ * run first when time is short and lower ones do not starve. */
+const RANK_DELAY_MS = 400;
 
-/** A piece to be made. */
+/** An item to compute. */
 export interface Task {
   readonly request: string;
   readonly stage: number;
   readonly itemIndex: number;
   readonly key?: string;
   readonly inputs?: readonly string[];
-  /** About how large the result is. */
+  /** Approximate size of the result. */
   readonly bytes: number;
-  /** When the result is of no use any more. */
+  /** Hard deadline: the time after which the result is useless. */
   readonly expiresAt: number;
-  /** When it is wanted. */
+  /** Soft deadline: the time by which the result is needed. */
   readonly dueAt: number;
-  /** 0 is the highest. */
+  /** Priority; 0 is the highest. */
   readonly rank: number;
-  /** Where most of what it works on or gives is. */
+  /** Data centre of its inputs or of the consumer of its result, whichever is
+   * the larger transfer. */
   readonly dataCentre?: string;
-  /** Bytes that cross data centres when it is made elsewhere. */
+  /** Bytes that cross data centres if it runs elsewhere. */
   readonly transferBytes: number;
   readonly attempts: number;
-  /** Whether others of its request and stage have been begun. */
+  /** Whether other tasks of its request and stage have started. */
   readonly isStageStarted?: boolean;
 }
 
-/** An endpoint that makes pieces. */
+/** An endpoint that computes items. */
 export interface Worker {
-  /** One incarnation of it. */
+  /** Identifies one incarnation of the endpoint. */
   readonly id: string;
-  /** What it calls itself, through all its incarnations. */
+  /** Name of the endpoint, the same for all its incarnations. */
   readonly name: string;
   readonly address: string;
   readonly dataCentre: string;
 }
 
-/** A call to make. */
+/** A call to make, with the tasks in it. */
 export interface Assignment {
   readonly worker: Worker;
   readonly tasks: readonly Task[];
 }
 
-/** The time that decides whose turn it is: the earlier goes first. */
+/** Sort key of tasks, in ascending order: the time at which a task is due, plus
+ * a delay for its rank. */
 export function virtualDeadline(
-  { dueAt: wanted, rank }: Pick<Task, "dueAt" | "rank">,
+  { dueAt, rank }: Pick<Task, "dueAt" | "rank">,
 ): number {
-  return wanted + rank * RANK_DELAY;
+  return dueAt + rank * RANK_DELAY_MS;
 }
 
-/** Bytes of the results of some pieces. */
-export function totalBytes(works: readonly Task[]): number {
-  return works.reduce((sum, { bytes }) => sum + bytes, 0);
+/** Total size of the results of several tasks. */
+export function totalBytes(tasks: readonly Task[]): number {
+  return tasks.reduce((sum, { bytes }) => sum + bytes, 0);
 }
 
-/** Names the stage of a request that a piece belongs to. */
+/** Key of the stage of a request that a task belongs to. */
 export function stageKey({ request, stage }: Pick<Task, "request" | "stage">) {
   return `${request}/${stage}`;
 }
--- a/src/batching/throughput.ts
+++ b/src/batching/throughput.ts
@@ -1,50 +1,50 @@
-/** How fast the pieces of a service are begun while some always wait: it may be
- * less than its endpoints' calls allow, when their room for results is full.
+/** Measured throughput of a partition while its queue is never empty. It may be
+ * less than the endpoints' calls allow, if their memory for results is full.
  * @module */
 
-/** Milliseconds over which the pace is measured: some calls. */
-const WINDOW = 1500;
-/** Least milliseconds that tell anything. */
-const LEAST = 400;
-/** Part of the nominal pace that a measured one is held to at least. */
-const FLOOR = 0.3;
+/** Window over which throughput is measured: several calls. */
+const WINDOW_MS = 1500;
+/** Minimum duration of saturation for a measurement. */
+const MIN_SPAN_MS = 400;
+/** Minimum of the measured throughput, as a fraction of the nominal one. */
+const MIN_RATIO = 0.3;
 
-interface Begin {
+interface Start {
   readonly at: number;
   readonly count: number;
 }
 
-/** The pace of one service; changed in place. */
+/** Throughput of one partition. Mutable. */
 export class Throughput {
-  #begins: Begin[] = [];
+  #starts: Start[] = [];
   #saturatedSince = Infinity;
 
   static create(): Throughput {
     return new Throughput();
   }
 
-  /** Notes that pieces are begun. */
+  /** Records started items. */
   recordStart(count: number, at: number): void {
-    this.#begins.push({ at, count });
+    this.#starts.push({ at, count });
   }
 
-  /** Notes whether more than a full call waits after all that can be begun has
-   * been. */
+  /** Records whether at least a full call is still queued after all possible
+   * calls have been made. */
   recordSaturation(isSaturated: boolean, now: number): void {
     if (!isSaturated) this.#saturatedSince = Infinity;
     else this.#saturatedSince = Math.min(this.#saturatedSince, now);
-    this.#begins = this.#begins.filter(({ at }) => at > now - WINDOW);
+    this.#starts = this.#starts.filter(({ at }) => at > now - WINDOW_MS);
   }
 
-  /** Pieces a millisecond that are to be expected. */
+  /** Expected throughput, in items per millisecond. */
   rate(nominal: number, now: number): number {
-    const from = Math.max(this.#saturatedSince, now - WINDOW);
+    const from = Math.max(this.#saturatedSince, now - WINDOW_MS);
     const span = now - from;
-    if (!(span >= LEAST)) return nominal;
-    const begun = this.#begins.reduce(
+    if (!(span >= MIN_SPAN_MS)) return nominal;
+    const started = this.#starts.reduce(
       (sum, { at, count }) => at > from ? sum + count : sum,
       0,
     );
-    return Math.min(nominal, Math.max(FLOOR * nominal, begun / span));
+    return Math.min(nominal, Math.max(MIN_RATIO * nominal, started / span));
   }
 }
--- a/src/batching/worker_state.ts
+++ b/src/batching/worker_state.ts
@@ -1,52 +1,56 @@
-/** One endpoint as its scheduler sees it: its calls, its pauses after failures,
- * and the results that take up its room.
+/** A scheduler's view of one endpoint: its running calls, its pauses after
+ * failures, and the results that take up its memory.
  * @module */
 
-import * as fadingMeans from "../runtime/decaying_mean.ts";
-import * as works from "./task.ts";
-
-/** Milliseconds of the first pause after a failure; it doubles up to the
- * last. */
-const FIRST_REST = 300;
-const LAST_REST = 5000;
-/** Part of its room that is filled: sizes are approximate. */
-const FILLED = 0.97;
-/** Milliseconds of the pause after a call of which it had no room for a piece;
- * it doubles up to the last while most of each call finds none: something else
- * holds its room, such as results of a batcher that was lost, for seconds. */
-const FIRST_FULL = 60;
-const LAST_FULL = 480;
-/** Milliseconds over which room that others' results take is believed to come
- * free: they are held for one to two seconds, and at the most for the four that
- * results of a lost host are kept. In simulated loads with faults .749 of the
- * worth is served so, .746 over 1 s, .734 over 4 s, and .728 where what others
- * hold is not known; half as many pieces find no room after a kill of all. */
-const FADE = 2000;
-/** Looks at room that comes free so, while pieces wait for it. */
-const FADE_LOOKS = 20;
-/** Part of the pieces of a call from which on most of it found no room. */
-const MOSTLY = 0.5;
-/** The running mean of its slowness. */
-const SLOWNESS = { gain: 0.3, freshMs: 4000, halfLifeMs: 2000 };
-
-/** What was thought of an endpoint's room, in bytes. */
+import * as decayingMeans from "../runtime/decaying_mean.ts";
+import * as tasks from "./task.ts";
+
+/** Pause after a failure; doubles with each further failure up to the
+ * maximum. */
+const MIN_PAUSE_MS = 300;
+const MAX_PAUSE_MS = 5000;
+/** Fraction of an endpoint's memory that is used, since result sizes are
+ * approximate. */
+const MAX_MEMORY_RATIO = 0.97;
+/** Pause after a call of which items were rejected for lack of memory; doubles
+ * up to the maximum while at least half of each call is rejected. Its memory is
+ * then held by something else, such as results of a lost batcher, for
+ * seconds. */
+const MIN_REJECTION_PAUSE_MS = 60;
+const MAX_REJECTION_PAUSE_MS = 480;
+/** Time over which memory that results of other batchers take is assumed to
+ * become free. They are held for one to two seconds, and for at most four if
+ * their host is lost. Under load with faults, this serves .749 of the value; a
+ * time of 1 s serves .746, of 4 s .734, and ignoring other batchers' results
+ * .728. Half as many items are rejected after all batchers have been killed. */
+const FOREIGN_DECAY_MS = 2000;
+/** Number of times within that period at which queued items check for freed
+ * memory. */
+const FOREIGN_CHECK_COUNT = 20;
+/** Fraction of rejected items from which a call counts as mostly rejected. */
+const MOSTLY_REJECTED_RATIO = 0.5;
+/** Running mean of the slowness. */
+const SLOWNESS_MEAN = { gain: 0.3, freshMs: 4000, halfLifeMs: 2000 };
+
+/** Estimate of how much of an endpoint's memory for results is in use, in
+ * bytes. */
 export interface MemoryEstimate {
   readonly room: number;
   readonly heldBytes: number;
   readonly reserved: number;
-  /** Results that it holds. */
+  /** Number of results that it holds. */
   readonly held: number;
 }
 
-/** A call of which some pieces found no room. */
+/** A call of which some items were rejected for lack of memory. */
 export interface MemoryRejection {
   readonly rejected: number;
   readonly pieces: number;
-  /** Size of the smallest one that found none. */
+  /** Size of the smallest rejected item. */
   readonly bytes: number;
-  /** Bytes of the results that it gave. */
+  /** Total size of the results that it gave. */
   readonly made: number;
-  /** Bytes of the endpoint's room. */
+  /** Total memory of the endpoint for results, in bytes. */
   readonly room: number;
 }
 
@@ -56,42 +60,42 @@
   readonly bytes: number;
 }
 
-/** One endpoint; changed in place. */
+/** State of one endpoint. Mutable. */
 export class WorkerState {
-  readonly worker: works.Worker;
-  /** Whether it takes work now. */
+  readonly worker: tasks.Worker;
+  /** Whether the endpoint is among those that accept calls. */
   isListed = true;
-  /** Since when it waits for more room. */
+  /** Since when a small call has been delayed to wait for more memory. */
   batchingSince?: number;
-  /** When its call under way is expected to end. */
-  #callEnds = 0;
-  /** Calls of this host there. */
+  /** When the running call is expected to end. */
+  #callEndsAt = 0;
+  /** Running calls of this host. */
   #calls = 0;
-  /** No calls before this time. */
+  /** Time before which no call is made. */
   #blockedUntil = 0;
   /** Pause after the next failure. */
-  #rest = FIRST_REST;
-  /** Pause after the next call that mostly finds no room. */
-  #fullPause = FIRST_FULL;
-  readonly #slowness = fadingMeans.DecayingMean.create(SLOWNESS);
-  /** Results that it holds, and when they end by themselves; those that end
-   * first come first, since all are kept for the same time. */
-  readonly #held = new Map<string, { bytes: number; until: number }>();
+  #pause = MIN_PAUSE_MS;
+  /** Pause after the next call that is mostly rejected. */
+  #rejectionPause = MIN_REJECTION_PAUSE_MS;
+  readonly #slowness = decayingMeans.DecayingMean.create(SLOWNESS_MEAN);
+  /** Results that it holds, in order of expiry, since all are kept for the same
+   * time. */
+  readonly #results = new Map<string, { bytes: number; until: number }>();
   #heldBytes = 0;
-  /** Bytes held when the call under way began. */
-  #heldBefore = 0;
-  /** Bytes of results that are not this batcher's, as last shown by a piece
-   * that found no room, and when. */
-  #foreign = 0;
-  #foreignAt = 0;
-  /** Bytes of the results that calls under way will give. */
+  /** Size of the results held when the running call began. */
+  #heldBytesAtStart = 0;
+  /** Size of the results of other batchers, as derived from the last rejected
+   * item, and the time of that rejection. */
+  #foreignBytes = 0;
+  #foreignSeenAt = 0;
+  /** Expected size of the results of running calls. */
   #reserved = 0;
 
-  private constructor(worker: works.Worker) {
+  private constructor(worker: tasks.Worker) {
     this.worker = worker;
   }
 
-  static create(worker: works.Worker): WorkerState {
+  static create(worker: tasks.Worker): WorkerState {
     return new WorkerState(worker);
   }
 
@@ -99,38 +103,38 @@
     return this.#calls;
   }
 
-  /** How many times slower it is than its service's figures. */
+  /** Call durations relative to those that the configuration gives. */
   slowness(now: number): number {
     return this.#slowness.value({ now, prior: 1 });
   }
 
-  /** Whether it holds results. */
+  /** Whether the endpoint holds results. */
   get hasResults(): boolean {
-    return this.#held.size > 0;
+    return this.#results.size > 0;
   }
 
-  /** Whether it takes work and does not rest. */
+  /** Whether the endpoint accepts calls and is not paused. */
   isUsable(now: number): boolean {
     return this.isListed && this.#blockedUntil <= now;
   }
 
-  /** Bytes that are free of so many, with what calls under way will give and
-   * what is there of others. */
+  /** Free bytes of `room`, after held results, expected results of running
+   * calls, and results of other batchers. */
   freeBytes(room: number, now: number): number {
-    return room * FILLED - this.#heldBytes - this.#reserved -
+    return room * MAX_MEMORY_RATIO - this.#heldBytes - this.#reserved -
       this.foreignBytes(now);
   }
 
-  /** Bytes that results of others are believed to take: those of a batcher
-   * before this one, or of one beside it. */
+  /** Estimated size of the results of other batchers: a previous owner of the
+   * partition, or a second one beside this. */
   foreignBytes(now: number): number {
-    const faded = (now - this.#foreignAt) / FADE;
-    return this.#foreign * Math.max(0, 1 - faded);
+    const decayed = (now - this.#foreignSeenAt) / FOREIGN_DECAY_MS;
+    return this.#foreignBytes * Math.max(0, 1 - decayed);
   }
 
-  /** What is thought of its room. */
+  /** The current estimate of its memory. */
   memoryEstimate(room: number): MemoryEstimate {
-    const { size: held } = this.#held;
+    const { size: held } = this.#results;
     return {
       room,
       heldBytes: this.#heldBytes,
@@ -139,38 +143,46 @@
     };
   }
 
-  /** Times at which it may take a call again that it does not take now. */
+  /** Times at which the endpoint may accept a call that it does not accept
+   * now. */
   wakeTimes(callTime: number, now: number): number[] {
-    const [first] = this.#held.values();
-    const since = this.batchingSince ?? -Infinity;
-    const look = this.foreignBytes(now) > 0 ? now + FADE / FADE_LOOKS : 0;
-    return [this.#blockedUntil, first?.until ?? 0, since + callTime, look];
+    const [firstResult] = this.#results.values();
+    const delayedSince = this.batchingSince ?? -Infinity;
+    const checkAt = this.foreignBytes(now) > 0
+      ? now + FOREIGN_DECAY_MS / FOREIGN_CHECK_COUNT
+      : 0;
+    return [
+      this.#blockedUntil,
+      firstResult?.until ?? 0,
+      delayedSince + callTime,
+      checkAt,
+    ];
   }
 
-  /** When it is expected to take another call; one that is overdue may take as
-   * long again as a call at least takes. */
+  /** When the endpoint is expected to accept its next call. A call that is
+   * overdue is assumed to take at least the fixed duration of a call longer. */
   availableAt(now: number, callTime: number): number {
-    const free = Math.max(now, this.#blockedUntil);
-    if (this.#calls === 0) return free;
+    const earliest = Math.max(now, this.#blockedUntil);
+    if (this.#calls === 0) return earliest;
     return Math.max(
-      free,
-      now < this.#callEnds ? this.#callEnds : now + callTime,
+      earliest,
+      now < this.#callEndsAt ? this.#callEndsAt : now + callTime,
     );
   }
 
-  /** Notes a call that is expected to end at a time. */
-  startCall(called: readonly works.Task[], ends: number): void {
-    this.#callEnds = ends;
+  /** Records the start of a call and when it is expected to end. */
+  startCall(batch: readonly tasks.Task[], endsAt: number): void {
+    this.#callEndsAt = endsAt;
     this.batchingSince = undefined;
     this.#calls++;
-    this.#heldBefore = this.#heldBytes;
-    this.#reserved += works.totalBytes(called);
+    this.#heldBytesAtStart = this.#heldBytes;
+    this.#reserved += tasks.totalBytes(batch);
   }
 
-  /** Notes the end of a call that took `ratio` times as long as it should, and
-   * the results that it gave. */
+  /** Records a completed call, the ratio of its duration to the expected one,
+   * and its results. */
   completeCall(
-    called: readonly works.Task[],
+    batch: readonly tasks.Task[],
     { results, until, ratio, now }: {
       results: readonly HeldResult[];
       until: number;
@@ -178,60 +190,67 @@
       now: number;
     },
   ): void {
-    this.#end(called);
-    this.#rest = FIRST_REST;
+    this.#endCall(batch);
+    this.#pause = MIN_PAUSE_MS;
     this.#slowness.add(ratio, { now, prior: 1 });
     for (const { handle, bytes } of results) {
-      this.#held.set(handle, { bytes, until });
+      this.#results.set(handle, { bytes, until });
       this.#heldBytes += bytes;
     }
   }
 
-  /** Notes that a call gave nothing; it rests for `pause` milliseconds, or for
-   * longer with each failure. */
+  /** Records that a call gave no results, and pauses the endpoint for `pause`
+   * milliseconds, or for a time that doubles with each failure. */
   failCall(
-    called: readonly works.Task[],
+    batch: readonly tasks.Task[],
     { now, pause }: { now: number; pause?: number },
   ): void {
-    this.#end(called);
-    this.#blockedUntil = now + (pause ?? this.#rest);
-    if (pause === undefined) this.#rest = Math.min(LAST_REST, 2 * this.#rest);
+    this.#endCall(batch);
+    this.#blockedUntil = now + (pause ?? this.#pause);
+    if (pause === undefined) {
+      this.#pause = Math.min(MAX_PAUSE_MS, 2 * this.#pause);
+    }
   }
 
-  /** Notes that it had no room for some of a call's pieces; says whether that
-   * was most of them. What was not this batcher's when the call began is of
-   * others. */
+  /** Records that items of a call were rejected for lack of memory; returns
+   * whether the call was mostly rejected. Memory that this batcher's results
+   * did not take when the call began is attributed to other batchers. */
   recordMemoryRejection(
     { rejected, pieces, bytes, made, room }: MemoryRejection,
     now: number,
   ): boolean {
-    const own = this.#heldBefore + made + bytes / 2;
-    this.#foreign = Math.max(0, room - own);
-    this.#foreignAt = now;
-    const isMost = rejected >= MOSTLY * pieces;
-    if (!isMost) this.#fullPause = FIRST_FULL;
-    this.#blockedUntil = now + this.#fullPause;
-    if (isMost) this.#fullPause = Math.min(LAST_FULL, 2 * this.#fullPause);
-    return isMost;
+    const ownBytes = this.#heldBytesAtStart + made + bytes / 2;
+    this.#foreignBytes = Math.max(0, room - ownBytes);
+    this.#foreignSeenAt = now;
+    const isMostlyRejected = rejected >= MOSTLY_REJECTED_RATIO * pieces;
+    if (!isMostlyRejected) this.#rejectionPause = MIN_REJECTION_PAUSE_MS;
+    this.#blockedUntil = now + this.#rejectionPause;
+    if (isMostlyRejected) {
+      this.#rejectionPause = Math.min(
+        MAX_REJECTION_PAUSE_MS,
+        2 * this.#rejectionPause,
+      );
+    }
+    return isMostlyRejected;
   }
 
-  /** Notes that it has given a result up. */
+  /** Removes a released result. */
   removeResult(handle: string): void {
-    const held = this.#held.get(handle);
-    if (held === undefined) return;
-    this.#held.delete(handle);
-    this.#heldBytes -= held.bytes;
+    const result = this.#results.get(handle);
+    if (result === undefined) return;
+    this.#results.delete(handle);
+    this.#heldBytes -= result.bytes;
   }
 
-  /** Forgets results that have ended by themselves. */
+  /** Removes results that have expired. */
   expire(now: number): void {
-    for (const [handle, { until }] of this.#held) {
+    for (const [handle, { until }] of this.#results) {
       if (until > now) return;
       this.removeResult(handle);
     }
   }
 
-  /** State for people. */
+  /** State for the state dump. */
   dump(now: number): unknown {
     return {
       ...this.worker,
@@ -242,8 +261,8 @@
     };
   }
 
-  #end(called: readonly works.Task[]): void {
+  #endCall(batch: readonly tasks.Task[]): void {
     this.#calls = Math.max(0, this.#calls - 1);
-    this.#reserved = Math.max(0, this.#reserved - works.totalBytes(called));
+    this.#reserved = Math.max(0, this.#reserved - tasks.totalBytes(batch));
   }
 }
--- a/src/batching/worker_state_test.ts
+++ b/src/batching/worker_state_test.ts
@@ -4,7 +4,7 @@
 import * as fixture from "./fixture.ts";
 import * as workerStates from "./worker_state.ts";
 
-function pieces(count: number) {
+function tasks(count: number) {
   return fixture.tasks("r", count);
 }
 
@@ -22,12 +22,12 @@
 
 const RESULTS = [{ handle: "a", bytes: 100 }, { handle: "b", bytes: 100 }];
 
-test("room is taken from the begin of a call until a result is given up", (t) => {
+test("memory is reserved when a call starts and freed when its results are released", (t) => {
   const state = stateOf();
   t.is(state.freeBytes(1000, 0), 970);
-  state.startCall(pieces(2), 100);
+  state.startCall(tasks(2), 100);
   t.is(state.freeBytes(1000, 0), 770);
-  state.completeCall(pieces(2), {
+  state.completeCall(tasks(2), {
     results: RESULTS,
     until: 4000,
     ratio: 1,
@@ -45,10 +45,10 @@
   });
 });
 
-test("a result that nobody gives up ends by itself", (t) => {
+test("a result that is not released expires", (t) => {
   const state = stateOf();
-  state.startCall(pieces(2), 100);
-  state.completeCall(pieces(2), {
+  state.startCall(tasks(2), 100);
+  state.completeCall(tasks(2), {
     results: RESULTS,
     until: 4000,
     ratio: 1,
@@ -61,11 +61,11 @@
   t.false(state.hasResults);
 });
 
-test("an endpoint rests for longer with each failure, until a call succeeds", (t) => {
+test("the pause after a failure doubles until a call succeeds", (t) => {
   const state = stateOf();
   const failAt = (now: number) => {
-    state.startCall(pieces(1), 100);
-    state.failCall(pieces(1), { now });
+    state.startCall(tasks(1), 100);
+    state.failCall(tasks(1), { now });
   };
   failAt(0);
   t.false(state.isUsable(299));
@@ -73,55 +73,60 @@
   failAt(1000);
   t.false(state.isUsable(1599));
   t.true(state.isUsable(1600));
-  state.startCall(pieces(1), 100);
-  state.completeCall(pieces(1), { results: [], until: 0, ratio: 1, now: 0 });
+  state.startCall(tasks(1), 100);
+  state.completeCall(tasks(1), { results: [], until: 0, ratio: 1, now: 0 });
   failAt(3000);
   t.true(state.isUsable(3300));
   t.is(state.calls, 0);
 });
 
-test("an endpoint that was full is not punished for it", (t) => {
+test("a rejected call does not lengthen the pause after the next failure", (t) => {
   const state = stateOf();
-  state.startCall(pieces(1), 100);
-  state.failCall(pieces(1), { now: 0, pause: 120 });
+  state.startCall(tasks(1), 100);
+  state.failCall(tasks(1), { now: 0, pause: 120 });
   t.true(state.isUsable(120));
-  state.startCall(pieces(1), 100);
-  state.failCall(pieces(1), { now: 1000 });
+  state.startCall(tasks(1), 100);
+  state.failCall(tasks(1), { now: 1000 });
   t.true(state.isUsable(1300));
 });
 
-/** A call of twelve pieces of 100 bytes, of which some found no room. */
-function full(rejected: number, room = 1000): workerStates.MemoryRejection {
+/** A call of twelve items of 100 bytes, `rejected` of them for lack of
+ * memory. */
+function rejectionOf(
+  rejected: number,
+  room = 1000,
+): workerStates.MemoryRejection {
   const made = 100 * (12 - rejected);
   return { rejected, pieces: 12, bytes: 100, made, room };
 }
 
-test("an endpoint whose room others hold is asked ever less often", (t) => {
+test("the pause doubles while other batchers' results fill an endpoint's memory", (t) => {
   const state = stateOf();
   const pauses: number[] = [];
   let now = 0;
   for (let call = 0; call < 5; call++) {
-    t.true(state.recordMemoryRejection(full(6), now));
+    t.true(state.recordMemoryRejection(rejectionOf(6), now));
     const from = now;
     while (!state.isUsable(now)) now += 10;
     pauses.push(now - from);
   }
   t.deepEqual(pauses, [60, 120, 240, 480, 480]);
-  t.false(state.recordMemoryRejection(full(1), now));
+  t.false(state.recordMemoryRejection(rejectionOf(1), now));
   t.true(state.isUsable(now + 60));
 });
 
-test("room that others hold is not filled, and is believed to come free", (t) => {
+test("memory that other batchers' results take is not used, and frees over time", (t) => {
   const state = stateOf();
-  state.startCall(pieces(12), 100);
-  state.completeCall(pieces(12), {
+  state.startCall(tasks(12), 100);
+  state.completeCall(tasks(12), {
     results: RESULTS,
     until: 4000,
     ratio: 1,
     now: 0,
   });
-  // Two of twelve were made: others hold 750 of 1,000, within half a piece.
-  state.recordMemoryRejection(full(10), 500);
+  // Two of twelve items were computed: other batchers' results take 750 of
+  // 1,000 bytes, to within half an item.
+  state.recordMemoryRejection(rejectionOf(10), 500);
   t.is(state.foreignBytes(500), 750);
   t.is(state.freeBytes(1000, 500), 970 - 200 - 750);
   t.is(state.foreignBytes(1500), 375);
@@ -129,15 +134,15 @@
   t.is(state.freeBytes(1000, 2500), 770);
 });
 
-test("an endpoint that only its own batcher fills is not thought to be others'", (t) => {
+test("memory that this batcher has filled is not attributed to other batchers", (t) => {
   const state = stateOf();
-  state.startCall(pieces(12), 100);
-  state.completeCall(pieces(12), {
+  state.startCall(tasks(12), 100);
+  state.completeCall(tasks(12), {
     results: RESULTS,
     until: 4000,
     ratio: 1,
     now: 0,
   });
-  state.recordMemoryRejection(full(2), 500);
+  state.recordMemoryRejection(rejectionOf(2), 500);
   t.is(state.foreignBytes(500), 0);
 });
