--- a/src/quarantine/codec.ts
+++ b/src/quarantine/codec.ts
@@ -1,20 +1,23 @@
-/** Suspects on their way to another host: times as ages, since clocks differ.
+/** Conversion of crash records to and from messages. Times are sent as ages,
+ * since clocks differ between hosts.
  * @module */
 
 import type * as schema from "../schema/fleet_types.ts";
 import * as suspects from "./suspect.ts";
 
-/** Most crashes in a message: more than ever count. */
-const MOST = 64;
+/** Maximum number of crashes in a message: more than ever count. */
+const MAX_CRASHES = 64;
 
-/** A record as a message carries it. */
+/** Converts a record for a message. */
 export function encode(
   { fingerprint, crashes, acquittals, trials }: suspects.Suspect,
   now: number,
 ): schema.Suspect {
   return {
     fingerprint,
-    crashes: crashes.slice(0, MOST).map(({ endpoint, at, isRefuted }) => ({
+    crashes: crashes.slice(0, MAX_CRASHES).map((
+      { endpoint, at, isRefuted },
+    ) => ({
       endpoint,
       age: Math.max(0, Math.round(now - at)),
       ...(isRefuted && { refuted: true }),
@@ -24,15 +27,15 @@
   };
 }
 
-/** Records as a message carries them. */
+/** Converts several records for a message. */
 export function encodeAll(
-  told: readonly suspects.Suspect[],
+  records: readonly suspects.Suspect[],
   now: number,
 ): schema.Suspect[] {
-  return told.map((suspect) => encode(suspect, now));
+  return records.map((suspect) => encode(suspect, now));
 }
 
-/** A record out of a message. */
+/** Converts a record from a message. */
 export function decode(
   { fingerprint, crashes, acquittals, trials }: schema.Suspect,
   now: number,
--- a/src/quarantine/coordinator.ts
+++ b/src/quarantine/coordinator.ts
@@ -1,9 +1,9 @@
-/** What a host with a disk does about requests that crash endpoints: it merges
- * what entry hosts have seen, tells all hosts at once, refutes breaks that were
- * no crashes, and lets a suspected request run at one endpoint at a time.
+/** Quarantine on control hosts: merges the crash records of entry hosts,
+ * broadcasts changes, refutes records of endpoints that are still alive, and
+ * grants leases so that a suspected request runs at one endpoint at a time.
  *
- * All of them hold the same; one of them, the same for all hosts that know the
- * same, grants runs. Without a suspect nothing is sent.
+ * All control hosts hold the same records. Rendezvous hashing selects the one
+ * that grants leases. Nothing is sent while no request is suspected.
  * @module */
 
 import type * as peers from "../peers/mod.ts";
@@ -14,31 +14,32 @@
 import * as suspects from "./suspect.ts";
 import * as suspectTables from "./suspect_table.ts";
 
-/** Milliseconds for which a change is told to the other hosts with disks again:
- * a message may be lost. */
-const AGAIN = 1500;
-/** Milliseconds after which to ask again while the request runs elsewhere:
- * about a short run. */
-const WAIT = 500;
-/** Most milliseconds that an asker is told to wait. */
-const LONGEST_WAIT = 60_000;
-/** Milliseconds after the deadline of a run for which its lease still holds:
- * its report is under way. */
-const MARGIN = 500;
-
-/** What a coordinator needs of its host. */
+/** Time for which a change is sent to the other control hosts repeatedly, since
+ * messages may be lost. */
+const REPEAT_PERIOD_MS = 1500;
+/** Retry delay while the request runs elsewhere: about the duration of a short
+ * run. */
+const RETRY_DELAY_MS = 500;
+/** Maximum retry delay. */
+const MAX_RETRY_DELAY_MS = 60_000;
+/** Time for which a lease remains valid after the deadline of its run, while
+ * the report of the run is in transit. */
+const LEASE_MARGIN_MS = 500;
+
+/** Options of a `Coordinator`. */
 export interface CoordinatorOptions {
   readonly clock: runtime.Clock;
   readonly logger: telemetry.Logger;
   readonly metrics: telemetry.Metrics;
   readonly calls: Pick<peers.Rpc, "cast">;
-  /** Milliseconds between the heartbeats of an endpoint. */
+  /** Heartbeat interval of endpoints, in milliseconds. */
   readonly heartbeat: number;
-  /** The other hosts with disks that are there. */
+  /** The other control hosts that are alive. */
   cores(): readonly string[];
-  /** Entry hosts that follow this host. */
+  /** Entry hosts that receive their state from this host. */
   followers(): readonly string[];
-  /** When an incarnation of an endpoint was last heard, if it is known. */
+  /** Time of the last heartbeat of an incarnation of an endpoint; undefined if
+   * it is not known. */
   lastHeartbeatAt(endpoint: string): number | undefined;
 }
 
@@ -48,12 +49,12 @@
   readonly until: number;
 }
 
-/** Keeps the suspects of the fleet. */
+/** Maintains the suspects of the fleet and grants leases to run them. */
 export class Coordinator {
   readonly #options: CoordinatorOptions;
   readonly #table = suspectTables.SuspectTable.create();
   readonly #leases = new Map<string, Lease>();
-  /** Changes that are told again, and when they came. */
+  /** Recent changes, which are sent repeatedly, and when they were made. */
   #recent: { suspect: suspects.Suspect; at: number }[] = [];
 
   private constructor(options: CoordinatorOptions) {
@@ -64,15 +65,16 @@
     return new Coordinator(options);
   }
 
-  /** Takes what another host knows. */
-  merge(told: readonly schema.Suspect[]): void {
+  /** Merges the records of another host. */
+  merge(records: readonly schema.Suspect[]): void {
     const now = this.#options.clock.now();
-    this.#announce(
-      told.map((each) => this.#table.merge(codec.decode(each, now), now)),
+    this.#broadcast(
+      records.map((each) => this.#table.merge(codec.decode(each, now), now)),
     );
   }
 
-  /** What has changed since a revision, for a host that asks. */
+  /** Returns the records that have changed since a revision, for a host that
+   * requests them. */
   changesSince(revision: number): {
     suspectRevision: number;
     suspects: schema.Suspect[];
@@ -82,12 +84,12 @@
     return { suspectRevision: this.#table.revision, suspects };
   }
 
-  /** Tells a host everything, where there is anything. */
+  /** Sends all records to a host, if there are any. */
   sendAll(host: string): void {
-    this.#tell([host], this.#table.all);
+    this.#send([host], this.#table.all);
   }
 
-  /** Judges whether a host may run a suspected request now. */
+  /** Handles a host's request for a lease to run a suspected request. */
   requestLease(
     { fingerprint, endpoint, remaining }: schema.LeaseQuestion,
     host: string,
@@ -95,123 +97,132 @@
     const { clock, logger, metrics } = this.#options;
     const now = clock.now();
     const suspect = this.#table.get(fingerprint);
-    const wait = this.#waitFor(suspect, now);
-    const taken = wait === 0 && this.#isTaken(endpoint, now);
+    const wait = this.#retryDelay(suspect, now);
+    const taken = wait === 0 && this.#isEndpointLeased(endpoint, now);
     const granted = wait === 0 && !taken;
     if (granted) {
-      const until = now + remaining + MARGIN;
+      const until = now + remaining + LEASE_MARGIN_MS;
       this.#leases.set(fingerprint, { host, endpoint, until });
       if (suspect.standing === "quarantined") {
-        this.#announce([this.#table.put(suspect.addTrial(), now)]);
+        this.#broadcast([this.#table.put(suspect.addTrial(), now)]);
       }
     }
     metrics.count("quarantine.trials", 1, { granted: `${granted}` });
-    const { standing, activeCrashes: counted, trials } = suspect;
-    const crashes = counted.length;
+    const { standing, activeCrashes, trials } = suspect;
+    const crashes = activeCrashes.length;
     logger.info(
       { fingerprint, host, endpoint, granted, wait, standing, crashes, trials },
-      "Run of a suspected request asked for",
+      "Lease to run a suspected request handled",
     );
     return {
       type: "lease",
       granted,
       taken,
-      wait: Math.min(LONGEST_WAIT, wait),
+      wait: Math.min(MAX_RETRY_DELAY_MS, wait),
     };
   }
 
-  /** Notes that a run under a lease has ended. */
+  /** Ends a lease whose run has ended. */
   endLease(fingerprint: string, host: string): void {
     if (this.#leases.get(fingerprint)?.host !== host) return;
     this.#leases.delete(fingerprint);
   }
 
-  /** Releases a request by an operator's order; returns whether it was known. */
+  /** Releases a request from quarantine by an operator's command; returns
+   * whether it was suspected. */
   release(fingerprint: string): boolean {
     const now = this.#options.clock.now();
     const suspect = this.#table.get(fingerprint);
     if (suspect.activeCrashes.length === 0) return false;
-    this.#options.logger.info({ fingerprint }, "Request released by operator");
-    this.#announce([this.#table.put(suspect.acquit(), now)]);
+    this.#options.logger.info(
+      { fingerprint },
+      "Request released from quarantine by an operator",
+    );
+    this.#broadcast([this.#table.put(suspect.acquit(), now)]);
     return true;
   }
 
-  /** Refutes, forgets, and tells again what may not have arrived. */
+  /** Refutes crashes of endpoints that are alive, removes expired records and
+   * leases, and repeats recent changes. */
   tick(): void {
     const { clock, cores } = this.#options;
     const now = clock.now();
-    this.#announce(
+    this.#broadcast(
       this.#table.all.map((suspect) =>
-        this.#table.put(suspect.refute((each) => this.#wasHeard(each)), now)
+        this.#table.put(
+          suspect.refute((crash) => this.#hasHeartbeatSince(crash)),
+          now,
+        )
       ),
     );
     this.#table.expire(now);
     for (const [fingerprint, { until }] of this.#leases) {
       if (until < now) this.#leases.delete(fingerprint);
     }
-    this.#recent = this.#recent.filter(({ at }) => now - at < AGAIN);
-    this.#tell(cores(), this.#recent.map(({ suspect }) => suspect));
+    this.#recent = this.#recent.filter(({ at }) => now - at < REPEAT_PERIOD_MS);
+    this.#send(cores(), this.#recent.map(({ suspect }) => suspect));
   }
 
-  /** State for people. */
+  /** State for the state dump. */
   dump(): unknown {
     return codec.encodeAll(this.#table.all, this.#options.clock.now());
   }
 
-  #waitFor(suspect: suspects.Suspect, now: number): number {
+  #retryDelay(suspect: suspects.Suspect, now: number): number {
     const lease = this.#leases.get(suspect.fingerprint);
-    if (lease !== undefined && lease.until > now) return WAIT;
+    if (lease !== undefined && lease.until > now) return RETRY_DELAY_MS;
     if (suspect.standing !== "quarantined") return 0;
     return Math.max(0, this.#table.nextTrialAt(suspect) - now);
   }
 
-  /** Whether another suspected request runs at an endpoint: if it crashed, each
-   * would speak against the other. */
-  #isTaken(endpoint: string, now: number): boolean {
+  /** Whether another suspected request runs at an endpoint. If the endpoint
+   * crashed, the crash would count against both. */
+  #isEndpointLeased(endpoint: string, now: number): boolean {
     return [...this.#leases.values()].some((lease) =>
       lease.endpoint === endpoint && lease.until > now
     );
   }
 
-  /** An endpoint that crashed says nothing more; a heartbeat that it had sent
-   * before may still be on its way. */
-  #wasHeard({ endpoint, at }: suspects.Crash): boolean {
-    const { lastHeartbeatAt: heardAt, heartbeat } = this.#options;
-    const heard = heardAt(endpoint);
-    return heard !== undefined && heard > at + heartbeat;
+  /** Whether an endpoint has sent a heartbeat after a recorded crash. A crashed
+   * endpoint sends none, but one sent before the crash may arrive up to an
+   * interval later. */
+  #hasHeartbeatSince({ endpoint, at }: suspects.Crash): boolean {
+    const { lastHeartbeatAt, heartbeat } = this.#options;
+    const heartbeatAt = lastHeartbeatAt(endpoint);
+    return heartbeatAt !== undefined && heartbeatAt > at + heartbeat;
   }
 
-  /** Tells all hosts of the changes that are news. */
-  #announce(changes: readonly (suspects.Suspect | undefined)[]): void {
+  /** Broadcasts the records that have changed. */
+  #broadcast(records: readonly (suspects.Suspect | undefined)[]): void {
     const { clock, cores, followers } = this.#options;
-    const news = changes.filter((change) => change !== undefined);
-    if (news.length === 0) return;
+    const changed = records.filter((record) => record !== undefined);
+    if (changed.length === 0) return;
     const at = clock.now();
-    this.#recent.push(...news.map((suspect) => ({ suspect, at })));
-    this.#tell([...cores(), ...followers()], news);
-    news.forEach((suspect) => this.#log(suspect));
+    this.#recent.push(...changed.map((suspect) => ({ suspect, at })));
+    this.#send([...cores(), ...followers()], changed);
+    changed.forEach((suspect) => this.#logChange(suspect));
   }
 
-  #log(
-    { fingerprint, standing, activeCrashes: counted, acquittals, trials }:
+  #logChange(
+    { fingerprint, standing, activeCrashes, acquittals, trials }:
       suspects.Suspect,
   ) {
     const { logger, metrics } = this.#options;
     metrics.count("quarantine.changes", 1, { standing });
-    const endpoints = counted.map(({ endpoint }) => endpoint);
+    const endpoints = activeCrashes.map(({ endpoint }) => endpoint);
     logger.info(
       { fingerprint, standing, endpoints, acquittals, trials },
-      "Suspected request changed",
+      "Record of a suspected request changed",
     );
   }
 
-  #tell(
+  #send(
     hosts: readonly string[],
-    told: readonly suspects.Suspect[],
+    records: readonly suspects.Suspect[],
   ): void {
-    if (told.length === 0) return;
+    if (records.length === 0) return;
     const { calls, clock } = this.#options;
-    const suspects = codec.encodeAll(told, clock.now());
+    const suspects = codec.encodeAll(records, clock.now());
     const notice = { type: "suspects" as const, suspects };
     hosts.forEach((host) => calls.cast(host, notice));
   }
--- a/src/quarantine/fingerprint.ts
+++ b/src/quarantine/fingerprint.ts
@@ -1,11 +1,11 @@
-/** What tells two requests with the same content, from the same client account,
- * whichever host they come to.
+/** Fingerprints of requests: equal for requests with the same content and
+ * client account, at whichever host they arrive.
  * @module */
 
 import * as crypto from "node:crypto";
 
-/** What belongs to a request's identity. Headers do not: callers change ids,
- * deadlines and hints from attempt to attempt. */
+/** The parts of a request that the fingerprint covers. Headers are excluded,
+ * since callers change ids, deadlines and hints between attempts. */
 export interface RequestContent {
   readonly method: string;
   readonly host: string;
@@ -16,11 +16,13 @@
   readonly body: Uint8Array;
 }
 
-/** Characters that are kept of a digest: 132 bits, which nobody can collide. */
-const LENGTH = 22;
+/** Length of a fingerprint in characters: 132 bits, for which collisions are
+ * infeasible. */
+const DIGEST_LENGTH = 22;
 
-/** Digest of a request's content. The account is its key, so that no account
- * can make a request that is taken for another's. */
+/** Returns the digest of a request's content. The account is the key of the
+ * HMAC, so that no account can forge the fingerprint of another one's
+ * request. */
 export function of(
   { method, host, target, account = "", body }: RequestContent,
 ): string {
@@ -28,5 +30,5 @@
     .update(JSON.stringify([method, host, target]))
     .update(body)
     .digest("base64url")
-    .slice(0, LENGTH);
+    .slice(0, DIGEST_LENGTH);
 }
--- a/src/quarantine/fingerprint_test.ts
+++ b/src/quarantine/fingerprint_test.ts
@@ -16,7 +16,7 @@
   t.is(fingerprints.of(again), fingerprints.of(CONTENT));
 });
 
-test("each part of a request's content counts", (t) => {
+test("the fingerprint covers each part of a request's content", (t) => {
   const changes: Partial<fingerprints.RequestContent>[] = [
     { method: "PUT" },
     { host: "other.example" },
@@ -32,7 +32,7 @@
   t.is(new Set(all).size, all.length);
 });
 
-test("no part of a request can stand in for another", (t) => {
+test("text moved between parts of a request changes the fingerprint", (t) => {
   const one = { ...CONTENT, host: "a", target: "b" };
   const other = { ...CONTENT, host: 'a","b', target: "" };
   t.not(fingerprints.of(one), fingerprints.of(other));
--- a/src/quarantine/fixture.ts
+++ b/src/quarantine/fixture.ts
@@ -1,10 +1,10 @@
-/** Stand-ins for tests and simulated loads in which no request crashes
+/** Test doubles for tests and load models in which no request crashes
  * endpoints.
  * @module */
 
 import type * as guards from "./guard.ts";
 
-/** A guard that knows of no suspect and keeps nothing back. */
+/** A guard without suspects, which admits every request. */
 export function permissiveGuard(): Pick<
   guards.Guard,
   | "hasNoSuspects"
--- a/src/quarantine/guard.ts
+++ b/src/quarantine/guard.ts
@@ -1,6 +1,5 @@
-/** What an entry host does about requests that crash endpoints: it reports what
- * breaks under its calls and, before each call, keeps a request that is known
- * to crash endpoints from them.
+/** Quarantine on entry hosts: reports calls that broke as if the endpoint had
+ * crashed, and checks before each call whether the request may run.
  * @module */
 
 import type * as peers from "../peers/mod.ts";
@@ -12,66 +11,65 @@
 import type * as suspects from "./suspect.ts";
 import * as suspectTables from "./suspect_table.ts";
 
-/** Milliseconds over which reports gather: all calls at an endpoint break at
- * once. */
-const GATHER = 10;
-/** Milliseconds after which what no host has taken is reported again. */
-const AGAIN = 1000;
-/** Milliseconds in which a host with a disk answers: some times what it
- * takes. */
-const PATIENCE = 250;
-/** Hosts with disks that are asked in turn. */
-const ASKED = 2;
-/** Milliseconds after which a caller may come again where none answers. */
-const UNANSWERED_WAIT = 1000;
+/** Time over which reports are collected: all calls at an endpoint break at
+ * once when it crashes. */
+const REPORT_DELAY_MS = 10;
+/** Retry delay of a report that no control host has acknowledged. */
+const REPORT_RETRY_MS = 1000;
+/** Timeout of calls to a control host: several times the usual duration. */
+const CALL_TIMEOUT_MS = 250;
+/** Number of control hosts that are tried in turn. */
+const MAX_HOSTS_TRIED = 2;
+/** Retry delay if no control host responds. */
+const NO_RESPONSE_RETRY_MS = 1000;
 
-/** Milliseconds after which a request may be asked for again where others run at
- * all endpoints. */
-const TAKEN_WAIT = 500;
-/** What decides which host with a disk grants runs. */
-const GRANTS = "grants of runs";
+/** Retry delay if other suspected requests run at all endpoints. */
+const TAKEN_RETRY_MS = 500;
+/** Rendezvous key that selects the control host which grants leases. */
+const LEASE_OWNER_KEY = "grants of runs";
 
-/** Why a request can't run now. */
+/** Why a request may not run now. */
 export interface Refusal {
-  /** Milliseconds after which it may be asked for again. */
+  /** Milliseconds after which it may be retried. */
   readonly wait: number;
-  /** Endpoints that have crashed under it, as far as is known. */
+  /** Number of endpoints that are known to have crashed while running it. */
   readonly crashes: number;
 }
 
-/** Whether a request may go to an endpoint. */
+/** Whether a request may run at an endpoint. */
 export type Admission =
   | { type: "admitted" }
-  /** Not to this one, where another suspected request runs. */
+  /** Not at this one, where another suspected request runs. */
   | { type: "taken" } & Refusal
   | { type: "refused" } & Refusal;
 
-/** A run that is asked for. */
+/** A run of a request, for which a lease may be needed. */
 export interface LeaseRequest {
   readonly fingerprint: string;
   /** Incarnation of the endpoint that is to run it. */
   readonly endpoint: string;
-  /** Milliseconds within which it ends. */
+  /** Milliseconds until it ends at the latest. */
   readonly remaining: number;
 }
 
-/** What a guard needs of its host. */
+/** Options of a `Guard`. */
 export interface GuardOptions {
   readonly clock: runtime.Clock;
   readonly logger: telemetry.Logger;
   readonly metrics: telemetry.Metrics;
   readonly calls: Pick<peers.Rpc, "ask" | "cast">;
-  /** Hosts with disks, the one that answered last before the others. */
+  /** Control hosts, the one that responded last before the others. */
   cores(): readonly string[];
 }
 
-/** Keeps requests from endpoints that would crash under them. */
+/** Admits requests to endpoints and reports crashes. */
 export class Guard {
   readonly #options: GuardOptions;
   readonly #table = suspectTables.SuspectTable.create();
-  /** Requests that run under a lease, and who granted it. */
+  /** Fingerprints of requests that run under a lease, with the control host
+   * that granted it. */
   readonly #leases = new Map<string, string>();
-  #untold = new Set<string>();
+  #unreported = new Set<string>();
 
   private constructor(options: GuardOptions) {
     this.#options = options;
@@ -81,12 +79,14 @@
     return new Guard(options);
   }
 
-  /** Whether no request is suspected: none needs to be identified. */
+  /** Whether no request has active crashes, so that fingerprints need not be
+   * computed. */
   get hasNoSuspects(): boolean {
     return this.#table.hasNoSuspects;
   }
 
-  /** Why a request can't run now, as far as this host knows by itself. */
+  /** Why a request may not run now, as far as this host knows; undefined if it
+   * may. */
   refusal(fingerprint: string): Refusal | undefined {
     const suspect = this.#table.get(fingerprint);
     if (suspect.standing !== "quarantined") return undefined;
@@ -95,8 +95,8 @@
     return refusalOf(suspect, wait);
   }
 
-  /** Judges a request before a call. A suspected one needs a lease, so that it
-   * runs at one endpoint at a time. */
+  /** Checks a request before a call. A suspected request needs a lease, so that
+   * it runs at one endpoint at a time. */
   async admit(
     { fingerprint, endpoint, remaining }: LeaseRequest,
   ): Promise<Admission> {
@@ -104,22 +104,26 @@
     if (suspect.standing === "free") return ADMITTED;
     const refusal = this.refusal(fingerprint);
     if (refusal !== undefined) return { type: "refused", ...refusal };
-    // One lease is for one run, also of two requests of this host.
+    // A lease covers a single run, even if this host has two requests with this
+    // fingerprint.
     if (this.#leases.has(fingerprint)) {
-      return refused(suspect, UNANSWERED_WAIT);
+      return refused(suspect, NO_RESPONSE_RETRY_MS);
     }
     const { cores, logger } = this.#options;
-    const owners = rendezvous.rank(GRANTS, cores()).slice(0, ASKED);
+    const owners = rendezvous.rank(LEASE_OWNER_KEY, cores()).slice(
+      0,
+      MAX_HOSTS_TRIED,
+    );
     for (const owner of owners) {
       try {
-        const { granted, taken, wait } = await this.#ask(owner, {
+        const { granted, taken, wait } = await this.#requestLease(owner, {
           type: "lease",
           fingerprint,
           endpoint,
           remaining: Math.max(0, Math.round(remaining)),
         });
         if (taken) {
-          return { type: "taken", ...refusalOf(suspect, TAKEN_WAIT) };
+          return { type: "taken", ...refusalOf(suspect, TAKEN_RETRY_MS) };
         }
         if (!granted) return refused(suspect, wait);
         this.#leases.set(fingerprint, owner);
@@ -128,128 +132,147 @@
         const reason = `${error}`;
         logger.info(
           { owner, fingerprint, reason },
-          "Lease to run not answered",
+          "Control host did not answer a lease request; trying the next one",
         );
       }
     }
-    return refused(suspect, UNANSWERED_WAIT);
+    return refused(suspect, NO_RESPONSE_RETRY_MS);
   }
 
-  /** Notes that a call broke as if its endpoint had crashed. */
+  /** Records that a call broke as if its endpoint had crashed. */
   recordCrash(fingerprint: string, endpoint: string): void {
     const { clock, logger, metrics } = this.#options;
     const now = clock.now();
     const suspect = this.#table.get(fingerprint).addCrash(endpoint, now);
-    this.#put(suspect);
+    this.#update(suspect);
     metrics.count("quarantine.breaks");
-    const { standing, activeCrashes: counted } = suspect;
-    const crashes = counted.length;
+    const { standing, activeCrashes } = suspect;
+    const crashes = activeCrashes.length;
     logger.info(
       { fingerprint, endpoint, crashes, standing },
-      "Endpoint may have crashed under a request",
+      "Call broke as if the request had crashed its endpoint",
     );
     this.#endLease(fingerprint, suspect);
   }
 
-  /** Notes that an endpoint has run a request and lives. */
+  /** Records that an endpoint has run a request without crashing. */
   recordSuccess(fingerprint: string): void {
     const suspect = this.#table.get(fingerprint);
     if (suspect.activeCrashes.length === 0) return;
     const acquitted = suspect.acquit();
-    this.#put(acquitted);
+    this.#update(acquitted);
     this.#endLease(fingerprint, acquitted);
   }
 
-  /** Notes that a run has ended, and says nothing. */
+  /** Ends the lease of a run that shows neither a crash nor a success. */
   endRun(fingerprint: string): void {
     this.#endLease(fingerprint);
   }
 
-  /** Takes what a host with a disk knows. */
-  merge(told: readonly schema.Suspect[]): void {
+  /** Merges the records of a control host. */
+  merge(records: readonly schema.Suspect[]): void {
     const now = this.#options.clock.now();
-    for (const each of told) {
-      this.#table.merge(codec.decode(each, now), now);
+    for (const record of records) {
+      this.#table.merge(codec.decode(record, now), now);
     }
     this.#table.expire(now);
   }
 
-  /** Tells a host with a disk all: it may have started since. */
+  /** Sends all records to a control host, which may have restarted and lost
+   * them. */
   async sendAll(core: string): Promise<void> {
     if (this.hasNoSuspects) return;
     const { all } = this.#table;
-    const isTold = await this.#report([core], all);
+    const isAcknowledged = await this.#reportTo([core], all);
     const fingerprints = all.map(({ fingerprint }) => fingerprint);
-    if (!isTold) this.#tellSoon(fingerprints, AGAIN);
+    if (!isAcknowledged) this.#scheduleReport(fingerprints, REPORT_RETRY_MS);
   }
 
-  /** State for people. */
+  /** State for the state dump. */
   dump(): unknown {
     return codec.encodeAll(this.#table.all, this.#options.clock.now());
   }
 
-  #put(suspect: suspects.Suspect): void {
+  #update(suspect: suspects.Suspect): void {
     const { clock } = this.#options;
-    const news = this.#table.put(suspect, clock.now());
-    if (news !== undefined) this.#tellSoon([suspect.fingerprint], GATHER);
+    const changed = this.#table.put(suspect, clock.now());
+    if (changed !== undefined) {
+      this.#scheduleReport([suspect.fingerprint], REPORT_DELAY_MS);
+    }
   }
 
-  #tellSoon(fingerprints: readonly string[], delay: number): void {
+  #scheduleReport(fingerprints: readonly string[], delay: number): void {
     const { clock } = this.#options;
-    if (this.#untold.size === 0) clock.after(delay, () => void this.#tell());
-    fingerprints.forEach((each) => this.#untold.add(each));
+    if (this.#unreported.size === 0) {
+      clock.after(delay, () => void this.#reportPending());
+    }
+    fingerprints.forEach((each) => this.#unreported.add(each));
   }
 
-  async #tell(): Promise<void> {
-    const fingerprints = [...this.#untold];
-    this.#untold = new Set();
-    const told = fingerprints.map((each) => this.#table.get(each));
-    const isTold = await this.#report(this.#options.cores(), told);
-    // A host that is cut off has to tell what it has seen meanwhile.
-    if (!isTold) this.#tellSoon(fingerprints, AGAIN);
+  async #reportPending(): Promise<void> {
+    const fingerprints = [...this.#unreported];
+    this.#unreported = new Set();
+    const records = fingerprints.map((each) => this.#table.get(each));
+    const isAcknowledged = await this.#reportTo(this.#options.cores(), records);
+    // After a partition, the crashes that were recorded meanwhile still have to
+    // be reported.
+    if (!isAcknowledged) this.#scheduleReport(fingerprints, REPORT_RETRY_MS);
   }
 
-  /** Tells the first of some hosts that answers; it tells the others. Resolves
-   * with whether one did. */
-  async #report(
+  /** Sends records to the first of the control hosts that acknowledges them,
+   * which forwards them to the others; resolves with whether one did. */
+  async #reportTo(
     cores: readonly string[],
-    told: readonly suspects.Suspect[],
+    records: readonly suspects.Suspect[],
   ): Promise<boolean> {
     const { calls, clock, logger } = this.#options;
     const question = {
       type: "suspects" as const,
-      suspects: codec.encodeAll(told, clock.now()),
+      suspects: codec.encodeAll(records, clock.now()),
     };
     for (const core of cores) {
       try {
-        const reply = await calls.ask(core, question, { timeout: PATIENCE });
+        const reply = await calls.ask(core, question, {
+          timeout: CALL_TIMEOUT_MS,
+        });
         if (reply.type === "noted") return true;
-        logger.info({ core, reason: reply.type }, "Suspects not taken");
+        logger.info(
+          { core, reason: reply.type },
+          "Control host did not take a report of suspects",
+        );
       } catch (error) {
-        logger.info({ core, reason: `${error}` }, "Suspects not taken");
+        logger.info(
+          { core, reason: `${error}` },
+          "Control host did not take a report of suspects",
+        );
       }
     }
     return false;
   }
 
-  async #ask(
+  async #requestLease(
     owner: string,
     question: schema.LeaseQuestion,
   ): Promise<schema.LeaseReply> {
     const { calls } = this.#options;
-    const reply = await calls.ask(owner, question, { timeout: PATIENCE });
-    if (reply.type !== "lease") throw new Error(`answered ${reply.type}`);
+    const reply = await calls.ask(owner, question, {
+      timeout: CALL_TIMEOUT_MS,
+    });
+    if (reply.type !== "lease") {
+      throw new Error(`expected reply "lease", got "${reply.type}"`);
+    }
     return reply;
   }
 
-  /** Gives a lease back, behind what its run has shown. */
-  #endLease(fingerprint: string, shown?: suspects.Suspect): void {
+  /** Ends a lease; the outcome of its run is sent before, so that it is known
+   * when the next lease is granted. */
+  #endLease(fingerprint: string, outcome?: suspects.Suspect): void {
     const owner = this.#leases.get(fingerprint);
     if (owner === undefined) return;
     this.#leases.delete(fingerprint);
     const { calls, clock } = this.#options;
-    if (shown !== undefined) {
-      const suspects = codec.encodeAll([shown], clock.now());
+    if (outcome !== undefined) {
+      const suspects = codec.encodeAll([outcome], clock.now());
       calls.cast(owner, { type: "suspects", suspects });
     }
     calls.cast(owner, { type: "lease-over", fingerprint });
@@ -263,8 +286,8 @@
 }
 
 function refusalOf(
-  { activeCrashes: counted }: suspects.Suspect,
+  { activeCrashes }: suspects.Suspect,
   wait: number,
 ): Refusal {
-  return { wait, crashes: counted.length };
+  return { wait, crashes: activeCrashes.length };
 }
--- a/src/quarantine/mod.ts
+++ b/src/quarantine/mod.ts
@@ -1,5 +1,5 @@
-/** Requests that crash the endpoints that run them: how they are told, and how
- * the fleet keeps them from endpoints.
+/** Quarantine of requests that crash the endpoints which run them: detects such
+ * requests and limits the number of endpoints that they reach.
  * @module */
 
 export * from "./coordinator.ts";
--- a/src/quarantine/suspect.ts
+++ b/src/quarantine/suspect.ts
@@ -1,41 +1,45 @@
-/** What is known of one request that may crash the endpoints that run it.
+/** Crash record of one request.
  *
- * A connection that breaks may be a crash, a cut or a reset, so each break
- * counts until its endpoint is heard again in the same incarnation. What ran
- * beside a poison request breaks with it; a run that ends well acquits.
+ * A connection that breaks may be due to a crash, a partition or a reset, so
+ * each break counts as a crash until the endpoint sends a heartbeat in the same
+ * incarnation. Requests that run beside the cause of a crash break with it; a
+ * run that succeeds acquits its request.
  * @module */
 
-/** Crashes after which a request is kept from endpoints. */
+/** Number of crashes from which a request is quarantined. */
 export const QUARANTINE_CRASH_COUNT = 3;
-/** Crashes after which it runs at one endpoint at a time. */
-const SUSPECTED = QUARANTINE_CRASH_COUNT - 1;
+/** Number of crashes from which a request runs at one endpoint at a time. */
+const SUSPECT_CRASH_COUNT = QUARANTINE_CRASH_COUNT - 1;
 
 /** A call that broke as if its endpoint had crashed. */
 export interface Crash {
-  /** One incarnation of it. */
+  /** Identifies one incarnation of the endpoint. */
   readonly endpoint: string;
-  /** Milliseconds of the clock of the host that holds it. */
+  /** Time on the clock of the host that holds the record, in milliseconds. */
   readonly at: number;
-  /** Whether the endpoint was heard again: it had not crashed. */
+  /** Whether the endpoint has sent a heartbeat since, and so had not
+   * crashed. */
   readonly isRefuted: boolean;
 }
 
-/** How far a request is to be trusted. */
+/** Whether a request may run without limits, under a lease, or only as a
+ * trial. */
 export type Standing = "free" | "suspected" | "quarantined";
 
-/** What a record holds. */
+/** Fields of a record. */
 export interface SuspectFields {
   readonly fingerprint: string;
-  /** One for each endpoint, in the order of their names. */
+  /** At most one per endpoint, sorted by endpoint. */
   readonly crashes: readonly Crash[];
-  /** Times that it ended well or an operator released it. What was held against
-   * it before an acquittal is forgotten. */
+  /** Number of times that it succeeded or was released by an operator. Crashes
+   * before an acquittal do not count. */
   readonly acquittals: number;
-  /** Times that it was let run after its quarantine had begun. */
+  /** Number of times that it was run after its quarantine had begun. */
   readonly trials: number;
 }
 
-/** An immutable record. Those of one request merge in any order to the same. */
+/** The crash record of one request. Immutable; merging is commutative,
+ * associative and idempotent. */
 export class Suspect implements SuspectFields {
   readonly fingerprint: string;
   readonly crashes: readonly Crash[];
@@ -49,17 +53,17 @@
     this.trials = fields.trials;
   }
 
-  /** A request of which nothing is known. */
+  /** An empty record. */
   static create(fingerprint: string): Suspect {
     return new Suspect({ fingerprint, crashes: [], acquittals: 0, trials: 0 });
   }
 
-  /** With what another host tells. */
+  /** A record with the given fields. */
   static of(fields: SuspectFields): Suspect {
     return new Suspect(fields);
   }
 
-  /** Crashes that speak against it. */
+  /** Crashes that are not refuted. */
   get activeCrashes(): readonly Crash[] {
     return this.crashes.filter(({ isRefuted }) => !isRefuted);
   }
@@ -67,30 +71,30 @@
   get standing(): Standing {
     const { length } = this.activeCrashes;
     if (length >= QUARANTINE_CRASH_COUNT) return "quarantined";
-    return length >= SUSPECTED ? "suspected" : "free";
+    return length >= SUSPECT_CRASH_COUNT ? "suspected" : "free";
   }
 
-  /** When an endpoint last crashed under it; endless before any did. */
+  /** Time of the last active crash; -Infinity without one. */
   get lastCrashAt(): number {
     return Math.max(...this.activeCrashes.map(({ at }) => at));
   }
 
-  /** Adds a crash of an endpoint under it. */
+  /** Adds a crash of an endpoint. */
   addCrash(endpoint: string, at: number): Suspect {
     const crashes = [{ endpoint, at, isRefuted: false }];
     return this.merge(new Suspect({ ...this.#fields, crashes }));
   }
 
-  /** Notes which endpoints were heard since they seemed to crash. */
-  refute(wasHeard: (crash: Crash) => boolean): Suspect {
+  /** Refutes the crashes whose endpoints have sent a heartbeat since. */
+  refute(isAlive: (crash: Crash) => boolean): Suspect {
     const crashes = this.crashes.map((crash) => ({
       ...crash,
-      isRefuted: crash.isRefuted || wasHeard(crash),
+      isRefuted: crash.isRefuted || isAlive(crash),
     }));
     return new Suspect({ ...this.#fields, crashes });
   }
 
-  /** Forgets crashes before `before` that were refuted. */
+  /** Removes refuted crashes before `before`. */
   prune(before: number): Suspect {
     const crashes = this.crashes.filter(({ isRefuted, at }) =>
       !isRefuted || at >= before
@@ -98,7 +102,7 @@
     return new Suspect({ ...this.#fields, crashes });
   }
 
-  /** Forgets what was held against it. */
+  /** Removes all crashes and trials, and counts an acquittal. */
   acquit(): Suspect {
     const acquittals = this.acquittals + 1;
     return new Suspect({
@@ -109,20 +113,23 @@
     });
   }
 
-  /** Notes that it is let run once more. */
+  /** Counts a trial. */
   addTrial(): Suspect {
     return new Suspect({ ...this.#fields, trials: this.trials + 1 });
   }
 
-  /** What both know. */
+  /** Merges two records of the same request. */
   merge(other: Suspect): Suspect {
     if (this.acquittals !== other.acquittals) {
       return this.acquittals > other.acquittals ? this : other;
     }
     const crashes = new Map(this.crashes.map((each) => [each.endpoint, each]));
     for (const crash of other.crashes) {
-      const known = crashes.get(crash.endpoint);
-      crashes.set(crash.endpoint, known ? mergeCrashes(known, crash) : crash);
+      const existing = crashes.get(crash.endpoint);
+      crashes.set(
+        crash.endpoint,
+        existing ? mergeCrashes(existing, crash) : crash,
+      );
     }
     return new Suspect({
       ...this.#fields,
@@ -133,10 +140,10 @@
     });
   }
 
-  /** Whether another record says the same. Times, which drift by the way of
-   * messages, do not count. */
+  /** Whether another record is equal, apart from times, which change in
+   * transit. */
   equals(other: Suspect): boolean {
-    return textOf(this) === textOf(other);
+    return comparableText(this) === comparableText(other);
   }
 
   get #fields(): SuspectFields {
@@ -153,7 +160,9 @@
   };
 }
 
-function textOf({ crashes, acquittals, trials }: Suspect): string {
-  const told = crashes.map(({ endpoint, isRefuted }) => [endpoint, isRefuted]);
-  return JSON.stringify([told, acquittals, trials]);
+function comparableText({ crashes, acquittals, trials }: Suspect): string {
+  const entries = crashes.map((
+    { endpoint, isRefuted },
+  ) => [endpoint, isRefuted]);
+  return JSON.stringify([entries, acquittals, trials]);
 }
--- a/src/quarantine/suspect_table.ts
+++ b/src/quarantine/suspect_table.ts
@@ -1,33 +1,34 @@
-/** Requests that may crash endpoints, as one host knows them.
+/** The suspected requests that one host knows.
  * @module */
 
 import * as suspects from "./suspect.ts";
 
-/** Milliseconds after its last crash for which a request is remembered. */
-const MEMORY = 3_600_000;
-/** Milliseconds for which one is remembered that nothing speaks against: longer
- * than any late word against it is under way. */
-const SHORT_MEMORY = 60_000;
-/** Most requests that are remembered, and how many of them go at once when
- * there are more. */
-const MOST = 4096;
-const DROPPED = 512;
-/** Milliseconds from the last crash until a quarantined request is tried once
- * more, doubled by each trial: endpoints may have been mended. */
-const REST = 300_000;
-/** The same for the first trial of one that may be innocent, since others
- * crashed with it: it is tried soon. */
-const AMBIGUOUS_REST = 5000;
-/** Crashes of its own, with no other quarantined request there, from which a
- * request is not ambiguous: one may be a crash for another reason. */
-const OWN_CRASHES = 2;
-/** The same for the first trial of one that has ended well before. Once it is
- * acquitted, who crashed with it needs no trial. */
-const ACQUITTED_REST = 1000;
-/** Trials of one request at the most: after its quarantine has begun it must
- * reach no more than three endpoints, also where two hosts let it run at
- * once. */
-const TRIALS = 2;
+/** Time after its last change for which a record with active crashes is
+ * kept. */
+const RETENTION_MS = 3_600_000;
+/** Time for which a record without active crashes is kept: longer than a
+ * delayed report of a crash is in transit. */
+const INACTIVE_RETENTION_MS = 60_000;
+/** Maximum number of records, and how many are evicted at once when there are
+ * more. */
+const MAX_ENTRIES = 4096;
+const EVICTION_COUNT = 512;
+/** Time from the last crash to the first trial of a quarantined request,
+ * doubled for each further trial: the endpoints may have been fixed
+ * meanwhile. */
+const TRIAL_DELAY_MS = 300_000;
+/** First trial of a request that may be innocent, since other quarantined
+ * requests ran at the same endpoints; it is tried soon. */
+const AMBIGUOUS_TRIAL_DELAY_MS = 5000;
+/** Number of crashes without another quarantined request from which a request
+ * is not ambiguous. A single one may have another cause. */
+const MIN_OWN_CRASHES = 2;
+/** First trial of a request that has succeeded before. Once it is acquitted,
+ * the requests that ran beside it need no trial. */
+const ACQUITTED_TRIAL_DELAY_MS = 1000;
+/** Maximum number of trials of one request: after its quarantine has begun it
+ * must reach at most three endpoints, even if two hosts let it run at once. */
+const MAX_TRIALS = 2;
 
 interface Entry {
   readonly suspect: suspects.Suspect;
@@ -35,25 +36,25 @@
   readonly changedAt: number;
 }
 
-/** A bounded table of suspects; changed in place. */
+/** A bounded table of suspects. Mutable. */
 export class SuspectTable {
   readonly #entries = new Map<string, Entry>();
   #revision = 0;
-  /** Entries that something speaks against. */
-  #counted = 0;
+  /** Number of entries with active crashes. */
+  #activeCount = 0;
 
   static create(): SuspectTable {
     return new SuspectTable();
   }
 
-  /** Grows with each change. */
+  /** Increases with each change. */
   get revision(): number {
     return this.#revision;
   }
 
-  /** Whether no request is under any suspicion. */
+  /** Whether no request has active crashes. */
   get hasNoSuspects(): boolean {
-    return this.#counted === 0;
+    return this.#activeCount === 0;
   }
 
   get all(): suspects.Suspect[] {
@@ -65,73 +66,78 @@
       suspects.Suspect.create(fingerprint);
   }
 
-  /** Takes what a host knows; returns the merged record where that is news. */
-  merge(told: suspects.Suspect, now: number): suspects.Suspect | undefined {
-    return this.put(this.get(told.fingerprint).merge(told), now);
+  /** Merges the record of another host; returns the merged record if it has
+   * changed. */
+  merge(record: suspects.Suspect, now: number): suspects.Suspect | undefined {
+    return this.put(this.get(record.fingerprint).merge(record), now);
   }
 
-  /** Replaces a record; returns it where it says something else than before. */
+  /** Replaces a record; returns it if it differs from the previous one. */
   put(next: suspects.Suspect, now: number): suspects.Suspect | undefined {
-    const known = this.get(next.fingerprint);
-    if (known.equals(next)) return undefined;
-    this.#counted += weightOf(next) - weightOf(known);
+    const previous = this.get(next.fingerprint);
+    if (previous.equals(next)) return undefined;
+    this.#activeCount += weightOf(next) - weightOf(previous);
     this.#entries.set(next.fingerprint, {
       suspect: next,
       revision: ++this.#revision,
       changedAt: now,
     });
-    if (this.#entries.size > MOST) this.#dropLeast();
+    if (this.#entries.size > MAX_ENTRIES) this.#evict();
     return next;
   }
 
-  /** What has changed after a revision. */
+  /** Records that have changed after a revision. */
   changedSince(revision: number): suspects.Suspect[] {
     return [...this.#entries.values()]
       .filter((entry) => entry.revision > revision)
       .map(({ suspect }) => suspect);
   }
 
-  /** Forgets what is long ago. */
+  /** Removes expired records and old refuted crashes. */
   expire(now: number): void {
     for (const [fingerprint, entry] of [...this.#entries]) {
       const { suspect, changedAt } = entry;
-      const memory = weightOf(suspect) > 0 ? MEMORY : SHORT_MEMORY;
-      if (now - changedAt > memory) this.#drop(suspect);
+      const retention = weightOf(suspect) > 0
+        ? RETENTION_MS
+        : INACTIVE_RETENTION_MS;
+      if (now - changedAt > retention) this.#remove(suspect);
       else if (suspect.crashes.length > suspect.activeCrashes.length) {
-        const pruned = suspect.prune(now - SHORT_MEMORY);
+        const pruned = suspect.prune(now - INACTIVE_RETENTION_MS);
         this.#entries.set(fingerprint, { ...entry, suspect: pruned });
       }
     }
   }
 
-  /** When a quarantined request is let run once more; endless where it is
-   * not. */
+  /** Time of the next trial of a quarantined request; infinite if there is
+   * none. */
   nextTrialAt(suspect: suspects.Suspect): number {
-    const { trials, lastCrashAt: lastAt, acquittals } = suspect;
-    if (trials >= TRIALS) return Infinity;
-    if (trials > 0) return lastAt + REST * 2 ** trials;
-    if (acquittals > 0) return lastAt + ACQUITTED_REST;
-    return lastAt + (this.#isAmbiguous(suspect) ? AMBIGUOUS_REST : REST);
+    const { trials, lastCrashAt, acquittals } = suspect;
+    if (trials >= MAX_TRIALS) return Infinity;
+    if (trials > 0) return lastCrashAt + TRIAL_DELAY_MS * 2 ** trials;
+    if (acquittals > 0) return lastCrashAt + ACQUITTED_TRIAL_DELAY_MS;
+    return lastCrashAt +
+      (this.#isAmbiguous(suspect) ? AMBIGUOUS_TRIAL_DELAY_MS : TRIAL_DELAY_MS);
   }
 
-  /** Whether its crashes may be those of other quarantined requests. */
+  /** Whether its crashes may have been caused by other quarantined requests. */
   #isAmbiguous(suspect: suspects.Suspect): boolean {
     const others = this.all.filter(({ fingerprint, standing }) =>
       fingerprint !== suspect.fingerprint && standing === "quarantined"
     );
-    const crashed = new Set(
-      others.flatMap(({ activeCrashes: counted }) =>
-        counted.map(({ endpoint }) => endpoint)
+    const sharedEndpoints = new Set(
+      others.flatMap(({ activeCrashes }) =>
+        activeCrashes.map(({ endpoint }) => endpoint)
       ),
     );
-    const own = suspect.activeCrashes.filter(({ endpoint }) =>
-      !crashed.has(endpoint)
+    const ownCrashes = suspect.activeCrashes.filter(({ endpoint }) =>
+      !sharedEndpoints.has(endpoint)
     );
-    return own.length < OWN_CRASHES;
+    return ownCrashes.length < MIN_OWN_CRASHES;
   }
 
-  /** Drops what is least suspected, of these the oldest. */
-  #dropLeast(): void {
+  /** Evicts the records with the fewest active crashes, the oldest of them
+   * first. */
+  #evict(): void {
     const ranked = [...this.#entries.values()]
       .map((entry) => ({
         ...entry,
@@ -140,15 +146,17 @@
       .sort((one, other) =>
         one.weight - other.weight || one.changedAt - other.changedAt
       );
-    ranked.slice(0, DROPPED).forEach(({ suspect }) => this.#drop(suspect));
+    ranked.slice(0, EVICTION_COUNT).forEach(({ suspect }) =>
+      this.#remove(suspect)
+    );
   }
 
-  #drop(suspect: suspects.Suspect): void {
-    this.#counted -= weightOf(suspect);
+  #remove(suspect: suspects.Suspect): void {
+    this.#activeCount -= weightOf(suspect);
     this.#entries.delete(suspect.fingerprint);
   }
 }
 
-function weightOf({ activeCrashes: counted }: suspects.Suspect): number {
-  return counted.length > 0 ? 1 : 0;
+function weightOf({ activeCrashes }: suspects.Suspect): number {
+  return activeCrashes.length > 0 ? 1 : 0;
 }
--- a/src/quarantine/suspect_table_test.ts
+++ b/src/quarantine/suspect_table_test.ts
@@ -4,7 +4,7 @@
 import * as suspects from "./suspect.ts";
 import * as suspectTables from "./suspect_table.ts";
 
-/** A record of a request under which endpoints have crashed at `at`. */
+/** The record of a request that has crashed `endpoints` at `at`. */
 function crashed(
   fingerprint: string,
   endpoints: readonly string[],
@@ -22,7 +22,7 @@
   return table;
 }
 
-test("a table is calm while nothing is held against any request", (t) => {
+test("a table has no suspects while no request has active crashes", (t) => {
   const table = tableOf();
   t.true(table.hasNoSuspects);
   table.put(crashed("f", ["a"]), 0);
@@ -31,7 +31,7 @@
   t.true(table.hasNoSuspects);
 });
 
-test("only what is news has a new revision", (t) => {
+test("only a change of a record has a new revision", (t) => {
   const table = tableOf(crashed("f", ["a"]));
   const { revision } = table;
   t.is(table.merge(crashed("f", ["a"], 7), 7), undefined);
@@ -40,7 +40,7 @@
   t.is(table.changedSince(revision).length, 1);
 });
 
-test("what crashed endpoints alone is tried after minutes, twice at most", (t) => {
+test("a request that crashed endpoints alone is tried at most twice, after minutes", (t) => {
   const suspect = crashed("f", ["a", "b", "c"]);
   const table = tableOf(suspect);
   t.is(table.nextTrialAt(suspect), 300_000);
@@ -48,7 +48,7 @@
   t.is(table.nextTrialAt(suspect.addTrial().addTrial()), Infinity);
 });
 
-test("of requests that crashed together each is tried soon, once", (t) => {
+test("an ambiguous request is tried once after seconds", (t) => {
   const one = crashed("one", ["a", "b", "c"]);
   const table = tableOf(one, crashed("other", ["a", "b", "c", "d", "e"]));
   t.is(table.nextTrialAt(one), 5000);
@@ -56,7 +56,7 @@
   t.is(table.nextTrialAt(one.addTrial()), 600_000);
 });
 
-test("a table is bounded, and keeps what is suspected most", (t) => {
+test("a full table evicts the records with the fewest crashes", (t) => {
   const table = tableOf(crashed("worst", ["a", "b", "c"]));
   for (let number = 0; number < 10_000; number++) {
     table.put(crashed(`f${number}`, ["a"]), number);
@@ -66,7 +66,7 @@
   t.is(table.get("f9999").activeCrashes.length, 1);
 });
 
-test("what is long ago is forgotten", (t) => {
+test("old records expire, those without active crashes first", (t) => {
   const table = tableOf(
     crashed("old", ["a"]),
     crashed("free", ["a"]).acquit(),
--- a/src/quarantine/suspect_test.ts
+++ b/src/quarantine/suspect_test.ts
@@ -13,24 +13,24 @@
   );
 }
 
-test("a request is suspected after two crashes, kept back after three", (t) => {
+test("a request is suspected after two crashes and quarantined after three", (t) => {
   t.is(crashed("a").standing, "free");
   t.is(crashed("a", "b").standing, "suspected");
   t.is(crashed("a", "b", "c").standing, "quarantined");
 });
 
-test("an endpoint that breaks twice under a request has crashed once", (t) => {
+test("several broken calls at one endpoint count as one crash", (t) => {
   t.is(crashed("a", "a", "a").activeCrashes.length, 1);
 });
 
-test("an endpoint that was heard since has not crashed", (t) => {
+test("a refuted crash does not count, also after a merge", (t) => {
   const suspect = crashed("a", "b", "c");
   const refuted = suspect.refute(({ endpoint }) => endpoint === "b");
   t.is(refuted.standing, "suspected");
   t.is(refuted.merge(suspect).standing, "suspected");
 });
 
-test("a run that ends well forgets the crashes before it", (t) => {
+test("an acquittal removes the crashes before it, also in a merge", (t) => {
   const suspect = crashed("a", "b", "c");
   const acquitted = suspect.acquit();
   t.is(acquitted.standing, "free");
@@ -53,7 +53,7 @@
   trials: fc.nat(2),
 }).map((fields) => Suspect.of(fields));
 
-test("records merge in any order, and any number of times", (t) => {
+test("merging records is commutative, associative and idempotent", (t) => {
   fc.assert(fc.property(suspect, suspect, suspect, (a, b, c) => {
     t.deepEqual(a.merge(b), b.merge(a));
     t.deepEqual(a.merge(b).merge(c), a.merge(b.merge(c)));
