--- a/src/rate_limits/endpoint_limit.ts
+++ b/src/rate_limits/endpoint_limit.ts
@@ -1,48 +1,51 @@
-/** The rate limit that an endpoint names in its answers, for as long as it does.
+/** The rate limit that an endpoint advertises in its responses, and how it ends
+ * once responses advertise none.
  * @module */
 
 import type * as schema from "../schema/fleet_types.ts";
 
-/** Requests a second at which an endpoint is asked that takes none: else nobody
- * would hear that it takes some again. */
-const ASKING_RATE = 0.25;
-/** Milliseconds in which the rate doubles once answers name no limit any more:
- * all hosts at once would bring about the next need. */
-const DOUBLING = 1000;
-/** Milliseconds after which it is unlimited again. */
-const RECOVERY = 6000;
-/** Milliseconds for which that it is unlimited is told. */
-const TOLD = 10_000;
-/** Milliseconds after which a limit is forgotten that no answer names or
- * denies. */
-const MEMORY = 60_000;
-/** Milliseconds by which a statement must be newer to replace another: its age
- * grows by the way of each message, and answers overtake each other. */
-const NEWER = 300;
+/** Minimum rate of all hosts together, in requests per second, even if an
+ * endpoint accepts none: without requests no response would show that it
+ * accepts some again. */
+const MIN_RATE = 0.25;
+/** Time in which the rate doubles once responses advertise no limit. If all
+ * hosts resumed at once, the endpoint would be overloaded again. */
+const DOUBLING_MS = 1000;
+/** Time from the end of a limit until the rate is unlimited. */
+const RECOVERY_MS = 6000;
+/** Time for which the end of a limit is sent to other hosts. */
+const END_RETENTION_MS = 10_000;
+/** Time after which a limit expires that no response confirms or ends. */
+const RETENTION_MS = 60_000;
+/** Time by which a statement must be newer to replace another one. Its age
+ * grows with the transit time of each message, and responses may arrive out of
+ * order. */
+const MIN_AGE_DIFFERENCE_MS = 300;
 
-/** An immutable statement about one incarnation of an endpoint. Times are
- * milliseconds of the clock of the host that holds it. */
+/** A statement about the limit of one incarnation of an endpoint. Immutable.
+ * Times are milliseconds on the clock of the host that holds it. */
 export class EndpointLimit {
   readonly endpoint: string;
-  /** Requests a second from all hosts together, as last named. */
+  /** Requests per second of all hosts together, as last advertised. */
   readonly limit: number;
   readonly advertisedAt: number;
-  /** When an answer first named none again; absent while answers name it. */
+  /** Time of the first response that advertised no limit; undefined while
+   * responses advertise one. */
   readonly endedAt?: number;
 
   private constructor(
-    { endpoint, limit, advertisedAt: namedAt, endedAt }: Pick<
+    { endpoint, limit, advertisedAt, endedAt }: Pick<
       EndpointLimit,
       "endpoint" | "limit" | "advertisedAt" | "endedAt"
     >,
   ) {
     this.endpoint = endpoint;
     this.limit = limit;
-    this.advertisedAt = namedAt;
+    this.advertisedAt = advertisedAt;
     this.endedAt = endedAt;
   }
 
-  /** As an answer has named it. */
+  /** A limit that a response has advertised. */
   static advertised(
     endpoint: string,
     { limit, now }: { limit: number; now: number },
@@ -50,7 +53,7 @@
     return new EndpointLimit({ endpoint, limit, advertisedAt: now });
   }
 
-  /** Out of a message. */
+  /** Converts a limit from a message. */
   static decode(
     { endpoint, limit, age, ended }: schema.EndpointLimit,
     now: number,
@@ -64,48 +67,54 @@
     });
   }
 
-  /** As a message carries it. */
+  /** Converts the limit for a message. */
   encode(now: number): schema.EndpointLimit {
-    const { endpoint, limit, advertisedAt: namedAt, endedAt } = this;
+    const { endpoint, limit, advertisedAt, endedAt } = this;
     return {
       endpoint,
       limit,
-      age: Math.max(0, Math.round(now - namedAt)),
+      age: Math.max(0, Math.round(now - advertisedAt)),
       ...(endedAt !== undefined &&
         { ended: Math.max(0, Math.round(now - endedAt)) }),
     };
   }
 
-  /** Notes an answer that names no limit. */
+  /** Records a response that advertises no limit. */
   end(now: number): EndpointLimit {
-    if (this.endedAt !== undefined || now - this.advertisedAt < NEWER) {
+    if (
+      this.endedAt !== undefined ||
+      now - this.advertisedAt < MIN_AGE_DIFFERENCE_MS
+    ) {
       return this;
     }
     return new EndpointLimit({ ...this, endedAt: now });
   }
 
-  /** The newer of two statements. */
+  /** Returns the newer of two statements. */
   merge(other: EndpointLimit): EndpointLimit {
-    const lead = other.updatedAt - this.updatedAt;
-    return lead > NEWER ? other : this;
+    const difference = other.updatedAt - this.updatedAt;
+    return difference > MIN_AGE_DIFFERENCE_MS ? other : this;
   }
 
-  /** Requests a second that may go there now; endless once it is unlimited. */
+  /** Current rate of all hosts together in requests per second; infinite once
+   * it is unlimited. */
   rate(now: number): number {
-    const named = Math.max(ASKING_RATE, this.limit);
-    if (this.endedAt === undefined) return named;
-    const past = now - this.endedAt;
-    return past >= RECOVERY ? Infinity : named * 2 ** (past / DOUBLING);
+    const base = Math.max(MIN_RATE, this.limit);
+    if (this.endedAt === undefined) return base;
+    const elapsed = now - this.endedAt;
+    return elapsed >= RECOVERY_MS
+      ? Infinity
+      : base * 2 ** (elapsed / DOUBLING_MS);
   }
 
-  /** Whether nothing need be remembered of it. */
+  /** Whether the statement has expired. */
   isExpired(now: number): boolean {
     return this.endedAt === undefined
-      ? now - this.advertisedAt > MEMORY
-      : now - this.endedAt > TOLD;
+      ? now - this.advertisedAt > RETENTION_MS
+      : now - this.endedAt > END_RETENTION_MS;
   }
 
-  /** When an answer last said something of it. */
+  /** Time of the last response that the statement is based on. */
   get updatedAt(): number {
     return this.endedAt ?? this.advertisedAt;
   }
--- a/src/rate_limits/fixture.ts
+++ b/src/rate_limits/fixture.ts
@@ -1,9 +1,10 @@
-/** Stand-ins for tests and simulated loads in which no endpoint names a limit.
+/** Test doubles for tests and load models in which no endpoint advertises a
+ * limit.
  * @module */
 
 import type * as quotaClients from "./quota_client.ts";
 
-/** Quotas that withhold nothing. */
+/** Quotas that grant every request. */
 export function unlimitedQuotas(): Pick<
   quotaClients.QuotaClient,
   "recordLimit" | "isLimited" | "needsProbe" | "blockedEndpoints" | "acquire"
--- a/src/rate_limits/mod.ts
+++ b/src/rate_limits/mod.ts
@@ -1,4 +1,5 @@
-/** Rate limits that endpoints name, kept by the whole fleet.
+/** Rate limits that endpoints advertise in their responses, enforced across the
+ * fleet.
  * @module */
 
 export * from "./endpoint_limit.ts";
--- a/src/rate_limits/quota_client.ts
+++ b/src/rate_limits/quota_client.ts
@@ -1,6 +1,7 @@
-/** Keeps what an entry host sends to endpoints that name a rate limit within it,
- * and what it sends to cold ones within what these bear: notes what answers say
- * and asks for a grant before each request, of whatever kind it is.
+/** Rate limits on entry hosts: keeps the requests to endpoints within the rates
+ * that these advertise, and the requests to cold endpoints within what these
+ * can handle. Records the limits in responses and requests a grant before each
+ * call of any kind.
  * @module */
 
 import * as rendezvous from "../routing/rendezvous.ts";
@@ -11,54 +12,55 @@
 import * as endpointLimits from "./endpoint_limit.ts";
 import * as tokenBuckets from "./token_bucket.ts";
 
-/** Milliseconds in which a host with a disk answers: many times what it
- * takes. */
-const PATIENCE = 150;
-/** Hosts with disks that are asked in turn. */
-const ASKED = 2;
-/** Milliseconds between reports that an endpoint's answers name no limit. */
-const REPORT = 500;
-/** Milliseconds after which a limit that no other host tells any more is
- * forgotten: some questions for changes. */
-const UNTOLD = 10_000;
-/** Milliseconds without an answer of a limited endpoint after which it is asked
- * before others: its limit would else outlast its need. */
-const UNASKED = 1000;
-/** Part of what a cold endpoint bears that is granted: for a moment two hosts may
- * grant, where others hold one of them for lost. */
-const COLD_SHARE = 0.8;
-/** Milliseconds between log lines about limits that can't be read. */
-const LOGGED = 10_000;
+/** Timeout of calls to a control host: many times the usual duration. */
+const CALL_TIMEOUT_MS = 150;
+/** Number of control hosts that are tried in turn. */
+const MAX_HOSTS_TRIED = 2;
+/** Interval between reports that an endpoint advertises no limit any more. */
+const REPORT_INTERVAL_MS = 500;
+/** Time after which a limit is dropped that is confirmed neither by a response
+ * nor by a control host: several synchronization intervals. */
+const UNCONFIRMED_RETENTION_MS = 10_000;
+/** Time without a response after which a limited endpoint is preferred for the
+ * next request; its limit would otherwise outlast its cause. */
+const PROBE_AFTER_MS = 1000;
+/** Fraction of a cold endpoint's capacity that is granted. Two control hosts
+ * may grant at the same time for a moment, when some hosts consider one of them
+ * lost. */
+const COLD_GRANT_RATIO = 0.8;
+/** Minimum interval between log lines about unreadable limits. */
+const LOG_INTERVAL_MS = 10_000;
 
-/** What a client needs of its host. */
+/** Options of a `QuotaClient`. */
 export interface QuotaClientOptions {
   readonly clock: runtime.Clock;
   readonly logger: telemetry.Logger;
   readonly metrics: telemetry.Metrics;
   readonly calls: Pick<peers.Rpc, "ask" | "cast">;
-  /** Hosts with disks. */
+  /** Control hosts. */
   cores(): readonly string[];
   /** Number of entry hosts. */
   entryHostCount(): number;
-  /** Requests a second that an endpoint bears from all hosts together while it is
-   * cold; undefined of one that is not. */
+  /** Requests per second of all hosts together that an endpoint can handle
+   * while it is cold; undefined if it is not cold. */
   coldRate(endpoint: string): number | undefined;
 }
 
-/** A limit that an answer names: requests a second, or text that says
- * nothing. */
+/** The limit that a response advertises, in requests per second; undefined if
+ * there is none. */
 export type AdvertisedLimit = number | "unreadable" | undefined;
 
 /** An endpoint to which requests need a grant. */
 interface Gate {
   readonly endpoint: string;
-  /** Of this host's even part, while nobody grants. */
+  /** Limits this host to an equal share of the rate while no control host
+   * responds. */
   readonly bucket: tokenBuckets.TokenBucket;
-  withheldUntil: number;
+  blockedUntil: number;
 }
 
-/** What is asked of who grants, and the rate for all hosts together. */
-interface Grant {
+/** The request for a grant, and the rate of all hosts together. */
+interface GrantRequest {
   readonly question: schema.QuotaQuestion | schema.WarmupQuestion;
   readonly rate: number;
 }
@@ -66,14 +68,14 @@
 interface Entry extends Gate {
   limit: endpointLimits.EndpointLimit;
   reportedAt: number;
-  toldAt: number;
+  confirmedAt: number;
 }
 
-/** Limits of endpoints as one entry host knows them; changed in place. */
+/** The limits of endpoints that one entry host knows. Mutable. */
 export class QuotaClient {
   readonly #options: QuotaClientOptions;
   readonly #entries = new Map<string, Entry>();
-  /** Cold endpoints that were asked for. */
+  /** Cold endpoints for which a grant was requested. */
   readonly #cold = new Map<string, Gate>();
   #loggedAt = -Infinity;
 
@@ -85,14 +87,14 @@
     return new QuotaClient(options);
   }
 
-  /** Notes what an answer of an endpoint says of its limit. */
-  recordLimit(endpoint: string, named: AdvertisedLimit): void {
-    const known = this.#entries.get(endpoint);
-    if (named === undefined && known === undefined) return;
-    if (named === "unreadable") return this.#noteUnreadable(endpoint);
+  /** Records the limit that a response of an endpoint advertises. */
+  recordLimit(endpoint: string, advertised: AdvertisedLimit): void {
+    const entry = this.#entries.get(endpoint);
+    if (advertised === undefined && entry === undefined) return;
+    if (advertised === "unreadable") return this.#logUnreadable(endpoint);
     const now = this.#options.clock.now();
-    if (named === undefined) this.#noteEnd(known!, now);
-    else this.#noteNamed(endpoint, { limit: named, now });
+    if (advertised === undefined) this.#recordEnd(entry!, now);
+    else this.#recordAdvertised(endpoint, { limit: advertised, now });
   }
 
   /** Whether requests to an endpoint need a grant. */
@@ -101,44 +103,48 @@
       this.#options.coldRate(endpoint) !== undefined;
   }
 
-  /** Endpoints to which nothing may go now. */
+  /** Endpoints to which no request may be sent now. */
   get blockedEndpoints(): string[] {
     if (this.#entries.size + this.#cold.size === 0) return [];
     const now = this.#options.clock.now();
     return [...this.#entries.values(), ...this.#cold.values()]
-      .filter(({ withheldUntil }) => now < withheldUntil)
+      .filter(({ blockedUntil }) => now < blockedUntil)
       .map(({ endpoint }) => endpoint);
   }
 
-  /** Whether an endpoint should be asked next: no answer has said for a while
-   * whether its limit still holds. */
+  /** Whether the next request should go to an endpoint, since no response has
+   * shown for a while whether its limit still holds. */
   needsProbe(endpoint: string): boolean {
     const entry = this.#entries.get(endpoint);
     if (entry === undefined) return false;
     const now = this.#options.clock.now();
-    return now >= entry.withheldUntil && now - entry.limit.updatedAt > UNASKED;
+    return now >= entry.blockedUntil &&
+      now - entry.limit.updatedAt > PROBE_AFTER_MS;
   }
 
-  /** Takes the right to send a request to an endpoint. Resolves with 0, or with
-   * the milliseconds after which there may be one. */
+  /** Acquires a grant for one request to an endpoint; resolves with 0, or with
+   * the milliseconds after which to retry. */
   async acquire(endpoint: string): Promise<number> {
-    return await this.#takeCold(endpoint) || await this.#takeLimited(endpoint);
+    return await this.#acquireCold(endpoint) ||
+      await this.#acquireLimited(endpoint);
   }
 
-  /** Takes what a host with a disk knows of limits. */
-  mergeLimits(told: readonly schema.EndpointLimit[]): void {
+  /** Merges the limits that a control host knows. */
+  mergeLimits(limits: readonly schema.EndpointLimit[]): void {
     const now = this.#options.clock.now();
-    for (const each of told) {
-      const limit = endpointLimits.EndpointLimit.decode(each, now);
-      const entry = this.#entries.get(each.endpoint);
+    for (const received of limits) {
+      const limit = endpointLimits.EndpointLimit.decode(received, now);
+      const entry = this.#entries.get(received.endpoint);
       if (entry !== undefined) {
         entry.limit = entry.limit.merge(limit);
-        entry.toldAt = now;
+        entry.confirmedAt = now;
       } else if (limit.rate(now) !== Infinity) this.#add(limit, now);
     }
-    for (const [endpoint, { limit, toldAt }] of this.#entries) {
+    for (const [endpoint, { limit, confirmedAt }] of this.#entries) {
       const isUnlimited = limit.rate(now) === Infinity;
-      if (isUnlimited || now - toldAt > UNTOLD) this.#entries.delete(endpoint);
+      if (isUnlimited || now - confirmedAt > UNCONFIRMED_RETENTION_MS) {
+        this.#entries.delete(endpoint);
+      }
     }
     for (const endpoint of this.#cold.keys()) {
       const isOver = this.#options.coldRate(endpoint) === undefined;
@@ -146,51 +152,51 @@
     }
   }
 
-  /** State for people. */
+  /** State for the state dump. */
   dump(): unknown {
     const now = this.#options.clock.now();
-    return [...this.#entries.values()].map(({ limit, withheldUntil }) => ({
+    return [...this.#entries.values()].map(({ limit, blockedUntil }) => ({
       ...limit.encode(now),
       rate: limit.rate(now),
-      withheldMs: Math.max(0, Math.round(withheldUntil - now)),
+      withheldMs: Math.max(0, Math.round(blockedUntil - now)),
     }));
   }
 
   #add(limit: endpointLimits.EndpointLimit, now: number): Entry {
-    const part = limit.rate(now) / Math.max(1, this.#options.entryHostCount());
+    const share = limit.rate(now) / Math.max(1, this.#options.entryHostCount());
     const entry: Entry = {
       endpoint: limit.endpoint,
       limit,
-      bucket: tokenBuckets.TokenBucket.create(part, now),
-      withheldUntil: -Infinity,
+      bucket: tokenBuckets.TokenBucket.create(share, now),
+      blockedUntil: -Infinity,
       reportedAt: -Infinity,
-      toldAt: now,
+      confirmedAt: now,
     };
     this.#entries.set(limit.endpoint, entry);
     return entry;
   }
 
-  #noteNamed(
+  #recordAdvertised(
     endpoint: string,
     { limit, now }: { limit: number; now: number },
   ): void {
-    const named = endpointLimits.EndpointLimit.advertised(endpoint, {
+    const advertised = endpointLimits.EndpointLimit.advertised(endpoint, {
       limit,
       now,
     });
     const known = this.#entries.get(endpoint);
-    const isNews = known?.limit.limit !== limit ||
+    const isChanged = known?.limit.limit !== limit ||
       known.limit.endedAt !== undefined;
-    const entry = known ?? this.#add(named, now);
-    entry.limit = named;
-    entry.toldAt = now;
-    if (isNews) this.#report(entry, now);
+    const entry = known ?? this.#add(advertised, now);
+    entry.limit = advertised;
+    entry.confirmedAt = now;
+    if (isChanged) this.#report(entry, now);
   }
 
-  #noteEnd(entry: Entry, now: number): void {
+  #recordEnd(entry: Entry, now: number): void {
     entry.limit = entry.limit.end(now);
     if (entry.limit.endedAt === undefined) return;
-    if (now - entry.reportedAt >= REPORT) this.#report(entry, now);
+    if (now - entry.reportedAt >= REPORT_INTERVAL_MS) this.#report(entry, now);
   }
 
   #report(entry: Entry, now: number): void {
@@ -201,74 +207,93 @@
     calls.cast(owner, { type: "limits", limits: [entry.limit.encode(now)] });
   }
 
-  async #takeLimited(endpoint: string): Promise<number> {
+  async #acquireLimited(endpoint: string): Promise<number> {
     const entry = this.#entries.get(endpoint);
     if (entry === undefined) return 0;
     const now = this.#options.clock.now();
-    return await this.#pass(entry, {
+    return await this.#acquireGrant(entry, {
       question: { type: "quota", limit: entry.limit.encode(now) },
       rate: entry.limit.rate(now),
     });
   }
 
-  async #takeCold(endpoint: string): Promise<number> {
-    const borne = this.#options.coldRate(endpoint);
-    if (borne === undefined) return 0;
-    const rate = COLD_SHARE * borne;
+  async #acquireCold(endpoint: string): Promise<number> {
+    const capacity = this.#options.coldRate(endpoint);
+    if (capacity === undefined) return 0;
+    const rate = COLD_GRANT_RATIO * capacity;
     const gate = this.#cold.get(endpoint) ?? this.#addCold(endpoint, rate);
     const question = { type: "warmup" as const, endpoint, rate };
-    return await this.#pass(gate, { question, rate });
+    return await this.#acquireGrant(gate, { question, rate });
   }
 
   #addCold(endpoint: string, rate: number): Gate {
-    const { clock, entryHostCount: hosts, logger } = this.#options;
-    const part = rate / Math.max(1, hosts());
-    const bucket = tokenBuckets.TokenBucket.create(part, clock.now());
-    const gate = { endpoint, bucket, withheldUntil: -Infinity };
+    const { clock, entryHostCount, logger } = this.#options;
+    const share = rate / Math.max(1, entryHostCount());
+    const bucket = tokenBuckets.TokenBucket.create(share, clock.now());
+    const gate = { endpoint, bucket, blockedUntil: -Infinity };
     this.#cold.set(endpoint, gate);
-    logger.info({ endpoint, rate }, "Cold endpoint needs grants");
+    logger.info(
+      { endpoint, rate },
+      "Endpoint is cold; requests to it need a grant",
+    );
     return gate;
   }
 
-  async #pass(gate: Gate, grant: Grant): Promise<number> {
+  async #acquireGrant(gate: Gate, request: GrantRequest): Promise<number> {
     const { clock, metrics } = this.#options;
-    const left = gate.withheldUntil - clock.now();
-    const wait = left > 0 ? left : await this.#ask(gate, grant);
+    const remaining = gate.blockedUntil - clock.now();
+    const wait = remaining > 0
+      ? remaining
+      : await this.#requestGrant(gate, request);
     if (wait === 0) return 0;
-    gate.withheldUntil = clock.now() + wait;
+    gate.blockedUntil = clock.now() + wait;
     metrics.count("quota.withheld");
     return wait;
   }
 
-  /** Asks who grants for an endpoint; where nobody answers, this host keeps to
-   * its even part. */
-  async #ask(gate: Gate, { question, rate }: Grant): Promise<number> {
-    const { calls, clock, logger, entryHostCount: hosts } = this.#options;
+  /** Requests a grant from the control host that owns the endpoint's quota. If
+   * none responds, this host grants itself an equal share of the rate. */
+  async #requestGrant(
+    gate: Gate,
+    { question, rate }: GrantRequest,
+  ): Promise<number> {
+    const { calls, clock, logger, entryHostCount } = this.#options;
     const { endpoint, bucket } = gate;
     for (const owner of this.#ownersOf(endpoint)) {
       try {
-        const reply = await calls.ask(owner, question, { timeout: PATIENCE });
+        const reply = await calls.ask(owner, question, {
+          timeout: CALL_TIMEOUT_MS,
+        });
         if (reply.type === "quota") return reply.granted ? 0 : reply.wait;
       } catch (error) {
         const reason = `${error}`;
-        logger.info({ owner, endpoint, reason }, "Quota not answered");
+        logger.info(
+          { owner, endpoint, reason },
+          "Control host did not answer a quota request; trying the next one",
+        );
       }
     }
     const now = clock.now();
-    bucket.setRate(rate / Math.max(1, hosts()), now);
+    bucket.setRate(rate / Math.max(1, entryHostCount()), now);
     return bucket.take(now);
   }
 
   #ownersOf(endpoint: string): string[] {
-    return rendezvous.rank(endpoint, this.#options.cores()).slice(0, ASKED);
+    return rendezvous.rank(endpoint, this.#options.cores()).slice(
+      0,
+      MAX_HOSTS_TRIED,
+    );
   }
 
-  #noteUnreadable(endpoint: string): void {
+  #logUnreadable(endpoint: string): void {
     const { clock, logger, metrics } = this.#options;
     metrics.count("quota.unreadable");
     const now = clock.now();
-    if (now - this.#loggedAt < LOGGED) return;
+    if (now - this.#loggedAt < LOG_INTERVAL_MS) return;
     this.#loggedAt = now;
-    logger.warn({ endpoint }, "Rate limit of an endpoint can't be read");
+    logger.warn(
+      { endpoint },
+      "Rate limit in a response cannot be parsed; it is ignored",
+    );
   }
 }
--- a/src/rate_limits/quota_server.ts
+++ b/src/rate_limits/quota_server.ts
@@ -1,8 +1,8 @@
-/** Grants requests to endpoints that name a rate limit, and to cold ones, for all
- * hosts: a limit holds for the fleet. One host with a disk grants for an
- * endpoint, the same for all that know the same hosts; the others know the limit,
- * to take its place. Nothing is kept or sent while no endpoint names a limit or
- * is cold.
+/** Rate limits on control hosts: grants requests to limited and cold endpoints
+ * on behalf of all hosts, since a limit holds for the whole fleet. Rendezvous
+ * hashing selects the control host that grants for an endpoint; the others know
+ * the limit as well, so that they can take over. Nothing is stored or sent
+ * while no endpoint is limited or cold.
  * @module */
 
 import type * as peers from "../peers/mod.ts";
@@ -12,25 +12,25 @@
 import * as endpointLimits from "./endpoint_limit.ts";
 import * as tokenBuckets from "./token_bucket.ts";
 
-/** What a server needs of its host. */
+/** Options of a `QuotaServer`. */
 export interface QuotaServerOptions {
   readonly clock: runtime.Clock;
   readonly logger: telemetry.Logger;
   readonly metrics: telemetry.Metrics;
   readonly calls: Pick<peers.Rpc, "cast">;
-  /** Hosts that are told at once: the others with disks, and entry hosts that
-   * follow this one. */
+  /** Hosts that are notified of lowered limits at once: the other control
+   * hosts, and entry hosts that synchronize with this host. */
   recipients(): readonly string[];
 }
 
-/** Milliseconds after which the bucket of a cold endpoint is forgotten that
- * nobody asks for. */
-const COLD_MEMORY = 10_000;
+/** Time after which the bucket of a cold endpoint is removed if no host
+ * requests a grant. */
+const COLD_RETENTION_MS = 10_000;
 
-/** A cold endpoint that hosts ask for. */
+/** A cold endpoint for which hosts request grants. */
 interface ColdEntry {
   readonly bucket: tokenBuckets.TokenBucket;
-  askedAt: number;
+  requestedAt: number;
 }
 
 interface Entry {
@@ -38,7 +38,7 @@
   readonly bucket: tokenBuckets.TokenBucket;
 }
 
-/** Limits of endpoints; changed in place. */
+/** The limits of endpoints and their token buckets. Mutable. */
 export class QuotaServer {
   readonly #options: QuotaServerOptions;
   readonly #entries = new Map<string, Entry>();
@@ -52,15 +52,15 @@
     return new QuotaServer(options);
   }
 
-  /** Takes what another host knows of limits. */
-  mergeLimits(told: readonly schema.EndpointLimit[]): void {
+  /** Merges the limits that another host knows. */
+  mergeLimits(limits: readonly schema.EndpointLimit[]): void {
     const now = this.#options.clock.now();
-    for (const each of told) {
-      this.#put(endpointLimits.EndpointLimit.decode(each, now));
+    for (const limit of limits) {
+      this.#update(endpointLimits.EndpointLimit.decode(limit, now));
     }
   }
 
-  /** Whether a host may send a request to an endpoint now. */
+  /** Handles a request for a grant to call a limited endpoint. */
   request({ limit }: schema.QuotaQuestion): schema.QuotaReply {
     this.mergeLimits([limit]);
     const { metrics, clock } = this.#options;
@@ -77,12 +77,12 @@
     return { type: "quota", granted, wait: Math.ceil(wait) };
   }
 
-  /** Whether a host may send a request to a cold endpoint now. */
+  /** Handles a request for a grant to call a cold endpoint. */
   requestCold({ endpoint, rate }: schema.WarmupQuestion): schema.QuotaReply {
     const { metrics, clock } = this.#options;
     const now = clock.now();
     const entry = this.#cold.get(endpoint) ?? this.#addCold(endpoint, rate);
-    entry.askedAt = now;
+    entry.requestedAt = now;
     entry.bucket.setRate(rate, now);
     const wait = entry.bucket.take(now);
     const granted = wait === 0;
@@ -90,52 +90,57 @@
     return { type: "quota", granted, wait: Math.ceil(wait) };
   }
 
-  /** Limits that hosts should know. */
+  /** Limits that other hosts should know. */
   get limits(): schema.EndpointLimit[] {
     const now = this.#options.clock.now();
     return [...this.#entries.values()].map(({ limit }) => limit.encode(now));
   }
 
-  /** Forgets what is over. */
+  /** Removes expired limits and unused buckets. */
   tick(): void {
     const now = this.#options.clock.now();
     for (const [endpoint, { limit }] of this.#entries) {
       if (limit.isExpired(now)) this.#entries.delete(endpoint);
     }
-    for (const [endpoint, { askedAt }] of this.#cold) {
-      if (now - askedAt > COLD_MEMORY) this.#cold.delete(endpoint);
+    for (const [endpoint, { requestedAt }] of this.#cold) {
+      if (now - requestedAt > COLD_RETENTION_MS) this.#cold.delete(endpoint);
     }
   }
 
   #addCold(endpoint: string, rate: number): ColdEntry {
     const now = this.#options.clock.now();
     const bucket = tokenBuckets.TokenBucket.create(rate, now);
-    const entry = { bucket, askedAt: now };
+    const entry = { bucket, requestedAt: now };
     this.#cold.set(endpoint, entry);
     return entry;
   }
 
-  #tell(limit: endpointLimits.EndpointLimit): void {
-    const { calls, clock, recipients: others } = this.#options;
+  #notify(limit: endpointLimits.EndpointLimit): void {
+    const { calls, clock, recipients } = this.#options;
     const limits = [limit.encode(clock.now())];
-    others().forEach((host) => calls.cast(host, { type: "limits", limits }));
+    recipients().forEach((host) =>
+      calls.cast(host, { type: "limits", limits })
+    );
   }
 
-  #put(told: endpointLimits.EndpointLimit): void {
+  #update(received: endpointLimits.EndpointLimit): void {
     const { clock, logger } = this.#options;
     const now = clock.now();
-    const known = this.#entries.get(told.endpoint);
-    const limit = known?.limit.merge(told) ?? told;
+    const known = this.#entries.get(received.endpoint);
+    const limit = known?.limit.merge(received) ?? received;
     if (limit === known?.limit || limit.isExpired(now)) return;
     const rate = limit.rate(now);
     const bucket = known?.bucket ?? tokenBuckets.TokenBucket.create(rate, now);
-    this.#entries.set(told.endpoint, { limit, bucket });
+    this.#entries.set(received.endpoint, { limit, bucket });
     const { endpoint, endedAt } = limit;
     const isSame = known?.limit.limit === limit.limit &&
       known.limit.endedAt === endedAt;
     if (isSame) return;
-    // Until hosts hear of less, they send what they did.
-    if (known === undefined || rate < known.limit.rate(now)) this.#tell(limit);
+    // Only lower limits are urgent: until they arrive, hosts send at the old
+    // rate.
+    if (known === undefined || rate < known.limit.rate(now)) {
+      this.#notify(limit);
+    }
     const fields = {
       endpoint,
       limit: limit.limit,
--- a/src/rate_limits/token_bucket.ts
+++ b/src/rate_limits/token_bucket.ts
@@ -1,35 +1,36 @@
-/** How many requests may go somewhere at a rate.
+/** A token bucket.
  * @module */
 
-/** Part of a second's tokens that may gather, and the least that may. */
-const BURST = 0.25;
-const LEAST_BURST = 1;
+/** Capacity of a bucket as a fraction of one second's tokens, and its minimum
+ * in tokens. */
+const BURST_S = 0.25;
+const MIN_BURST_TOKENS = 1;
 
-/** A token bucket that begins empty: who grants in another's place, or has just
- * started, does not know what was granted before. Changed in place. */
+/** A token bucket that starts empty, since a host that has just started or
+ * taken over does not know what was granted before. Mutable. */
 export class TokenBucket {
   #rate: number;
   #tokens = 0;
-  #at: number;
+  #updatedAt: number;
 
   private constructor(rate: number, now: number) {
     this.#rate = rate;
-    this.#at = now;
+    this.#updatedAt = now;
   }
 
-  /** Of so many tokens a second. */
+  /** A bucket that gains `rate` tokens per second. */
   static create(rate: number, now: number): TokenBucket {
     return new TokenBucket(rate, now);
   }
 
   setRate(rate: number, now: number): void {
-    this.#fill(now);
+    this.#refill(now);
     this.#rate = rate;
   }
 
-  /** Takes a token; returns 0, or the milliseconds until there is one. */
+  /** Takes a token; returns 0, or the milliseconds until one is available. */
   take(now: number): number {
-    this.#fill(now);
+    this.#refill(now);
     if (this.#tokens >= 1) {
       this.#tokens--;
       return 0;
@@ -37,10 +38,10 @@
     return this.#rate > 0 ? 1000 * (1 - this.#tokens) / this.#rate : Infinity;
   }
 
-  #fill(now: number): void {
-    const most = Math.max(LEAST_BURST, BURST * this.#rate);
-    const gained = this.#rate * (now - this.#at) / 1000;
-    this.#tokens = Math.min(most, this.#tokens + gained);
-    this.#at = now;
+  #refill(now: number): void {
+    const capacity = Math.max(MIN_BURST_TOKENS, BURST_S * this.#rate);
+    const gained = this.#rate * (now - this.#updatedAt) / 1000;
+    this.#tokens = Math.min(capacity, this.#tokens + gained);
+    this.#updatedAt = now;
   }
 }
