--- a/src/configuration/compression.ts
+++ b/src/configuration/compression.ts
@@ -1,31 +1,36 @@
-/** Configurations as they are stored and sent between hosts: thousands of routes
- * are hundreds of kilobytes of text that repeats itself, which a fifth holds.
+/** Compression of configurations for storage and transfer: thousands of routes
+ * are hundreds of kilobytes of repetitive text, which shrinks to a fifth.
  * @module */
 
 import * as zlib from "node:zlib";
 
-/** Level of compression: the fastest, since an order waits for it. */
-const LEVEL = 1;
-/** Bytes of the largest document that is unpacked. */
-const MOST_BYTES = 64 * 1024 * 1024;
+/** Compression level: the fastest, since an operator's request waits for it. */
+const COMPRESSION_LEVEL = 1;
+/** Maximum size of a decompressed document, in bytes. */
+const MAX_DOCUMENT_BYTES = 64 * 1024 * 1024;
 
-/** Bytes that are no packed document. */
+/** Thrown for bytes that are not a compressed document. */
 export class PackingError extends Error {
   override readonly name = "PackingError";
 }
 
-/** Packs the text of a document. */
+/** Compresses the text of a document. */
 export function compress(text: string): string {
-  return zlib.deflateRawSync(text, { level: LEVEL }).toString("base64");
+  return zlib.deflateRawSync(text, { level: COMPRESSION_LEVEL }).toString(
+    "base64",
+  );
 }
 
-/** The text that was packed. Throws `PackingError`. */
+/** Returns the text of a compressed document. Throws `PackingError`. */
 export function decompress(packed: string): string {
   const bytes = Buffer.from(packed, "base64");
   try {
-    return zlib.inflateRawSync(bytes, { maxOutputLength: MOST_BYTES })
+    return zlib.inflateRawSync(bytes, { maxOutputLength: MAX_DOCUMENT_BYTES })
       .toString();
   } catch (cause) {
-    throw new PackingError("A document cannot be unpacked", { cause });
+    throw new PackingError(
+      "Document is not base64 of deflated data, or is too large",
+      { cause },
+    );
   }
 }
--- a/src/configuration/compression_test.ts
+++ b/src/configuration/compression_test.ts
@@ -3,12 +3,12 @@
 import test from "ava";
 import * as configurations from "./mod.ts";
 
-test("what is packed comes back", (t) => {
+test("decompression returns the compressed text", (t) => {
   const text = JSON.stringify({ routes: ["r-ng\u1ef1a", "r-2"] });
   t.is(configurations.decompress(configurations.compress(text)), text);
 });
 
-test("a thousand routes take a fifth of their text at most", (t) => {
+test("a thousand routes shrink to at most a fifth of their text", (t) => {
   const route = (_: unknown, number: number) => ({
     name: `r-${number}`,
     prefix: `/a${number}/`,
@@ -20,7 +20,7 @@
   t.true(configurations.compress(text).length < text.length / 5);
 });
 
-test("other bytes are not taken for a document", (t) => {
+test("decompression rejects bytes that are not a compressed document", (t) => {
   t.throws(() => configurations.decompress("AAAA"), {
     name: "PackingError",
   });
--- a/src/configuration/configuration.ts
+++ b/src/configuration/configuration.ts
@@ -1,108 +1,113 @@
-/** What operators order as a whole, version by version: routes, services,
- * client accounts and limits. Times are in milliseconds, sizes in bytes.
+/** Types of the configuration, which operators apply as a whole, version by
+ * version: routes, services, client accounts and limits. Times are in
+ * milliseconds, sizes in bytes.
  * @module */
 
-/** What may be repeated: `safe` work always, `unsafe` work never, a stream
- * only where its route lets it be resumed. */
+/** Which requests may be retried: `safe` ones always, `unsafe` ones never,
+ * streams only if the route is resumable. */
 export type RouteKind = "safe" | "unsafe" | "streaming";
 
-/** Work on pieces that must be done before a request of a route can run. */
+/** Computation of items that has to complete before a request of the route can
+ * run. */
 export interface Stage {
   readonly service: string;
-  /** Numbers of the stages whose results it needs. */
+  /** Indexes of the stages whose results it takes as input. */
   readonly after: readonly number[];
-  /** About how large one result is. */
+  /** Approximate size of one result. */
   readonly bytes: number;
 }
 
-/** A service that a route leads to, and its part of the requests. */
+/** A service to which a route sends requests, and its share of them. */
 export interface Target {
   readonly service: string;
   readonly weight: number;
 }
 
-/** Where requests of one host name and path prefix go. */
+/** Destination of requests with one host name and path prefix. */
 export interface Route {
   readonly name: string;
   readonly hostname: string;
-  /** Begins and ends with a slash. */
+  /** Starts and ends with a slash. */
   readonly prefix: string;
   readonly kind: RouteKind;
   readonly targets: readonly Target[];
-  /** Longest time that a client is kept waiting. */
+  /** Maximum duration of a request. */
   readonly timeout: number;
-  /** Time within which an answer earns its full credit. */
+  /** Latency objective: time within which a response has its full value. */
   readonly objective: number;
-  /** Among the requests of one account priority; 0 is the highest. */
+  /** Priority among requests of the same account priority; 0 is the highest. */
   readonly priority: number;
-  /** Most endpoints that one attempt of a client may be sent to. */
+  /** Maximum number of endpoints to which one request of a client may be
+   * sent. */
   readonly attempts: number;
   readonly stages: readonly Stage[];
-  /** Whether requests need no key. */
+  /** Whether requests need no API key. */
   readonly isPublic: boolean;
-  /** Whether requests name the shared parts of their prompts. */
+  /** Whether requests declare the shared prefixes of their prompts. */
   readonly affinity: boolean;
-  /** Whether a stream may go on at another endpoint. */
+  /** Whether a stream may be resumed at another endpoint. */
   readonly resumable: boolean;
-  /** Longest pause between events that is still on time. */
+  /** Longest gap between events that counts as on time. */
   readonly gap?: number;
 }
 
-/** Figures of one engine of a service that runs models. */
+/** Performance figures of one engine of a model service. */
 export interface EngineTraits {
   readonly slots: number;
-  /** Tokens of running requests and cached parts that its memory holds. */
+  /** Capacity of its KV cache, for running requests and cached prefixes, in
+   * tokens. */
   readonly tokens: number;
-  /** Prompt tokens that an engine fetches in a millisecond from another one's
-   * memory in its data centre; absent where it can't. */
+  /** Prompt tokens per millisecond that an engine fetches from the KV cache of
+   * another one in its data centre; absent if it can't. */
   readonly fetchRate?: number;
 }
 
-/** Figures of one endpoint of a service that makes pieces. */
+/** Performance figures of one endpoint of a service that computes items. */
 export interface BatchTraits {
-  /** Calls in progress at once. */
+  /** Maximum number of concurrent calls. */
   readonly slots: number;
-  /** Calls that may wait. */
+  /** Maximum number of queued calls. */
   readonly queue: number;
-  /** Most pieces in a call. */
+  /** Maximum number of items in a call. */
   readonly batch: number;
   readonly callTime: number;
   readonly itemTime: number;
-  /** Bytes of results that it can hold. */
+  /** Memory for results, in bytes. */
   readonly room: number;
-  /** How long a result is kept after its call. */
+  /** Time for which a result is kept after its call. */
   readonly keepTime: number;
 }
 
-/** How endpoints of a service are when they have just started. */
+/** Limits of an endpoint of a service that has just started. */
 export interface ColdTraits {
-  /** How long they are cold. */
+  /** Time for which an endpoint is cold. */
   readonly time: number;
-  /** Requests a second, from all hosts together, that one bears meanwhile. */
+  /** Requests per second of all hosts together that one can handle
+   * meanwhile. */
   readonly rate: number;
 }
 
-/** A kind of endpoint. */
+/** A service: endpoints of one kind. */
 export interface Service {
   readonly name: string;
-  /** Connections that one endpoint takes from all hosts together. */
+  /** Maximum number of connections of all hosts together to one endpoint. */
   readonly connections: number;
   readonly engine?: EngineTraits;
   readonly batching?: BatchTraits;
-  /** Absent where they are never cold. */
+  /** Absent if endpoints need no warm-up. */
   readonly cold?: ColdTraits;
 }
 
-/** A client account and the keys that show it. */
+/** A client account and its API keys. */
 export interface Account {
   readonly name: string;
   readonly keys: readonly string[];
-  /** Goes before the priorities of routes; 0 is the highest. Requests without
-   * one go after those with one. */
+  /** Takes precedence over the priority of routes; 0 is the highest. Requests
+   * without an account priority come after those with one. */
   readonly priority?: number;
 }
 
-/** Bounds on what a client may send. */
+/** Limits on requests of clients. */
 export interface Limits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
@@ -110,7 +115,7 @@
   readonly idleTimeout: number;
 }
 
-/** One whole version. */
+/** One version of the configuration. */
 export interface Configuration {
   readonly version: number;
   readonly routes: readonly Route[];
@@ -119,13 +124,14 @@
   readonly limits: Limits;
 }
 
-/** Whether the work of a route may run more than once. */
+/** Whether requests of a route may run more than once. */
 export function isIdempotent({ kind, resumable }: Route): boolean {
   return kind === "safe" || (kind === "streaming" && resumable);
 }
 
-/** Whether what a client has left behind is stopped at its endpoint: work that
- * may be repeated, and streams, which nobody reads to their end any more. */
+/** Whether a request is cancelled at its endpoint when the client disconnects:
+ * true of requests that may be retried, and of streams, which have no other
+ * reader. */
 export function isCancellable({ kind }: Route): boolean {
   return kind !== "unsafe";
 }
--- a/src/configuration/configuration_test.ts
+++ b/src/configuration/configuration_test.ts
@@ -4,45 +4,45 @@
 import * as configurations from "./mod.ts";
 import * as fixture from "./fixture.ts";
 
-function faultOf(change: Partial<configurations.Configuration>) {
+function violationOf(change: Partial<configurations.Configuration>) {
   const configuration = fixture.configuration(change);
   return configurations.findViolation(configuration)?.kind;
 }
 
-test("a whole configuration has no fault", (t) => {
-  t.is(faultOf({}), undefined);
+test("a valid configuration has no violation", (t) => {
+  t.is(violationOf({}), undefined);
 });
 
-test("a route or a stage must name a service that there is", (t) => {
+test("a route or a stage must refer to a known service", (t) => {
   const target = { service: "none", weight: 1 };
   t.is(
-    faultOf({ routes: [fixture.route({ targets: [target] })] }),
+    violationOf({ routes: [fixture.route({ targets: [target] })] }),
     "unknown-service",
   );
   const stage = { service: "none", after: [], bytes: 1 };
   t.is(
-    faultOf({ routes: [fixture.route({ stages: [stage] })] }),
+    violationOf({ routes: [fixture.route({ stages: [stage] })] }),
     "unknown-service",
   );
 });
 
-test("two routes must not share host and prefix", (t) => {
+test("two routes must not share a host name and prefix", (t) => {
   const routes = [
     fixture.route({ name: "one" }),
     fixture.route({ name: "two", hostname: "HOST.example" }),
   ];
-  t.is(faultOf({ routes }), "same-place");
+  t.is(violationOf({ routes }), "same-place");
 });
 
-test("weights must not add up to nothing, nor a timeout be nothing", (t) => {
+test("weights must not add up to 0, nor may a timeout be 0", (t) => {
   const targets = [{ service: "desk", weight: 0 }];
-  t.is(faultOf({ routes: [fixture.route({ targets })] }), "no-weight");
-  t.is(faultOf({ routes: [fixture.route({ timeout: 0 })] }), "no-timeout");
+  t.is(violationOf({ routes: [fixture.route({ targets })] }), "no-weight");
+  t.is(violationOf({ routes: [fixture.route({ timeout: 0 })] }), "no-timeout");
 });
 
-test("a stage must not need itself or a later one", (t) => {
+test("a stage must not depend on itself or a later stage", (t) => {
   const stages = [{ service: "desk", after: [0], bytes: 1 }];
-  t.is(faultOf({ routes: [fixture.route({ stages })] }), "bad-stage");
+  t.is(violationOf({ routes: [fixture.route({ stages })] }), "bad-stage");
 });
 
 test("two accounts must not share a key", (t) => {
@@ -50,10 +50,10 @@
     { name: "one", keys: ["a", "b"] },
     { name: "two", keys: ["b"] },
   ];
-  t.is(faultOf({ accounts }), "shared-key");
+  t.is(violationOf({ accounts }), "shared-key");
 });
 
-test("the longest prefix wins, whatever follows on it", (t) => {
+test("the route with the longest matching prefix is found", (t) => {
   const catalogue = configurations.Catalogue.create(fixture.configuration({
     routes: [
       fixture.route({ name: "all", prefix: "/" }),
@@ -65,7 +65,7 @@
   t.is(catalogue.route("other.example", "/a/b/c"), undefined);
 });
 
-test("a key is found with its account", (t) => {
+test("an account is found by each of its API keys", (t) => {
   const accounts = [{ name: "club", keys: ["k1", "k2"] }];
   const catalogue = configurations.Catalogue.create(
     fixture.configuration({ accounts }),
--- a/src/configuration/fixture.ts
+++ b/src/configuration/fixture.ts
@@ -25,7 +25,7 @@
   };
 }
 
-/** Figures of a service that makes pieces. */
+/** Performance figures of a service that computes items. */
 export function batchTraits(
   change: Partial<configurations.BatchTraits> = {},
 ): configurations.BatchTraits {
--- a/src/configuration/mod.ts
+++ b/src/configuration/mod.ts
@@ -1,5 +1,5 @@
-/** The configuration that operators order as a whole: its types, its check and
- * the index of one version.
+/** The configuration that operators apply as a whole: its types, its validation
+ * and the index of one version.
  * @module */
 
 export * from "./catalogue.ts";
--- a/src/configuration/validation.ts
+++ b/src/configuration/validation.ts
@@ -1,4 +1,4 @@
-/** Finds what makes a configuration invalid, before anything is proposed.
+/** Validation of a configuration, before it is proposed.
  * @module */
 
 import type * as configurations from "./configuration.ts";
@@ -14,13 +14,13 @@
   | "shared-key"
   | "same-name";
 
-/** A fault, and where it is. */
+/** A violated rule, and where. */
 export interface Violation {
   readonly kind: ViolationKind;
   readonly detail: string;
 }
 
-/** The first fault of a configuration; undefined when it is valid. */
+/** Returns the first violation in a configuration; undefined if it is valid. */
 export function findViolation(
   configuration: configurations.Configuration,
 ): Violation | undefined {
@@ -29,13 +29,14 @@
     return { kind: "same-name", detail: "two services share a name" };
   }
   for (const route of configuration.routes) {
-    const fault = faultOfRoute(route, services);
-    if (fault !== undefined) return fault;
+    const violation = findRouteViolation(route, services);
+    if (violation !== undefined) return violation;
   }
-  return sharedPlace(configuration.routes) ?? sharedKey(configuration.accounts);
+  return duplicateRoute(configuration.routes) ??
+    duplicateApiKey(configuration.accounts);
 }
 
-function faultOfRoute(
+function findRouteViolation(
   route: configurations.Route,
   services: ReadonlySet<string>,
 ): Violation | undefined {
@@ -56,42 +57,42 @@
   if (!prefix.startsWith("/") || !prefix.endsWith("/")) {
     return { kind: "bad-prefix", detail: `route ${name} has a bad prefix` };
   }
-  const isBad = stages.some(({ after }, number) =>
-    after.some((other) => !(other >= 0 && other < number))
+  const isInvalid = stages.some(({ after }, index) =>
+    after.some((other) => !(other >= 0 && other < index))
   );
-  if (!isBad) return undefined;
+  if (!isInvalid) return undefined;
   const detail = `a stage of route ${name} needs a later one`;
   return { kind: "bad-stage", detail };
 }
 
-function sharedPlace(
+function duplicateRoute(
   routes: readonly configurations.Route[],
 ): Violation | undefined {
-  const places = new Map<string, string>();
+  const routeNames = new Map<string, string>();
   for (const { name, hostname, prefix } of routes) {
-    const place = `${hostname.toLowerCase()} ${prefix}`;
-    const other = places.get(place);
+    const key = `${hostname.toLowerCase()} ${prefix}`;
+    const other = routeNames.get(key);
     if (other !== undefined) {
       const detail = `routes ${other} and ${name} share host and prefix`;
       return { kind: "same-place", detail };
     }
-    places.set(place, name);
+    routeNames.set(key, name);
   }
   return undefined;
 }
 
-function sharedKey(
+function duplicateApiKey(
   accounts: readonly configurations.Account[],
 ): Violation | undefined {
-  const holders = new Map<string, string>();
+  const accountNames = new Map<string, string>();
   for (const { name, keys } of accounts) {
     for (const key of keys) {
-      const other = holders.get(key) ?? name;
+      const other = accountNames.get(key) ?? name;
       if (other !== name) {
         const detail = `accounts ${other} and ${name} share a key`;
         return { kind: "shared-key", detail };
       }
-      holders.set(key, name);
+      accountNames.set(key, name);
     }
   }
   return undefined;
