--- a/src/policies/dispatch_test.ts
+++ b/src/policies/dispatch_test.ts
@@ -1,21 +1,21 @@
 import test from "ava";
 import type * as request from "../request/mod.ts";
-import * as dispatcher from "../request/dispatcher.ts";
+import * as dispatchers from "../request/dispatcher.ts";
 import * as runtime from "../runtime/mod.ts";
 import * as policies from "./mod.ts";
 
-/** More than half of the slots of three endpoints. */
+/** Requests that take up more than half of the slots of three endpoints. */
 const BUSY = 8;
 
-function create(endpoints: number): dispatcher.Dispatcher {
+function create(endpoints: number): dispatchers.Dispatcher {
   const policySet = policies.create({
     random: runtime.createRandom(1),
     dataCentre: "here",
   });
-  const made = dispatcher.Dispatcher.create({ policySet });
+  const dispatcher = dispatchers.Dispatcher.create({ policySet });
   const list = Array.from({ length: endpoints }, (_, pos) => endpoint(pos));
-  made.step({ type: "endpoints", endpoints: list }, 0);
-  return made;
+  dispatcher.step({ type: "endpoints", endpoints: list }, 0);
+  return dispatcher;
 }
 
 function endpoint(pos: number): request.Endpoint {
@@ -62,41 +62,43 @@
   return { type: "answer", attempt, usage, size: 1, prefix: [] };
 }
 
-/** Takes so many slots that a retry has to be paid from the budget. */
-function occupy(made: dispatcher.Dispatcher): void {
-  for (let pos = 0; pos < BUSY; pos++) made.step(arrive(`busy${pos}`, 0), 0);
+/** Occupies so many slots that retries need budget. */
+function occupy(dispatcher: dispatchers.Dispatcher): void {
+  for (let pos = 0; pos < BUSY; pos++) {
+    dispatcher.step(arrive(`busy${pos}`, 0), 0);
+  }
 }
 
-test("retries a failed call elsewhere, until the budget is spent", (t) => {
-  const made = create(3);
-  occupy(made);
-  const first = attemptOf(made.step(arrive("r", 0), 0));
+test("a failed call is retried at another endpoint until the budget is spent", (t) => {
+  const dispatcher = create(3);
+  occupy(dispatcher);
+  const first = attemptOf(dispatcher.step(arrive("r", 0), 0));
   const failure = {
     reason: "connection" as const,
     outcome: "unknown" as const,
     received: 0,
   };
-  made.step({ type: "fail", attempt: first, failure }, 10);
-  const second = attemptOf(made.step({ type: "wake" }, 30));
+  dispatcher.step({ type: "fail", attempt: first, failure }, 10);
+  const second = attemptOf(dispatcher.step({ type: "wake" }, 30));
   t.not(second.endpoint, first.endpoint);
-  const ended = made.step({ type: "fail", attempt: second, failure }, 40);
+  const ended = dispatcher.step({ type: "fail", attempt: second, failure }, 40);
   t.true(ended.some((one) => one.type === "refuse"));
 });
 
-test("hedges a straggler on another endpoint and cancels the loser", (t) => {
-  const made = create(3);
+test("a straggler is hedged at another endpoint, and the slower call is cancelled", (t) => {
+  const dispatcher = create(3);
   const policies = new Map([["account/crews", { spend: 0.2 }]]);
-  made.step({ type: "policies", policies }, 0);
+  dispatcher.step({ type: "policies", policies }, 0);
   for (let count = 0; count < 40; count++) {
     const now = count * 100;
-    const attempt = attemptOf(made.step(arrive(`r${count}`, now), now));
-    made.step(answer(attempt), now + 50);
+    const attempt = attemptOf(dispatcher.step(arrive(`r${count}`, now), now));
+    dispatcher.step(answer(attempt), now + 50);
   }
-  const slow = attemptOf(made.step(arrive("slow", 4000), 4000));
-  const hedged = attemptOf(made.step({ type: "wake" }, 4100));
+  const slow = attemptOf(dispatcher.step(arrive("slow", 4000), 4000));
+  const hedged = attemptOf(dispatcher.step({ type: "wake" }, 4100));
   t.true(hedged.hedge);
   t.not(hedged.endpoint, slow.endpoint);
-  const effects = made.step(answer(hedged), 4150);
+  const effects = dispatcher.step(answer(hedged), 4150);
   t.true(effects.some((one) => one.type === "complete"));
   t.true(
     effects.some((one) =>
--- a/src/policies/progress_tracker.ts
+++ b/src/policies/progress_tracker.ts
@@ -1,52 +1,57 @@
-/** Pauses between the signs of progress of calls that are out.
+/** Tracks the gaps between progress events of running calls.
  * @module */
 
 import type * as request from "../request/mod.ts";
 
-/** Where a call went, and how much it takes in. */
+/** The service and input size of a call. */
 export interface CallTarget {
   service: string;
-  /** Tokens of input. */
+  /** Input size in tokens. */
   size: number;
 }
 
-/** A pause that a sign of progress ended. */
+/** The gap before a progress event. */
 export interface ProgressGap extends CallTarget {
   ms: number;
-  /** Whether this was the call's first sign of progress. */
+  /** Whether this is the first progress event of the call. */
   first: boolean;
 }
 
-interface Pace extends CallTarget {
+interface CallProgress extends CallTarget {
   attempt: number;
   at: number;
   first: boolean;
 }
 
-/** The last call of each request; changed in place. */
+/** The last call of each request. Mutable. */
 export class ProgressTracker {
-  readonly #paces = new Map<string, Pace>();
+  readonly #calls = new Map<string, CallProgress>();
 
   static create(): ProgressTracker {
     return new ProgressTracker();
   }
 
-  start({ request, attempt }: request.Attempt, place: CallTarget, now: number) {
-    this.#paces.set(request, { ...place, attempt, at: now, first: true });
+  start(
+    { request, attempt }: request.Attempt,
+    target: CallTarget,
+    now: number,
+  ) {
+    this.#calls.set(request, { ...target, attempt, at: now, first: true });
   }
 
-  /** Returns the pause that ends; undefined for an earlier call's. */
-  progress(of: request.Attempt, now: number): ProgressGap | undefined {
-    const pace = this.#paces.get(of.request);
-    if (pace?.attempt !== of.attempt) return undefined;
-    const { service, size, at, first } = pace;
-    pace.at = now;
-    pace.first = false;
+  /** Returns the gap that a progress event ends; undefined if the event is of
+   * an earlier call. */
+  progress(attempt: request.Attempt, now: number): ProgressGap | undefined {
+    const call = this.#calls.get(attempt.request);
+    if (call?.attempt !== attempt.attempt) return undefined;
+    const { service, size, at, first } = call;
+    call.at = now;
+    call.first = false;
     return { service, size, ms: now - at, first };
   }
 
-  /** Forgets a request that ended. */
+  /** Removes a request that has ended. */
   forget(request: string): void {
-    this.#paces.delete(request);
+    this.#calls.delete(request);
   }
 }
--- a/src/policies/routing_policy.ts
+++ b/src/policies/routing_policy.ts
@@ -1,4 +1,4 @@
-/** Routing as the parts of a dispatcher's policy set: choice, retries, hedges.
+/** Routing policy of a dispatcher: choice of endpoints, retries and hedges.
  * @module */
 
 import type * as admission from "../admission/mod.ts";
@@ -6,39 +6,42 @@
 import type * as request from "../request/mod.ts";
 import type * as runtime from "../runtime/mod.ts";
 import * as routing from "../routing/mod.ts";
-import * as paces from "./progress_tracker.ts";
+import * as progressTrackers from "./progress_tracker.ts";
 
-/** What routes are made from. */
+/** Options of a `RoutingPolicy`. */
 export interface RoutingPolicyOptions {
   dataCentre: string;
   random: runtime.Random;
-  /** Estimates of work, and the budget for extra cost. */
+  /** Estimates of call durations, and the budget for extra cost. */
   controls: admission.controller.AdmissionController;
 }
 
-/** Share of an engine's call that the prefill takes. */
-const PREFILL = 0.3;
+/** Fraction of an engine's call that the prefill takes. */
+const PREFILL_RATIO = 0.3;
 
-/** Times the bound of stragglers, or the mean where the deadline is near,
- * after which a stream goes on elsewhere. */
-const SLOW = 2;
-/** Times the high estimate of a call that another endpoint needs. */
-const LAST = 1.5;
+/** A stream is moved to another endpoint after this multiple of the straggler
+ * threshold, or of the mean duration if the deadline is near. */
+const SLOW_STREAM_RATIO = 2;
+/** Time that a call at another endpoint needs, as a multiple of the high
+ * estimate. */
+const ALTERNATIVE_TIME_RATIO = 1.5;
 
-/** Share of a service's slots in use below which a retry needs no budget. */
-const SPARE = 0.5;
+/** Utilisation of a service below which a retry needs no budget. */
+const LOW_UTILISATION_RATIO = 0.5;
 
-/** Failures that say nothing of the endpoint's health. */
-const BLAMELESS: ReadonlySet<request.FailureReason> = new Set(["deadline"]);
+/** Failures that are not evidence against the endpoint. */
+const NEUTRAL_FAILURES: ReadonlySet<request.FailureReason> = new Set([
+  "deadline",
+]);
 
-/** Decisions of routing; changes its containers in place. */
+/** Routing, retry and hedging decisions of one dispatcher. Mutable. */
 export class RoutingPolicy implements policySet.Choice {
   readonly #options: RoutingPolicyOptions;
   readonly #router: routing.router.Router;
-  /** Last call of a stage that started, and last that failed. */
-  readonly #started = new WeakMap<policySet.Work, request.Attempt>();
-  readonly #failed = new WeakMap<policySet.Work, request.Attempt>();
-  readonly #paces = paces.ProgressTracker.create();
+  /** The last started and the last failed call of each stage. */
+  readonly #lastStarted = new WeakMap<policySet.Work, request.Attempt>();
+  readonly #lastFailed = new WeakMap<policySet.Work, request.Attempt>();
+  readonly #progress = progressTrackers.ProgressTracker.create();
 
   private constructor(options: RoutingPolicyOptions) {
     this.#options = options;
@@ -56,32 +59,32 @@
     now: number,
   ): policySet.Member | undefined {
     const mean = this.#options.controls.predict(work).mean;
-    const engine = stageOf(work).kind === "engine";
+    const isEngine = stageOf(work).kind === "engine";
     const call = {
       work: mean,
-      prefill: engine ? PREFILL * mean : 0,
+      prefill: isEngine ? PREFILL_RATIO * mean : 0,
       prefix: work.prefix,
       avoid: work.avoid,
       probe: work.request.idempotent,
     };
     const { service } = pool;
-    const chosen = this.#among(service, call, now) ??
-      this.#among(service, { ...call, avoid: [] }, now);
+    const chosen = this.#chooseDecoder(service, call, now) ??
+      this.#chooseDecoder(service, { ...call, avoid: [] }, now);
     const member = chosen && pool.member(chosen.endpoint);
     if (member === undefined) return undefined;
     return member.inFlight < member.endpoint.slots ? member : undefined;
   }
 
-  /** Milliseconds before a failed stage is tried again; undefined for never. */
+  /** Milliseconds until a failed stage is retried; undefined if it is not. */
   retryDelay(
     work: policySet.Work,
     failure: request.Failure,
     now: number,
   ): number | undefined {
-    const attempt = this.#failed.get(work);
+    const attempt = this.#lastFailed.get(work);
     if (attempt === undefined) return undefined;
     const { service } = stageOf(work);
-    const { group, retryBudget: retries } = this.#router.service(service, now);
+    const { group, retryBudget } = this.#router.service(service, now);
     const call = {
       attempt,
       failure,
@@ -91,61 +94,73 @@
       others: group.size > work.avoid.length,
     };
     const { random } = this.#options;
-    const budget = { take: () => this.#pays(group, retries, now) };
-    const decided = routing.retry.decide(call, { budget, random, now });
-    return decided.type === "retry" ? decided.at - now : undefined;
+    const budget = { take: () => this.#canAfford(group, retryBudget, now) };
+    const decision = routing.retry.decide(call, { budget, random, now });
+    return decision.type === "retry" ? decision.at - now : undefined;
   }
 
-  /** Milliseconds after which a call may be raced against a second one: a
-   * straggler where its flow has budget, or else a hang. */
+  /** Milliseconds after which a call may be hedged: the straggler threshold if
+   * the flow has budget for extra cost, otherwise the time after which the call
+   * counts as hung. */
   hedgeDelay(work: policySet.Work, now: number): number | undefined {
     const { cost } = this.#options.controls;
-    const { hedgePolicy: hedges } = this.#serviceOf(work, now);
-    const hang = this.#hang(work, now);
+    const { hedgePolicy } = this.#serviceOf(work, now);
+    const hangTimeout = this.#hangTimeout(work, now);
     const mean = this.#options.controls.predict(work).mean;
-    if (cost.budget(work.request) < mean) return hang;
-    return Math.min(hang, hedges.stragglerThreshold(work.size) ?? Infinity);
+    if (cost.budget(work.request) < mean) return hangTimeout;
+    return Math.min(
+      hangTimeout,
+      hedgePolicy.stragglerThreshold(work.size) ?? Infinity,
+    );
   }
 
-  /** Whether the second call may start: a hang is paid as a retry is, a
-   * straggler by the extra cost that the table grants. */
+  /** Whether a hedge may start. For a hung call it is paid from the retry
+   * budget, for a straggler from the flow's budget for extra cost. */
   allowHedge(work: policySet.Work, now: number): boolean {
-    const started = this.#started.get(work)?.started ?? now;
-    if (now - started >= this.#hang(work, now)) {
+    const started = this.#lastStarted.get(work)?.started ?? now;
+    if (now - started >= this.#hangTimeout(work, now)) {
       return this.#serviceOf(work, now).retryBudget.take(now);
     }
     const { controls } = this.#options;
     return controls.cost.spend(work.request, controls.predict(work).mean);
   }
 
-  /** When a call counts as hung; see `policySet.Hedge`. */
+  /** Time at which a call counts as hung; see `policySet.Hedge`. */
   hangsAt(
     work: policySet.Work,
     { attempt, at, receiving }: policySet.Progress,
     now: number,
   ): number {
-    const { hedgePolicy: hedges } = this.#serviceOf(work, now);
+    const { hedgePolicy } = this.#serviceOf(work, now);
     const { size } = work;
-    const hang = hedges.hangsAt({ size, receiving, progressed: at });
-    // A stream that trickles is moved once; one that has not begun is hedged.
-    if (!receiving || attempt.attempt > 1) return hang;
+    const hungAt = hedgePolicy.hangsAt({ size, receiving, progressed: at });
+    // A slow stream is moved once; a call without progress is hedged instead.
+    if (!receiving || attempt.attempt > 1) return hungAt;
     const { mean, high } = this.#options.controls.predict(work);
-    const straggling = hedges.stragglerThreshold(size) ?? Infinity;
-    // What is learnt by size takes long: the estimate tells the last moment
-    // at which another endpoint can finish in time.
-    const last = work.request.deadline - LAST * high;
-    const due = Math.max(last, attempt.started + SLOW * mean);
-    return Math.min(hang, due, attempt.started + SLOW * straggling);
+    const stragglerThreshold = hedgePolicy.stragglerThreshold(size) ?? Infinity;
+    // Thresholds by size take long to learn, so the estimate gives the last
+    // time at which another endpoint can still finish before the deadline.
+    const lastMoveAt = work.request.deadline - ALTERNATIVE_TIME_RATIO * high;
+    const slowAt = Math.max(
+      lastMoveAt,
+      attempt.started + SLOW_STREAM_RATIO * mean,
+    );
+    return Math.min(
+      hungAt,
+      slowAt,
+      attempt.started + SLOW_STREAM_RATIO * stragglerThreshold,
+    );
   }
 
-  /** Whether a hung call may be replaced; paid as a retry is. */
+  /** Whether a hung call may be replaced; paid from the retry budget. */
   allowReplacement(work: policySet.Work, now: number): boolean {
     const { low } = this.#options.controls.predict(work);
-    const left = work.request.deadline - now;
-    // What was received already need not be made again.
-    if (work.received === 0 && low > left) return false;
-    const { group, retryBudget: retries } = this.#serviceOf(work, now);
-    return this.#pays(group, retries, now);
+    const remaining = work.request.deadline - now;
+    // Tokens that were received are not generated again, so the estimate
+    // applies only if there are none.
+    if (work.received === 0 && low > remaining) return false;
+    const { group, retryBudget } = this.#serviceOf(work, now);
+    return this.#canAfford(group, retryBudget, now);
   }
 
   endpoints(endpoints: readonly request.Endpoint[], now: number): void {
@@ -162,8 +177,8 @@
 
   started(attempt: request.Attempt, work: policySet.Work, now: number): void {
     const { service, kind } = stageOf(work);
-    this.#started.set(work, attempt);
-    this.#paces.start(attempt, { service, size: work.size }, now);
+    this.#lastStarted.set(work, attempt);
+    this.#progress.start(attempt, { service, size: work.size }, now);
     if (attempt.attempt === 1) this.#router.deposit(service, undefined, now);
     const blocks = kind === "engine" ? work.prefix : [];
     this.#router.service(service, now).group.startCall(
@@ -174,14 +189,14 @@
   }
 
   progressed(attempt: request.Attempt, _received: number, now: number): void {
-    const pace = this.#paces.progress(attempt, now);
-    if (pace === undefined) return;
-    const { hedgePolicy: hedges } = this.#router.service(pace.service, now);
-    hedges.observeProgress(pace.size, pace);
+    const gap = this.#progress.progress(attempt, now);
+    if (gap === undefined) return;
+    const { hedgePolicy } = this.#router.service(gap.service, now);
+    hedgePolicy.observeProgress(gap.size, gap);
   }
 
   finished(ended: request.Request): void {
-    this.#paces.forget(ended.id);
+    this.#progress.forget(ended.id);
   }
 
   dump(now: number): unknown {
@@ -190,16 +205,17 @@
 
   ended(report: policySet.Report, now: number): void {
     const { attempt, work, elapsed } = report;
-    const { group, hedgePolicy: hedges } = this.#serviceOf(work, now);
+    const { group, hedgePolicy } = this.#serviceOf(work, now);
     const mean = this.#options.controls.predict(work).mean;
-    const end = ends[report.result](report, elapsed / mean);
+    const end = evidence[report.result](report, elapsed / mean);
     group.endCall(attempt.endpoint, end, now);
-    if (report.result === "answered") hedges.observe(work.size, elapsed);
-    if (report.result === "failed") this.#failed.set(work, attempt);
+    if (report.result === "answered") hedgePolicy.observe(work.size, elapsed);
+    if (report.result === "failed") this.#lastFailed.set(work, attempt);
   }
 
-  /** Engines that prefill only get no calls: their KV cache is not moved. */
-  #among(
+  /** Chooses an endpoint that can decode. Prefill-only engines are excluded,
+   * since their KV cache is not transferred. */
+  #chooseDecoder(
     service: string,
     call: Omit<routing.endpointChoice.Call, "role">,
     now: number,
@@ -208,19 +224,19 @@
       this.#router.choose(service, { ...call, role: "decode" }, now);
   }
 
-  /** Whether a call may be made again: from the budget, which keeps failures
-   * from multiplying the load, or while most slots are free anyway. */
-  #pays(
+  /** Whether a call may be repeated: paid from the retry budget, which keeps
+   * failures from multiplying the load, or free while utilisation is low. */
+  #canAfford(
     { utilisation }: routing.endpointGroup.EndpointGroup,
-    retries: routing.extraCallBudget.ExtraCallBudget,
+    retryBudget: routing.extraCallBudget.ExtraCallBudget,
     now: number,
   ): boolean {
-    return retries.take(now) || utilisation < SPARE;
+    return retryBudget.take(now) || utilisation < LOW_UTILISATION_RATIO;
   }
 
-  #hang(work: policySet.Work, now: number): number {
-    const { hedgePolicy: hedges } = this.#serviceOf(work, now);
-    return hedges.hangThreshold({ size: work.size, receiving: false });
+  #hangTimeout(work: policySet.Work, now: number): number {
+    const { hedgePolicy } = this.#serviceOf(work, now);
+    return hedgePolicy.hangThreshold({ size: work.size, receiving: false });
   }
 
   #serviceOf(work: policySet.Work, now: number): routing.router.ServiceState {
@@ -232,8 +248,8 @@
   return work.request.stages[work.stage];
 }
 
-/** What the end of a call tells of its endpoint, by how it ended. */
-const ends: Record<
+/** Evidence about an endpoint from the end of a call, by result. */
+const evidence: Record<
   policySet.Report["result"],
   (
     report: policySet.Report,
@@ -244,10 +260,11 @@
     return { observation: { ok: true, slowness }, serviceTime: elapsed };
   },
   failed: ({ failure }) => {
-    const blameless = failure !== undefined && BLAMELESS.has(failure.reason);
-    return blameless ? {} : { observation: { ok: false } };
+    const isNeutral = failure !== undefined &&
+      NEUTRAL_FAILURES.has(failure.reason);
+    return isNeutral ? {} : { observation: { ok: false } };
   },
-  // The time so far is a lower bound.
+  // The elapsed time is a lower bound of the duration.
   cancelled: (_report, slowness) => {
     return slowness > 1 ? { observation: { ok: true, slowness } } : {};
   },
--- a/src/policies/routing_policy_test.ts
+++ b/src/policies/routing_policy_test.ts
@@ -5,7 +5,7 @@
 
 const SLOTS = 10;
 const CALLS = 200;
-/** Milliseconds that any backoff of these tests takes at most. */
+/** Upper bound of the backoffs in these tests. */
 const BACKOFF = 100;
 
 function requestOf(id: number): request.Request {
@@ -28,7 +28,7 @@
 function create(role: request.Endpoint["role"] = "both"): request.Dispatcher {
   const random = runtime.createRandom(1);
   const policySet = policies.create({ dataCentre: "gisenyi-hall", random });
-  const core = request.Dispatcher.create({ policySet });
+  const dispatcher = request.Dispatcher.create({ policySet });
   const endpoints = ["e1", "e2"].map((id): request.Endpoint => ({
     id,
     service: "lm-pool",
@@ -38,8 +38,8 @@
     role,
     state: "ready",
   }));
-  core.step({ type: "endpoints", endpoints }, 0);
-  return core;
+  dispatcher.step({ type: "endpoints", endpoints }, 0);
+  return dispatcher;
 }
 
 function attemptsIn(effects: readonly request.Effect[]): request.Attempt[] {
@@ -51,26 +51,26 @@
   return { type: "fail", attempt, failure: { ...cause, received: 0 } };
 }
 
-/** Fails all calls of requests that come one by one; returns their number. */
-function failAll(core: request.Dispatcher): number {
+/** Fails all calls of sequential requests; returns the number of calls. */
+function failAll(dispatcher: request.Dispatcher): number {
   let now = 0;
   let calls = 0;
   for (let id = 0; id < CALLS; id++) {
     const arrived = { type: "arrive" as const, request: requestOf(id) };
-    let [attempt] = attemptsIn(core.step(arrived, now));
+    let [attempt] = attemptsIn(dispatcher.step(arrived, now));
     while (attempt !== undefined) {
       calls++;
-      const ends = core.step(fail(attempt), now);
-      // The backoff of the retry passes.
+      const ends = dispatcher.step(fail(attempt), now);
+      // Waits for the backoff of the retry.
       now += BACKOFF;
-      const next = core.step({ type: "wake" }, now);
+      const next = dispatcher.step({ type: "wake" }, now);
       [attempt] = attemptsIn([...ends, ...next]);
     }
   }
   return calls;
 }
 
-test("engines that decode take whole calls, those that prefill none", (t) => {
+test("decode engines receive complete calls, prefill engines none", (t) => {
   const arrived = { type: "arrive" as const, request: requestOf(1) };
   const counts = (["decode", "prefill"] as const).map((role) =>
     attemptsIn(create(role).step(arrived, 0)).length
@@ -78,17 +78,17 @@
   t.deepEqual(counts, [1, 0]);
 });
 
-test("while most slots are free, retries need no budget", (t) => {
+test("retries need no budget while utilisation is low", (t) => {
   const calls = failAll(create());
   t.true(calls > 2 * CALLS, `${calls}`);
 });
 
-test("while slots are in use, retries keep to their budget", (t) => {
-  const core = create();
+test("retries are limited by their budget while utilisation is high", (t) => {
+  const dispatcher = create();
   for (let pos = 0; pos < SLOTS; pos++) {
     const arrived = requestOf(CALLS + pos);
-    core.step({ type: "arrive", request: arrived }, 0);
+    dispatcher.step({ type: "arrive", request: arrived }, 0);
   }
-  const calls = failAll(core);
+  const calls = failAll(dispatcher);
   t.true(calls >= CALLS && calls < 1.2 * CALLS, `${calls}`);
 });
--- a/src/policies/streams_test.ts
+++ b/src/policies/streams_test.ts
@@ -3,18 +3,18 @@
 import * as request from "../request/mod.ts";
 import * as runtime from "../runtime/mod.ts";
 
-/** Milliseconds of a usual call. */
-const USUAL = 200;
-const LEARNT = 40;
+/** Duration of a normal call in milliseconds. */
+const NORMAL_MS = 200;
+const OBSERVED_COUNT = 40;
 
 const usage = {
   inputTokens: 10,
   outputTokens: 10,
   cachedTokens: 0,
-  engineTime: USUAL,
+  engineTime: NORMAL_MS,
 };
 
-function arrive(id: number, now: number, left = 20_000): request.Event {
+function arrive(id: number, now: number, remaining = 20_000): request.Event {
   const stage = { name: "generate", service: "lm-pool", maxTokens: 10 };
   return {
     type: "arrive",
@@ -26,7 +26,7 @@
       stages: [{ ...stage, kind: "engine" }],
       size: 10,
       arrived: now,
-      deadline: now + left,
+      deadline: now + remaining,
       idempotent: true,
       streaming: true,
       prefix: [],
@@ -34,11 +34,11 @@
   };
 }
 
-/** A core that has learnt from calls of two engines. */
-function create(learnt = LEARNT) {
+/** A dispatcher that has completed `observed` calls at two engines. */
+function create(observed = OBSERVED_COUNT) {
   const random = runtime.createRandom(1);
   const policySet = policies.create({ dataCentre: "gisenyi-hall", random });
-  const core = request.Dispatcher.create({ policySet });
+  const dispatcher = request.Dispatcher.create({ policySet });
   const endpoints = ["e1", "e2"].map((id): request.Endpoint => ({
     id,
     service: "lm-pool",
@@ -48,17 +48,20 @@
     role: "both",
     state: "ready",
   }));
-  core.step({ type: "endpoints", endpoints }, 0);
+  dispatcher.step({ type: "endpoints", endpoints }, 0);
   let now = 0;
-  for (let id = 0; id < learnt; id++) {
-    const attempt = callIn(core.step(arrive(id, now), now))!;
+  for (let id = 0; id < observed; id++) {
+    const attempt = callIn(dispatcher.step(arrive(id, now), now))!;
     for (let received = 1; received <= 10; received++) {
-      now += USUAL / 10;
-      core.step({ type: "progress", attempt, received }, now);
+      now += NORMAL_MS / 10;
+      dispatcher.step({ type: "progress", attempt, received }, now);
     }
-    core.step({ type: "answer", attempt, usage, size: 0, prefix: [] }, now);
+    dispatcher.step(
+      { type: "answer", attempt, usage, size: 0, prefix: [] },
+      now,
+    );
   }
-  return { core, now };
+  return { dispatcher, now };
 }
 
 function callIn(
@@ -68,40 +71,46 @@
   return found?.type === "call" ? found.attempt : undefined;
 }
 
-/** Lets a stream have a token each `pause`; returns the call it moves to. */
-function trickle(
+/** Sends a token of a stream every `pause` milliseconds; returns the call that
+ * the stream moves to, if any. */
+function streamSlowly(
   pause: number,
   tokens: number,
-  { learnt, left }: { learnt?: number; left?: number } = {},
+  { observed, remaining }: { observed?: number; remaining?: number } = {},
 ) {
-  const { core, now: begun } = create(learnt);
-  const attempt = callIn(core.step(arrive(LEARNT, begun, left), begun))!;
-  let now = begun;
+  const { dispatcher, now: start } = create(observed);
+  const attempt = callIn(
+    dispatcher.step(arrive(OBSERVED_COUNT, start, remaining), start),
+  )!;
+  let now = start;
   for (let received = 1; received <= tokens; received++) {
     const due = now + pause;
     for (; now < due; now += 10) {
-      const moved = callIn(core.step({ type: "wake" }, now));
-      if (moved !== undefined) return { attempt, moved, took: now - begun };
+      const moved = callIn(dispatcher.step({ type: "wake" }, now));
+      if (moved !== undefined) return { attempt, moved, took: now - start };
     }
-    core.step({ type: "progress", attempt, received }, now);
+    dispatcher.step({ type: "progress", attempt, received }, now);
   }
-  return { attempt, moved: undefined, took: now - begun };
+  return { attempt, moved: undefined, took: now - start };
 }
 
-test("a stream that trickles goes on elsewhere from its offset", (t) => {
-  const { attempt, moved, took } = trickle(100, 50);
+test("a slow stream is resumed at another endpoint from its offset", (t) => {
+  const { attempt, moved, took } = streamSlowly(100, 50);
   t.not(moved?.endpoint, attempt.endpoint);
   t.is(moved?.attempt, 2);
   t.true(moved!.offset >= 3);
   t.true(took < 2000, `${took}`);
 });
 
-test("a stream of usual pace stays where it is", (t) => {
-  t.is(trickle(USUAL / 10, 12).moved, undefined);
+test("a stream of normal speed is not moved", (t) => {
+  t.is(streamSlowly(NORMAL_MS / 10, 12).moved, undefined);
 });
 
-test("little learnt, a stream that trickles is moved in time", (t) => {
-  const { moved, took } = trickle(100, 50, { learnt: 5, left: 4000 });
+test("a slow stream is moved before its deadline after few observations", (t) => {
+  const { moved, took } = streamSlowly(100, 50, {
+    observed: 5,
+    remaining: 4000,
+  });
   t.is(moved?.attempt, 2);
-  t.true(took < 4000 - 2 * USUAL, `${took}`);
+  t.true(took < 4000 - 2 * NORMAL_MS, `${took}`);
 });
