--- a/src/admission/backlog.ts
+++ b/src/admission/backlog.ts
@@ -1,52 +1,55 @@
-/** Work promised to each service: what waits, what runs, and what admitted
- * requests will still ask of later stages.
+/** Outstanding work of each service: queued and running calls, and the later
+ * stages of admitted requests.
  * @module */
 
 import type * as request from "../request/mod.ts";
-import * as rate from "./decaying_rate.ts";
+import * as decayingRate from "./decaying_rate.ts";
 import * as weight from "./weight.ts";
 
-/** Accounts, and kinds of one, that are weighed one by one; with more, all
- * work counts as ahead. */
-const MOST_WEIGHED = 64;
+/** Maximum number of accounts, and of kinds of one account, whose shares are
+ * computed one by one; with more, all work counts as ahead. */
+const MAX_EXACT_COUNT = 64;
 
-/** Milliseconds over which arrivals are averaged. */
-const RATE_SPAN = 5000;
+/** Decay time of the arrival rates. */
+const RATE_DECAY_MS = 5000;
 
-/** Rounds of approximation of a wait that arrivals lengthen. */
-const ROUNDS = 4;
+/** Fixed-point iterations for a delay that further arrivals extend. */
+const DELAY_ITERATIONS = 4;
 
-/** Kinds with so many times the allowance of another wait for that one. */
-const LONGER = 2;
+/** Ratio of a kind's allowance to another's above which it is deferred. */
+const DEFERRAL_RATIO = 2;
 
-interface Kind {
+/** Outstanding work of one kind of an account. */
+interface KindBacklog {
   weight: number;
   work: number;
-  /** What the work counts for among the kinds of its account. */
+  /** Charge for the work among the kinds of its account. */
   charge: number;
   items: number;
-  /** Milliseconds that the latest request had until its deadline. */
+  /** Milliseconds between the latest request's arrival and its deadline. */
   allowance: number;
-  arrivals: rate.DecayingRate;
+  arrivals: decayingRate.DecayingRate;
 }
 
-interface Account {
+/** Outstanding work of one account. */
+interface AccountBacklog {
   weight: number;
   work: number;
-  arrivals: rate.DecayingRate;
-  kinds: Map<string, Kind>;
+  arrivals: decayingRate.DecayingRate;
+  kinds: Map<string, KindBacklog>;
 }
 
-interface Pool {
+/** Slots of one service and the outstanding work for them. */
+interface SlotPool {
   slots: number;
   work: number;
-  accounts: Map<string, Account>;
+  accounts: Map<string, AccountBacklog>;
 }
 
-/** Promised work by service and flow; changed in place. */
+/** Outstanding work by service and flow; mutated in place. */
 export class Backlog {
   #policies: request.Policies;
-  readonly #pools = new Map<string, Pool>();
+  readonly #pools = new Map<string, SlotPool>();
 
   private constructor(policies: request.Policies) {
     this.#policies = policies;
@@ -68,7 +71,7 @@
     }
   }
 
-  /** Sets how many calls the usable endpoints of a service run side by side. */
+  /** Sets the concurrent calls that the usable endpoints of a service run. */
   setSlots(service: string, slots: number): void {
     this.#poolOf(service).slots = slots;
   }
@@ -77,18 +80,18 @@
     return this.#pools.get(service)?.slots ?? 0;
   }
 
-  /** Milliseconds of a slot promised to a service. */
+  /** Outstanding work of a service, in slot milliseconds. */
   work(service: string): number {
     return this.#pools.get(service)?.work ?? 0;
   }
 
-  /** Promises work to a service. */
+  /** Adds work to a service's backlog. */
   add(
     service: string,
     flow: weight.Flow,
-    promise: { work: number; now: number; allowance?: number },
+    added: { work: number; now: number; allowance?: number },
   ): void {
-    const { work, now, allowance = 0 } = promise;
+    const { work, now, allowance = 0 } = added;
     const pool = this.#poolOf(service);
     const account = this.#accountOf(pool, flow.account);
     const kind = this.#kindOf(account, flow.kind);
@@ -96,10 +99,10 @@
     kind.allowance = allowance;
     kind.arrivals.add(work, now);
     account.arrivals.add(work, now);
-    change({ pool, account, kind }, work, weight.chargeOf(work));
+    addWork({ pool, account, kind }, work, weight.chargeOf(work));
   }
 
-  /** Takes off what `add` put on, with the same work. */
+  /** Reverts an `add` with the same `work`. */
   remove(service: string, flow: weight.Flow, work: number): void {
     const pool = this.#pools.get(service);
     const account = pool?.accounts.get(flow.account);
@@ -108,30 +111,30 @@
       return;
     }
     kind.items--;
-    change({ pool, account, kind }, -work, -weight.chargeOf(work));
+    addWork({ pool, account, kind }, -work, -weight.chargeOf(work));
     if (kind.items === 0) account.kinds.delete(flow.kind);
     if (account.kinds.size === 0) pool.accounts.delete(flow.account);
-    // Sums of fractions leave a rest.
+    // Rounding errors of the sum would otherwise remain.
     if (pool.accounts.size === 0) pool.work = 0;
   }
 
-  /** Milliseconds until the work of `flow` promised so far has left, when
-   * slots are shared by weight and others go on to arrive as of late; infinite
-   * without slots. */
+  /** Predicted milliseconds until the outstanding work of `flow` has been
+   * served, if slots are shared by weight and other flows keep their recent
+   * arrival rates; infinite without slots. */
   queueingDelay(service: string, flow: weight.Flow, now: number): number {
     const pool = this.#pools.get(service);
     if (pool === undefined || pool.slots === 0) return Infinity;
     const account = pool.accounts.get(flow.account);
     const kind = account?.kinds.get(flow.kind);
     if (account === undefined || kind === undefined) return 0;
-    let wait = 0;
-    for (let round = 0; round < ROUNDS; round++) {
-      const within = aheadInAccount(account, kind, { wait, now });
+    let delay = 0;
+    for (let round = 0; round < DELAY_ITERATIONS; round++) {
+      const within = aheadInAccount(account, kind, { delay, now });
       const own = { account, work: within, allowance: kind.allowance };
-      const ahead = aheadInPool(pool, own, { wait, now });
-      wait = ahead / pool.slots;
+      const ahead = aheadInPool(pool, own, { delay, now });
+      delay = ahead / pool.slots;
     }
-    return wait;
+    return delay;
   }
 
   toJSON() {
@@ -143,7 +146,7 @@
     return Object.fromEntries(entries);
   }
 
-  #poolOf(service: string): Pool {
+  #poolOf(service: string): SlotPool {
     let pool = this.#pools.get(service);
     if (pool === undefined) {
       pool = { slots: 0, work: 0, accounts: new Map() };
@@ -152,22 +155,22 @@
     return pool;
   }
 
-  #accountOf(pool: Pool, name: string): Account {
+  #accountOf(pool: SlotPool, name: string): AccountBacklog {
     let account = pool.accounts.get(name);
     if (account === undefined) {
       const share = weight.ofAccount(this.#policies, name);
-      const arrivals = rate.DecayingRate.create(RATE_SPAN);
+      const arrivals = decayingRate.DecayingRate.create(RATE_DECAY_MS);
       account = { weight: share, work: 0, arrivals, kinds: new Map() };
       pool.accounts.set(name, account);
     }
     return account;
   }
 
-  #kindOf(account: Account, name: string): Kind {
+  #kindOf(account: AccountBacklog, name: string): KindBacklog {
     let kind = account.kinds.get(name);
     if (kind === undefined) {
       const share = weight.ofKind(this.#policies, name);
-      const arrivals = rate.DecayingRate.create(RATE_SPAN);
+      const arrivals = decayingRate.DecayingRate.create(RATE_DECAY_MS);
       const empty = { work: 0, charge: 0, items: 0, allowance: 0 };
       kind = { ...empty, weight: share, arrivals };
       account.kinds.set(name, kind);
@@ -176,8 +179,12 @@
   }
 }
 
-function change(
-  { pool, account, kind }: { pool: Pool; account: Account; kind: Kind },
+function addWork(
+  { pool, account, kind }: {
+    pool: SlotPool;
+    account: AccountBacklog;
+    kind: KindBacklog;
+  },
   work: number,
   charge: number,
 ): void {
@@ -187,58 +194,59 @@
   kind.charge += charge;
 }
 
-/** Work of an account done before the last of `own` is: while that is served,
- * each other kind gets its share, but no more than it has and will have. */
+/** Work of an account that is served before the last of `own`. Meanwhile each
+ * other kind gets its share, limited to its outstanding work and its expected
+ * arrivals. */
 function aheadInAccount(
-  account: Account,
-  own: Kind,
-  { wait, now }: { wait: number; now: number },
+  account: AccountBacklog,
+  own: KindBacklog,
+  { delay, now }: { delay: number; now: number },
 ): number {
-  if (account.kinds.size > MOST_WEIGHED) return account.work;
-  const span = spanOf(own);
+  if (account.kinds.size > MAX_EXACT_COUNT) return account.work;
+  const virtualTime = virtualTimeOf(own);
   let sum = own.work;
   for (const kind of account.kinds.values()) {
     if (kind === own) continue;
-    const share = kind.work * span / spanOf(kind);
-    sum += Math.min(share, kind.work + wait * kind.arrivals.at(now));
+    const share = kind.work * virtualTime / virtualTimeOf(kind);
+    sum += Math.min(share, kind.work + delay * kind.arrivals.at(now));
   }
   return sum;
 }
 
-/** The same among accounts, while `work` of one of them is served. */
+/** Work of all accounts that is served before `own.work` of `own.account`. */
 function aheadInPool(
-  pool: Pool,
-  own: { account: Account; work: number; allowance: number },
-  by: { wait: number; now: number },
+  pool: SlotPool,
+  own: { account: AccountBacklog; work: number; allowance: number },
+  horizon: { delay: number; now: number },
 ): number {
-  if (pool.accounts.size > MOST_WEIGHED) return pool.work;
-  const span = own.work / own.account.weight;
+  if (pool.accounts.size > MAX_EXACT_COUNT) return pool.work;
+  const virtualTime = own.work / own.account.weight;
   let sum = own.work;
   for (const account of pool.accounts.values()) {
     if (account === own.account) continue;
-    const most = pressing(account, own.allowance, by);
-    sum += Math.min(most, span * account.weight);
+    const urgent = urgentWork(account, own.allowance, horizon);
+    sum += Math.min(urgent, virtualTime * account.weight);
   }
   return sum;
 }
 
-/** Work that an account has and will have, but for kinds with so much time
- * that they let a request with this allowance go first. */
-function pressing(
-  { kinds, work, arrivals }: Account,
+/** Outstanding work and expected arrivals of an account, without kinds that are
+ * deferred in favour of a request with this allowance. */
+function urgentWork(
+  { kinds, work, arrivals }: AccountBacklog,
   allowance: number,
-  { wait, now }: { wait: number; now: number },
+  { delay, now }: { delay: number; now: number },
 ): number {
-  if (kinds.size > MOST_WEIGHED) return work + wait * arrivals.at(now);
+  if (kinds.size > MAX_EXACT_COUNT) return work + delay * arrivals.at(now);
   let sum = 0;
   for (const kind of kinds.values()) {
-    if (kind.allowance > LONGER * allowance) continue;
-    sum += kind.work + wait * kind.arrivals.at(now);
+    if (kind.allowance > DEFERRAL_RATIO * allowance) continue;
+    sum += kind.work + delay * kind.arrivals.at(now);
   }
   return sum;
 }
 
-/** Virtual time that a kind's work takes. */
-function spanOf({ charge, weight }: Kind): number {
+/** Virtual time that a kind's outstanding work takes. */
+function virtualTimeOf({ charge, weight }: KindBacklog): number {
   return Math.max(Number.MIN_VALUE, charge / weight);
 }
--- a/src/admission/controller.ts
+++ b/src/admission/controller.ts
@@ -1,63 +1,72 @@
-/** Admission, queues and estimates as the parts of a dispatcher's policy set.
+/** Implements the admission, queue and estimate interfaces of a dispatcher's
+ * policy set.
  *
- * One object plays these parts, since they share what was learnt and what was
- * promised: admission by limits and the gate, a weighted fair queue for each
- * service, and how long the rest of a request takes.
+ * One object implements all three, since they share the learned estimates and
+ * the reserved work: admission by rate and concurrency limits and by predicted
+ * finish time, a weighted fair queue for each service, and the remaining time
+ * of a request.
  * @module */
 
 import type * as policySet from "../request/policy_set.ts";
 import type * as request from "../request/mod.ts";
 import type * as runtime from "../runtime/mod.ts";
 import * as backlog from "./backlog.ts";
-import * as cost from "./cost_ledger.ts";
-import * as estimate from "./stage_time_estimator.ts";
-import * as gate from "./deadline_admission.ts";
-import * as limit from "./request_limiter.ts";
-import * as share from "./slot_share.ts";
+import * as costLedger from "./cost_ledger.ts";
+import * as stageTimeEstimator from "./stage_time_estimator.ts";
+import * as deadlineAdmission from "./deadline_admission.ts";
+import * as requestLimiter from "./request_limiter.ts";
+import * as slotShare from "./slot_share.ts";
 import * as serviceQueue from "./service_queue.ts";
 
-/** What controls are made from. */
+/** Configuration of an admission controller. */
 export interface Options {
   random: runtime.Random;
-  /** Requests in the host at once; 1000 when absent. */
+  /** Maximum number of requests in flight in the host; 1000 when absent. */
   inFlight?: number;
 }
 
-const IN_FLIGHT = 1000;
+const DEFAULT_MAX_IN_FLIGHT = 1000;
 
-/** Priority of a request whose rows name none. */
-const PRIORITY = 5;
+/** Priority of a request for which neither policy row sets one. */
+const DEFAULT_PRIORITY = 5;
 
-/** Milliseconds after which a caller may try again where nothing tells it. */
-const RETRY_AFTER = 1000;
+/** `retryAfter` of refusals for which no wait can be predicted. */
+const DEFAULT_RETRY_AFTER_MS = 1000;
 
+/** An admitted request that has not ended. */
 interface Admitted {
-  at: number;
+  admittedAt: number;
   probe: boolean;
 }
 
-/** Decisions of admission; changes its containers in place. */
+/** Admission control of one host; mutates its containers in place. */
 export class AdmissionController
   implements policySet.Queues, policySet.Admission, policySet.Estimate {
-  readonly #inFlight: number;
-  readonly #estimate = estimate.StageTimeEstimator.create();
+  readonly #maxInFlight: number;
+  readonly #stageTimes = stageTimeEstimator.StageTimeEstimator.create();
   readonly #backlog = backlog.Backlog.create();
-  readonly #limit = limit.RequestLimiter.create();
-  readonly #gate: gate.DeadlineAdmission;
+  readonly #limiter = requestLimiter.RequestLimiter.create();
+  readonly #deadlineAdmission: deadlineAdmission.DeadlineAdmission;
   readonly #queues: serviceQueue.ServiceQueue[] = [];
   readonly #admitted = new Map<string, Admitted>();
-  readonly #shares = new Map<string, share.SlotShare>();
+  readonly #shares = new Map<string, slotShare.SlotShare>();
   /** Service by endpoint. */
-  #homes = new Map<string, string>();
+  #serviceByEndpoint = new Map<string, string>();
   #policies: request.Policies = new Map();
-  /** What calls cost; retries and hedges ask it for budget. */
-  readonly cost = cost.CostLedger.create();
+  /** Cost of calls, and the budget for retries and hedges. */
+  readonly cost = costLedger.CostLedger.create();
 
   private constructor(options: Options) {
-    const { random, inFlight = IN_FLIGHT } = options;
-    this.#inFlight = inFlight;
-    const basis = { estimate: this.#estimate, backlog: this.#backlog, random };
-    this.#gate = gate.DeadlineAdmission.create(basis);
+    const { random, inFlight = DEFAULT_MAX_IN_FLIGHT } = options;
+    this.#maxInFlight = inFlight;
+    const dependencies = {
+      estimate: this.#stageTimes,
+      backlog: this.#backlog,
+      random,
+    };
+    this.#deadlineAdmission = deadlineAdmission.DeadlineAdmission.create(
+      dependencies,
+    );
   }
 
   static create(options: Options): AdmissionController {
@@ -65,14 +74,14 @@
   }
 
   create(): policySet.Queue {
-    const predict = {
+    const predictor = {
       work: (work: policySet.Work) => this.predict(work).mean,
       expires: (work: policySet.Work) => this.#latestStart(work),
     };
-    const created = serviceQueue.ServiceQueue.create(predict);
-    created.setPolicies(this.#policies);
-    this.#queues.push(created);
-    return created;
+    const queue = serviceQueue.ServiceQueue.create(predictor);
+    queue.setPolicies(this.#policies);
+    this.#queues.push(queue);
+    return queue;
   }
 
   admit(
@@ -80,46 +89,48 @@
     now: number,
     fleet: policySet.Fleet,
   ): request.Problem | undefined {
-    if (fleet.inFlight >= this.#inFlight) {
-      const detail = `${this.#inFlight} requests are in this host already`;
-      return refusal("overloaded", detail, RETRY_AFTER);
+    if (fleet.inFlight >= this.#maxInFlight) {
+      const detail = `${this.#maxInFlight} requests are in this host already`;
+      return refusal("overloaded", detail, DEFAULT_RETRY_AFTER_MS);
     }
-    const missing = arrived.stages.find(({ service }) =>
+    const unavailable = arrived.stages.find(({ service }) =>
       this.#backlog.slots(service) === 0
     );
-    if (missing !== undefined) {
-      const detail = `${missing.service} has no ready endpoint`;
-      return refusal("no-endpoint", detail, RETRY_AFTER);
+    if (unavailable !== undefined) {
+      const detail = `${unavailable.service} has no ready endpoint`;
+      return refusal("no-endpoint", detail, DEFAULT_RETRY_AFTER_MS);
     }
-    return this.#limited(arrived, now) ?? this.#overloaded(arrived, now);
+    return this.#checkLimits(arrived, now) ?? this.#checkDeadline(arrived, now);
   }
 
   rest(work: policySet.Work): number {
     if (this.#admitted.get(work.request.id)?.probe) return 0;
     const { stages } = work.request;
-    let rest = this.predict(work).low;
+    let remaining = this.predict(work).low;
     for (let stage = work.stage + 1; stage < stages.length; stage++) {
-      rest += this.#estimate.predict(this.#stageOf(work.request, stage)).low;
+      remaining +=
+        this.#stageTimes.predict(this.#stageOf(work.request, stage)).low;
     }
-    return rest;
+    return remaining;
   }
 
-  /** Time that a stage is expected to take in a slot. */
-  predict(work: policySet.Work): estimate.Prediction {
-    return this.#estimate.predict(workOf(work));
+  /** Predicted time of a stage in a slot. */
+  predict(work: policySet.Work): stageTimeEstimator.Prediction {
+    return this.#stageTimes.predict(inputOf(work));
   }
 
-  /** Priority that an engine is told: the higher of the two rows. */
+  /** Priority passed to the engine: the higher one of the account's and the
+   * kind's row. */
   priority({ account, kind }: request.Request): number {
-    const first = this.#policies.get(`account/${account}`)?.priority;
-    const second = this.#policies.get(`kind/${kind}`)?.priority;
-    if (first === undefined) return second ?? PRIORITY;
-    return Math.max(first, second ?? first);
+    const ofAccount = this.#policies.get(`account/${account}`)?.priority;
+    const ofKind = this.#policies.get(`kind/${kind}`)?.priority;
+    if (ofAccount === undefined) return ofKind ?? DEFAULT_PRIORITY;
+    return Math.max(ofAccount, ofKind ?? ofAccount);
   }
 
   policies(policies: request.Policies): void {
     this.#policies = policies;
-    this.#limit.setPolicies(policies);
+    this.#limiter.setPolicies(policies);
     this.#backlog.setPolicies(policies);
     this.cost.setPolicies(policies);
     for (const queue of this.#queues) queue.setPolicies(policies);
@@ -128,26 +139,26 @@
   endpoints(endpoints: readonly request.Endpoint[]): void {
     const slots = new Map<string, Map<string, number>>();
     for (const service of this.#shares.keys()) slots.set(service, new Map());
-    this.#homes.clear();
-    for (const { id, service, state, slots: own } of endpoints) {
+    this.#serviceByEndpoint.clear();
+    for (const { id, service, state, slots: endpointSlots } of endpoints) {
       if (state !== "ready") continue;
-      const members = slots.get(service) ?? new Map<string, number>();
-      slots.set(service, members.set(id, own));
-      this.#homes.set(id, service);
+      const byEndpoint = slots.get(service) ?? new Map<string, number>();
+      slots.set(service, byEndpoint.set(id, endpointSlots));
+      this.#serviceByEndpoint.set(id, service);
     }
-    for (const [service, members] of slots) {
-      const taken = this.#shareOf(service);
-      taken.setEndpoints(members);
-      this.#backlog.setSlots(service, taken.slots);
+    for (const [service, byEndpoint] of slots) {
+      const share = this.#shareOf(service);
+      share.setEndpoints(byEndpoint);
+      this.#backlog.setSlots(service, share.slots);
     }
   }
 
   load(endpoint: string, load: request.Load, now: number): void {
-    const service = this.#homes.get(endpoint);
+    const service = this.#serviceByEndpoint.get(endpoint);
     if (service === undefined) return;
-    const taken = this.#shareOf(service);
-    taken.report(endpoint, load);
-    const slots = Math.min(taken.slots, taken.usableSlots(now));
+    const share = this.#shareOf(service);
+    share.report(endpoint, load);
+    const slots = Math.min(share.slots, share.usableSlots(now));
     this.#backlog.setSlots(service, slots);
   }
 
@@ -155,12 +166,16 @@
     this.#shareOf(serviceOf(work)).addCalls(1);
   }
 
-  finished(ended: request.Request, how: policySet.Ending, now: number): void {
+  finished(
+    ended: request.Request,
+    ending: policySet.Ending,
+    now: number,
+  ): void {
     const admitted = this.#admitted.get(ended.id);
     if (admitted === undefined) return;
     this.#admitted.delete(ended.id);
-    this.#limit.release(ended, now - admitted.at);
-    this.#gate.finish(ended.id, now, how === "completed");
+    this.#limiter.release(ended, now - admitted.admittedAt);
+    this.#deadlineAdmission.finish(ended.id, now, ending === "completed");
   }
 
   ended(report: policySet.Report, now: number): void {
@@ -168,64 +183,76 @@
     const { account, kind, stages, size } = work.request;
     const { name, service } = stages[attempt.stage];
     this.#shareOf(service).addCalls(-1);
-    const spent = usage ?? unreported(work, elapsed);
+    const spent = usage ?? assumedUsage(work, elapsed);
     const entry = { account, kind, service, stage: name, usage: spent };
-    this.cost.record({ ...entry, category: fateOf(report, now) });
+    this.cost.record({ ...entry, category: categoryOf(report, now) });
     if (result !== "answered" || usage === undefined) return;
-    const done = workOf(work);
+    const input = inputOf(work);
     const { outputTokens } = usage;
-    this.#estimate.observe(done, { time: elapsed, outputTokens });
-    this.#estimate.observeSize(done, size);
-    this.#gate.completeStage(attempt.request, attempt.stage);
+    this.#stageTimes.observe(input, { time: elapsed, outputTokens });
+    this.#stageTimes.observeSize(input, size);
+    this.#deadlineAdmission.completeStage(attempt.request, attempt.stage);
   }
 
   dump(): unknown {
     return {
-      estimate: this.#estimate.toJSON(),
+      estimate: this.#stageTimes.toJSON(),
       backlog: this.#backlog.toJSON(),
-      gate: { ...this.#gate.counts, promised: this.#gate.size },
-      inFlight: this.#limit.toJSON(),
+      gate: {
+        ...this.#deadlineAdmission.counts,
+        promised: this.#deadlineAdmission.size,
+      },
+      inFlight: this.#limiter.toJSON(),
       cost: this.cost.toJSON(),
     };
   }
 
-  #limited(arrived: request.Request, now: number): request.Problem | undefined {
-    const verdict = this.#limit.check(arrived, now);
-    if (verdict.type === "admit") return undefined;
-    const detail = `The limit of ${verdict.row} is reached`;
-    return refusal("rate-limited", detail, verdict.retryAfter);
+  #checkLimits(
+    arrived: request.Request,
+    now: number,
+  ): request.Problem | undefined {
+    const decision = this.#limiter.check(arrived, now);
+    if (decision.type === "admit") return undefined;
+    const detail = `The limit of ${decision.row} is reached`;
+    return refusal("rate-limited", detail, decision.retryAfter);
   }
 
-  #overloaded(
+  #checkDeadline(
     arrived: request.Request,
     now: number,
   ): request.Problem | undefined {
     const { id, account, kind, deadline } = arrived;
     const stages = arrived.stages.map((_, i) => this.#stageOf(arrived, i));
-    const ask = { id, account, kind, deadline, stages };
-    const decision = this.#gate.decide(ask, now);
+    const candidate = { id, account, kind, deadline, stages };
+    const decision = this.#deadlineAdmission.decide(candidate, now);
     if (decision.type === "refuse") {
       const detail = "The request would not be finished within its deadline";
       return refusal("overloaded", detail, decision.retryAfter);
     }
-    this.#limit.acquire(arrived);
-    this.#admitted.set(id, { at: now, probe: decision.probe });
+    this.#limiter.acquire(arrived);
+    this.#admitted.set(id, { admittedAt: now, probe: decision.probe });
     return undefined;
   }
 
-  /** A stage whose input is not known yet, but for the first. */
-  #stageOf(of: request.Request, stage: number): estimate.StageInput {
-    const { name, service, maxTokens } = of.stages[stage];
-    const place = { service, stage: name };
-    const learnt = stage > 0;
-    const size = learnt ? this.#estimate.sizeOf(place, of.size) : of.size;
-    return { ...place, size, maxTokens };
+  /** Input of a stage. Its size is known for the first stage and predicted for
+   * later ones. */
+  #stageOf(
+    from: request.Request,
+    stage: number,
+  ): stageTimeEstimator.StageInput {
+    const { name, service, maxTokens } = from.stages[stage];
+    const key = { service, stage: name };
+    const isPredicted = stage > 0;
+    const size = isPredicted
+      ? this.#stageTimes.sizeOf(key, from.size)
+      : from.size;
+    return { ...key, size, maxTokens };
   }
 
-  #shareOf(service: string): share.SlotShare {
+  #shareOf(service: string): slotShare.SlotShare {
     let found = this.#shares.get(service);
     if (found === undefined) {
-      found = share.SlotShare.create();
+      found = slotShare.SlotShare.create();
       this.#shares.set(service, found);
     }
     return found;
@@ -236,7 +263,7 @@
   }
 }
 
-function workOf(work: policySet.Work): estimate.StageInput {
+function inputOf(work: policySet.Work): stageTimeEstimator.StageInput {
   const { name, service, maxTokens } = work.request.stages[work.stage];
   return { service, stage: name, size: work.size, maxTokens };
 }
@@ -245,18 +272,19 @@
   return work.request.stages[work.stage].service;
 }
 
-function fateOf(
+function categoryOf(
   { result, attempt, work }: policySet.Report,
   now: number,
-): cost.Category {
+): costLedger.Category {
   const late = now >= work.request.deadline;
   if (result === "answered") return late ? "late" : "useful";
   if (result === "failed") return "retry";
   return attempt.hedge ? "hedge" : "cancelled";
 }
 
-/** Cost of a call whose endpoint reported none: its slot until it ended. */
-function unreported(work: policySet.Work, elapsed: number): request.Usage {
+/** Assumed usage of a call whose endpoint reported none: the engine time is the
+ * time for which the call held its slot. */
+function assumedUsage(work: policySet.Work, elapsed: number): request.Usage {
   const { size: inputTokens, received: outputTokens } = work;
   return { inputTokens, outputTokens, cachedTokens: 0, engineTime: elapsed };
 }
--- a/src/admission/cost_ledger.ts
+++ b/src/admission/cost_ledger.ts
@@ -1,16 +1,16 @@
-/** Ledger of cost by stage, account and kind, with what was wasted, and the
- * budget for extra cost that the table grants.
+/** Cost accounting by stage, account and kind, wasted cost included, and the
+ * budget for extra cost that the policy table grants.
  * @module */
 
 import type * as request from "../request/mod.ts";
 import * as weight from "./weight.ts";
 
-/** What became of a call that took cost. `useful` gave the stage's result;
- * the others were paid on top: a failed call that was tried again, the loser
- * of a hedge, a call cancelled, and a result too late to matter. */
+/** Category of a call's cost. A `useful` call produced the stage's result. The
+ * other categories are extra cost: a failed call that was retried, the losing
+ * call of a hedge, a cancelled call, and a result after the deadline. */
 export type Category = "useful" | "retry" | "hedge" | "cancelled" | "late";
 
-/** Cost of some calls. */
+/** Total cost of a set of calls. */
 export interface Totals {
   calls: number;
   /** Milliseconds of endpoint slots. */
@@ -19,41 +19,42 @@
   outputTokens: number;
 }
 
-/** Cost by fate. */
+/** Totals by category. */
 export type CostByCategory = Record<Category, Totals>;
 
-/** One call that ended. */
+/** Cost of one call that ended. */
 export interface Entry extends weight.Flow {
   service: string;
   stage: string;
   category: Category;
-  /** As the endpoint reported it, or as estimated for a call without one. */
+  /** As reported by the endpoint, or estimated when it reported none. */
   usage: request.Usage;
 }
 
-/** Groups that the ledger sums by. */
+/** Dimensions by which the ledger aggregates. */
 export type Dimension = "stage" | "account" | "kind";
 
-/** Extra cost that a flow may spend when no row says more: a share of its
- * useful cost. */
+/** Extra cost that a flow may spend when no policy row sets it, as a share of
+ * its useful cost. */
 export const DEFAULT_SPEND_RATIO = 0.05;
 
-/** Milliseconds of useful cost whose share a flow may save up. */
-const SAVINGS = 60_000;
+/** Useful cost, in milliseconds, whose share bounds a flow's budget. */
+const MAX_ACCUMULATED_MS = 60_000;
 
-/** Milliseconds granted to a flow before it has any useful cost. */
-const START = 1000;
+/** Initial budget of a flow without any useful cost. */
+const INITIAL_BUDGET_MS = 1000;
 
-/** Most names in one group; others are summed under `OTHERS`. */
-const MOST_NAMES = 4096;
+/** Maximum number of names in one dimension; further ones are aggregated under
+ * `OTHERS_NAME`. */
+const MAX_NAMES = 4096;
 
-/** Name for what passes `MOST_NAMES`. */
-const OTHERS = "others";
+/** Name under which all names over the limit are aggregated. */
+const OTHERS_NAME = "others";
 
-/** Sums of all calls; `record` and `spend` change it in place. */
+/** Totals of all calls; `record` and `spend` mutate it in place. */
 export class CostLedger {
   #policies: request.Policies;
-  readonly #groups: Record<Dimension, Map<string, CostByCategory>> = {
+  readonly #totals: Record<Dimension, Map<string, CostByCategory>> = {
     stage: new Map(),
     account: new Map(),
     kind: new Map(),
@@ -72,19 +73,19 @@
     this.#policies = policies;
   }
 
-  /** Adds a call that ended; useful cost earns budget for extra cost. */
+  /** Records a call that ended; useful cost adds to the flow's budget. */
   record(entry: Entry): void {
-    const { service, stage, account, kind, category: fate, usage } = entry;
-    this.#add("stage", `${service} ${stage}`, fate, usage);
-    this.#add("account", account, fate, usage);
-    this.#add("kind", kind, fate, usage);
-    if (fate !== "useful") return;
-    const earned = this.#spendOf(entry) * usage.engineTime;
+    const { service, stage, account, kind, category, usage } = entry;
+    this.#add("stage", `${service} ${stage}`, category, usage);
+    this.#add("account", account, category, usage);
+    this.#add("kind", kind, category, usage);
+    if (category !== "useful") return;
+    const earned = this.#spendRatioOf(entry) * usage.engineTime;
     this.#setBudget(entry, this.budget(entry) + earned);
   }
 
-  /** Takes `time` predicted milliseconds of extra cost from the budget of a
-   * flow; returns false, and takes nothing, when it does not have so much. */
+  /** Withdraws `time` predicted milliseconds of extra cost from a flow's
+   * budget; returns false and withdraws nothing when the budget is smaller. */
   spend(flow: weight.Flow, time: number): boolean {
     const budget = this.budget(flow);
     if (budget < time) return false;
@@ -95,24 +96,24 @@
   /** Milliseconds of extra cost that a flow may spend now. */
   budget(flow: weight.Flow): number {
     const budget = this.#budgets.get(this.#budgetName(flow));
-    return budget ?? (this.#spendOf(flow) > 0 ? START : 0);
+    return budget ?? (this.#spendRatioOf(flow) > 0 ? INITIAL_BUDGET_MS : 0);
   }
 
-  /** Cost of one name of a group. */
-  totals(group: Dimension, name: string): CostByCategory | undefined {
-    return this.#groups[group].get(name);
+  /** Totals of one name in a dimension. */
+  totals(dimension: Dimension, name: string): CostByCategory | undefined {
+    return this.#totals[dimension].get(name);
   }
 
   toJSON(): Record<Dimension, Record<string, CostByCategory>> {
     return {
-      stage: Object.fromEntries(this.#groups.stage),
-      account: Object.fromEntries(this.#groups.account),
-      kind: Object.fromEntries(this.#groups.kind),
+      stage: Object.fromEntries(this.#totals.stage),
+      account: Object.fromEntries(this.#totals.account),
+      kind: Object.fromEntries(this.#totals.kind),
     };
   }
 
-  /** Share of extra cost; the lower one when both rows name one. */
-  #spendOf(flow: weight.Flow): number {
+  /** Share of extra cost; the lower one when both rows set it. */
+  #spendRatioOf(flow: weight.Flow): number {
     const account = this.#policies.get(`account/${flow.account}`)?.spend;
     const kind = this.#policies.get(`kind/${flow.kind}`)?.spend;
     if (account === undefined) return kind ?? DEFAULT_SPEND_RATIO;
@@ -120,54 +121,57 @@
   }
 
   #setBudget(flow: weight.Flow, budget: number): void {
-    const most = Math.max(START, SAVINGS * this.#spendOf(flow));
-    this.#budgets.set(this.#budgetName(flow), Math.min(most, budget));
+    const max = Math.max(
+      INITIAL_BUDGET_MS,
+      MAX_ACCUMULATED_MS * this.#spendRatioOf(flow),
+    );
+    this.#budgets.set(this.#budgetName(flow), Math.min(max, budget));
   }
 
   #budgetName(flow: weight.Flow): string {
     const name = weight.nameOf(flow);
     const known = this.#budgets.has(name);
-    return known || this.#budgets.size < MOST_NAMES ? name : OTHERS;
+    return known || this.#budgets.size < MAX_NAMES ? name : OTHERS_NAME;
   }
 
   #add(
-    group: Dimension,
+    dimension: Dimension,
     name: string,
-    fate: Category,
+    category: Category,
     usage: request.Usage,
   ): void {
-    const accounts = this.#groups[group];
-    const full = !accounts.has(name) && accounts.size >= MOST_NAMES;
-    const key = full ? OTHERS : name;
-    let account = accounts.get(key);
-    if (account === undefined) {
-      account = createAccount();
-      accounts.set(key, account);
+    const byName = this.#totals[dimension];
+    const full = !byName.has(name) && byName.size >= MAX_NAMES;
+    const key = full ? OTHERS_NAME : name;
+    let costs = byName.get(key);
+    if (costs === undefined) {
+      costs = createCostByCategory();
+      byName.set(key, costs);
     }
-    const sum = account[fate];
-    sum.calls++;
-    sum.time += usage.engineTime;
-    sum.inputTokens += usage.inputTokens;
-    sum.outputTokens += usage.outputTokens;
+    const totals = costs[category];
+    totals.calls++;
+    totals.time += usage.engineTime;
+    totals.inputTokens += usage.inputTokens;
+    totals.outputTokens += usage.outputTokens;
   }
 }
 
-/** Milliseconds of slots by all fates but `useful`. */
-export function wastedTime(account: CostByCategory): number {
-  const { retry, hedge, cancelled, late } = account;
+/** Slot milliseconds of all categories but `useful`. */
+export function wastedTime(costs: CostByCategory): number {
+  const { retry, hedge, cancelled, late } = costs;
   return retry.time + hedge.time + cancelled.time + late.time;
 }
 
-function createAccount(): CostByCategory {
+function createCostByCategory(): CostByCategory {
   return {
-    useful: createSum(),
-    retry: createSum(),
-    hedge: createSum(),
-    cancelled: createSum(),
-    late: createSum(),
+    useful: createTotals(),
+    retry: createTotals(),
+    hedge: createTotals(),
+    cancelled: createTotals(),
+    late: createTotals(),
   };
 }
 
-function createSum(): Totals {
+function createTotals(): Totals {
   return { calls: 0, time: 0, inputTokens: 0, outputTokens: 0 };
 }
--- a/src/admission/deadline_admission.ts
+++ b/src/admission/deadline_admission.ts
@@ -1,64 +1,69 @@
-/** Early refusal: admits a request only when it is predicted to finish in time
- * under what has been promised already. A refused request has not run.
+/** Deadline-aware admission: admits a request only when it is predicted to
+ * finish by its deadline, given the work already reserved for admitted
+ * requests. A refused request has not run.
  *
- * The prediction is multiplied by a margin, learnt for each flow from how long
- * its admitted requests really took. A small share of what would be refused is
- * let through as probes, so that a wrong estimate heals.
+ * The predicted time is multiplied by a safety margin, learned for each flow
+ * from the actual times of its admitted requests. A small share of the requests
+ * that miss the check is admitted as probes, so that a wrong estimate is
+ * corrected by new samples.
  * @module */
 
 import type * as runtime from "../runtime/mod.ts";
 import type * as backlog from "./backlog.ts";
-import type * as estimate from "./stage_time_estimator.ts";
-import * as quantile from "./quantile_estimator.ts";
+import type * as stageTimeEstimator from "./stage_time_estimator.ts";
+import * as quantileEstimator from "./quantile_estimator.ts";
 import * as weight from "./weight.ts";
 
-/** A request that asks to be admitted. */
+/** A request to be admitted or refused. */
 export interface AdmissionRequest extends weight.Flow {
   id: string;
-  /** Milliseconds. */
+  /** Absolute time, milliseconds. */
   deadline: number;
-  stages: readonly estimate.StageInput[];
+  stages: readonly stageTimeEstimator.StageInput[];
 }
 
-/** Answer of the gate. */
+/** Result of the deadline check. */
 export type Decision =
   | {
     type: "admit";
-    /** When the request should end, milliseconds. */
+    /** Predicted end of the request, absolute milliseconds. */
     finish: number;
     /** Expected time of each stage in a slot. */
-    stages: readonly estimate.Prediction[];
-    /** True when it is let through only to learn; such a request is not to be
-     * dropped before its deadline. */
+    stages: readonly stageTimeEstimator.Prediction[];
+    /** Whether the request is admitted only to collect a sample; such a request
+     * must not be dropped before its deadline. */
     probe: boolean;
   }
   | {
     type: "refuse";
     finish: number;
-    /** Milliseconds; absent when it could not be met on idle endpoints. */
+    /** Milliseconds; absent when idle endpoints could not meet the deadline
+     * either. */
     retryAfter?: number;
   };
 
-/** Parts that a gate decides by. */
+/** Components that the admission decision uses. */
 export interface Dependencies {
-  estimate: estimate.StageTimeEstimator;
+  estimate: stageTimeEstimator.StageTimeEstimator;
   backlog: backlog.Backlog;
   random: runtime.Random;
 }
 
-/** One refusal in so many is let through as a probe. */
-const REFUSALS_A_PROBE = 50;
+/** Number of refusals after which one request is admitted as a probe. */
+const REFUSALS_PER_PROBE = 50;
 
-/** Least milliseconds between probes while nothing else is in flight. */
-const IDLE_PROBE_INTERVAL = 1000;
+/** Minimum interval between probes while no request is in flight. */
+const IDLE_PROBE_INTERVAL_MS = 1000;
 
-/** Least `Retry-After`, milliseconds. */
-const LEAST_RETRY_AFTER = 100;
+/** Lower bound of `retryAfter`. */
+const MIN_RETRY_AFTER_MS = 100;
 
-/** Most flows with a margin of their own; others share one. */
-const MOST_MARGINS = 1024;
+/** Number of flows with a margin of their own; further flows share one. */
+const MAX_MARGINS = 1024;
 
-const MARGIN: quantile.Options = {
+/** Parameters of the safety margin, the 80th percentile of actual over
+ * predicted time. */
+const MARGIN_OPTIONS: quantileEstimator.Options = {
   quantile: 0.8,
   initial: 1.2,
   step: 0.1,
@@ -66,13 +71,14 @@
   max: 2,
 };
 
-interface Commitment {
-  ask: AdmissionRequest;
-  admitted: number;
-  predicted: number;
-  stages: readonly estimate.Prediction[];
-  /** Stages before this one are done. */
-  next: number;
+/** Work reserved for an admitted request. */
+interface Reservation {
+  request: AdmissionRequest;
+  admittedAt: number;
+  predictedMs: number;
+  stages: readonly stageTimeEstimator.Prediction[];
+  /** Index of the first stage whose work is still in the backlog. */
+  nextStage: number;
 }
 
 /** Counters for the metrics. */
@@ -82,140 +88,157 @@
   probes: number;
 }
 
-/** Decides on arrival; keeps what it promised until it is told of the end. */
+/** Decides on arrival and holds the reservations of admitted requests until
+ * their end is reported. */
 export class DeadlineAdmission {
-  readonly #basis: Dependencies;
-  readonly #commitments = new Map<string, Commitment>();
-  readonly #margins = new Map<string, quantile.QuantileEstimator>();
-  #refusals = 0;
-  #lastProbe = -Infinity;
+  readonly #dependencies: Dependencies;
+  readonly #reservations = new Map<string, Reservation>();
+  readonly #margins = new Map<string, quantileEstimator.QuantileEstimator>();
+  #refusalsSinceProbe = 0;
+  #lastProbeAt = -Infinity;
   readonly counts: Counts = { admitted: 0, refused: 0, probes: 0 };
 
-  private constructor(basis: Dependencies) {
-    this.#basis = basis;
+  private constructor(dependencies: Dependencies) {
+    this.#dependencies = dependencies;
   }
 
-  static create(basis: Dependencies): DeadlineAdmission {
-    return new DeadlineAdmission(basis);
+  static create(dependencies: Dependencies): DeadlineAdmission {
+    return new DeadlineAdmission(dependencies);
   }
 
-  /** Requests admitted and not ended. */
+  /** Number of admitted requests that have not ended. */
   get size(): number {
-    return this.#commitments.size;
+    return this.#reservations.size;
   }
 
-  /** Admits or refuses; an admitted request must be ended by `finish`. */
-  decide(ask: AdmissionRequest, now: number): Decision {
-    const stages = ask.stages.map((work) => this.#basis.estimate.predict(work));
-    const span = this.#span(ask, stages, now);
-    const margin = this.#marginOf(ask).value;
-    const finish = now + span * margin;
-    const fits = finish <= ask.deadline;
-    if (!fits && !this.#mayProbe(span, now)) {
-      return this.#refuse(ask, { stages, finish, margin, now });
+  /** Admits or refuses a request. `finish` must be called for each admitted
+   * request. */
+  decide(request: AdmissionRequest, now: number): Decision {
+    const stages = request.stages.map((input) =>
+      this.#dependencies.estimate.predict(input)
+    );
+    const predictedMs = this.#predictMs(request, stages, now);
+    const margin = this.#marginOf(request).value;
+    const finish = now + predictedMs * margin;
+    const fits = finish <= request.deadline;
+    if (!fits && !this.#canProbe(predictedMs, now)) {
+      return this.#refuse(request, { stages, finish, margin, now });
     }
-    if (!fits) this.#countProbe(now);
-    this.#commit({ ask, admitted: now, predicted: span, stages, next: 0 });
+    if (!fits) this.#recordProbe(now);
+    this.#reserve({
+      request,
+      admittedAt: now,
+      predictedMs,
+      stages,
+      nextStage: 0,
+    });
     return { type: "admit", finish, stages, probe: !fits };
   }
 
-  /** Takes a finished stage off the backlog. */
+  /** Removes the work of a completed stage from the backlog. */
   completeStage(id: string, stage: number): void {
-    const commitment = this.#commitments.get(id);
-    if (commitment !== undefined) this.#release(commitment, stage + 1);
+    const reservation = this.#reservations.get(id);
+    if (reservation !== undefined) this.#release(reservation, stage + 1);
   }
 
-  /** Ends a request. `inTime` is false when it was dropped, failed by its
-   * deadline or was late; undefined when its end says nothing of load. */
+  /** Ends a request and releases its reservation. `inTime` is false when it was
+   * dropped, exceeded its deadline or was late, and undefined when its end says
+   * nothing about load. */
   finish(id: string, now: number, inTime?: boolean): void {
-    const commitment = this.#commitments.get(id);
-    if (commitment === undefined) return;
-    this.#release(commitment, commitment.stages.length);
-    this.#commitments.delete(id);
+    const reservation = this.#reservations.get(id);
+    if (reservation === undefined) return;
+    this.#release(reservation, reservation.stages.length);
+    this.#reservations.delete(id);
     if (inTime === undefined) return;
-    const { ask, admitted, predicted } = commitment;
-    const least = inTime ? 0 : ask.deadline - admitted;
-    const took = Math.max(now - admitted, least);
-    this.#marginOf(ask).observe(took / predicted);
+    const { request, admittedAt, predictedMs } = reservation;
+    const minMs = inTime ? 0 : request.deadline - admittedAt;
+    const tookMs = Math.max(now - admittedAt, minMs);
+    this.#marginOf(request).observe(tookMs / predictedMs);
   }
 
-  /** Milliseconds predicted for a request that would come now. */
-  #span(
-    ask: AdmissionRequest,
-    stages: readonly estimate.Prediction[],
+  /** Predicted milliseconds from `now` to the end of the last stage. */
+  #predictMs(
+    request: AdmissionRequest,
+    stages: readonly stageTimeEstimator.Prediction[],
     now: number,
   ): number {
-    let span = 0;
-    ask.stages.forEach((work, i) => {
-      const wait = this.#basis.backlog.queueingDelay(work.service, ask, now);
-      span = Math.max(span, wait) + stages[i].mean;
+    let predictedMs = 0;
+    request.stages.forEach((input, i) => {
+      const delay = this.#dependencies.backlog.queueingDelay(
+        input.service,
+        request,
+        now,
+      );
+      predictedMs = Math.max(predictedMs, delay) + stages[i].mean;
     });
-    return span;
+    return predictedMs;
   }
 
   #refuse(
-    ask: AdmissionRequest,
-    by: {
-      stages: readonly estimate.Prediction[];
+    request: AdmissionRequest,
+    prediction: {
+      stages: readonly stageTimeEstimator.Prediction[];
       finish: number;
       margin: number;
       now: number;
     },
   ): Decision {
-    this.#refusals++;
+    this.#refusalsSinceProbe++;
     this.counts.refused++;
-    const { stages, finish, margin, now } = by;
-    const idle = margin * stages.reduce((sum, stage) => sum + stage.mean, 0);
-    if (now + idle > ask.deadline || finish === Infinity) {
+    const { stages, finish, margin, now } = prediction;
+    const idleMs = margin * stages.reduce((sum, stage) => sum + stage.mean, 0);
+    if (now + idleMs > request.deadline || finish === Infinity) {
       return { type: "refuse", finish };
     }
-    const over = Math.max(LEAST_RETRY_AFTER, finish - ask.deadline);
-    // Spread, so that what was refused together does not return together.
-    const retryAfter = Math.ceil(over * (1 + this.#basis.random.next()));
+    const excess = Math.max(MIN_RETRY_AFTER_MS, finish - request.deadline);
+    // Jitter, so that requests refused together are not retried together.
+    const retryAfter = Math.ceil(
+      excess * (1 + this.#dependencies.random.next()),
+    );
     return { type: "refuse", finish, retryAfter };
   }
 
-  #mayProbe(span: number, now: number): boolean {
-    if (span === Infinity) return false;
-    if (this.#refusals >= REFUSALS_A_PROBE) return true;
-    const idle = this.#commitments.size === 0;
-    return idle && now - this.#lastProbe >= IDLE_PROBE_INTERVAL;
+  #canProbe(predictedMs: number, now: number): boolean {
+    if (predictedMs === Infinity) return false;
+    if (this.#refusalsSinceProbe >= REFUSALS_PER_PROBE) return true;
+    const idle = this.#reservations.size === 0;
+    return idle && now - this.#lastProbeAt >= IDLE_PROBE_INTERVAL_MS;
   }
 
-  #countProbe(now: number): void {
-    this.#refusals = 0;
-    this.#lastProbe = now;
+  #recordProbe(now: number): void {
+    this.#refusalsSinceProbe = 0;
+    this.#lastProbeAt = now;
     this.counts.probes++;
   }
 
-  #commit(commitment: Commitment): void {
-    const { ask, stages, admitted: now } = commitment;
-    this.#commitments.set(ask.id, commitment);
+  #reserve(reservation: Reservation): void {
+    const { request, stages, admittedAt: now } = reservation;
+    this.#reservations.set(request.id, reservation);
     this.counts.admitted++;
-    const allowance = ask.deadline - now;
-    ask.stages.forEach(({ service }, i) => {
-      const promise = { work: stages[i].mean, now, allowance };
-      this.#basis.backlog.add(service, ask, promise);
+    const allowance = request.deadline - now;
+    request.stages.forEach(({ service }, i) => {
+      const added = { work: stages[i].mean, now, allowance };
+      this.#dependencies.backlog.add(service, request, added);
     });
   }
 
-  #release(commitment: Commitment, end: number): void {
-    const { ask, stages } = commitment;
-    while (commitment.next < end) {
-      const i = commitment.next++;
-      const service = ask.stages[i].service;
-      this.#basis.backlog.remove(service, ask, stages[i].mean);
+  #release(reservation: Reservation, end: number): void {
+    const { request, stages } = reservation;
+    while (reservation.nextStage < end) {
+      const i = reservation.nextStage++;
+      const service = request.stages[i].service;
+      this.#dependencies.backlog.remove(service, request, stages[i].mean);
     }
   }
 
-  #marginOf(flow: weight.Flow): quantile.QuantileEstimator {
+  #marginOf(flow: weight.Flow): quantileEstimator.QuantileEstimator {
     const name = weight.nameOf(flow);
     const found = this.#margins.get(name);
     if (found !== undefined) return found;
-    const full = this.#margins.size >= MOST_MARGINS;
+    const full = this.#margins.size >= MAX_MARGINS;
     const shared = full ? this.#margins.get("") : undefined;
     if (shared !== undefined) return shared;
-    const margin = quantile.QuantileEstimator.create(MARGIN);
+    const margin = quantileEstimator.QuantileEstimator.create(MARGIN_OPTIONS);
     this.#margins.set(full ? "" : name, margin);
     return margin;
   }
--- a/src/admission/decaying_rate.ts
+++ b/src/admission/decaying_rate.ts
@@ -1,32 +1,34 @@
-/** Rate of late, in constant memory.
+/** Exponentially decaying rate in constant memory.
  * @module */
 
-/** An amount for each millisecond, older amounts fading; changed in place. */
+/** Amount per millisecond, with exponential decay of older amounts; mutated in
+ * place. */
 export class DecayingRate {
-  readonly #span: number;
+  readonly #decayMs: number;
   #sum = 0;
-  #at = 0;
+  #updatedAt = 0;
 
-  private constructor(span: number) {
-    this.#span = span;
+  private constructor(decayMs: number) {
+    this.#decayMs = decayMs;
   }
 
-  /** `span` is the milliseconds in which an amount fades to 1/e. */
-  static create(span: number): DecayingRate {
-    return new DecayingRate(span);
+  /** Creates a rate of 0. `decayMs` is the time in which an amount decays to
+   * 1/e. */
+  static create(decayMs: number): DecayingRate {
+    return new DecayingRate(decayMs);
   }
 
   add(amount: number, now: number): void {
-    this.#sum = this.#faded(now) + amount;
-    this.#at = now;
+    this.#sum = this.#decayed(now) + amount;
+    this.#updatedAt = now;
   }
 
-  /** Amount for each millisecond. */
+  /** Current amount per millisecond. */
   at(now: number): number {
-    return this.#faded(now) / this.#span;
+    return this.#decayed(now) / this.#decayMs;
   }
 
-  #faded(now: number): number {
-    return this.#sum * Math.exp((this.#at - now) / this.#span);
+  #decayed(now: number): number {
+    return this.#sum * Math.exp((this.#updatedAt - now) / this.#decayMs);
   }
 }
--- a/src/admission/fair_queue.ts
+++ b/src/admission/fair_queue.ts
@@ -1,42 +1,47 @@
-/** Weighted fair queue: slots are shared between accounts, inside an account
- * between kinds, and inside a kind the earliest deadline goes first.
+/** Hierarchical weighted fair queue: slots are shared between accounts, within
+ * an account between kinds, and within a kind by earliest deadline first.
  *
- * Work is charged when an item leaves, so that the order within a flow can
- * change until then. A retried item keeps its virtual start and is served
- * before everything that started later; its account and kind pay again.
+ * Work is charged when an item is dequeued, so that the order within a flow can
+ * change until then. A retried item keeps its start tag and is served before
+ * all items with a later one; its account and kind are charged again.
  *
- * An item with time left lets those go first that have far less. Its account
- * keeps its place meanwhile, so that it loses nothing but time to spare.
+ * An item with enough slack is deferred in favour of items with far less. Its
+ * account keeps its start tag meanwhile, so that it loses none of its share.
  * @module */
 
 import type * as request from "../request/mod.ts";
 import * as heap from "./heap.ts";
-import * as lanes from "./flow_queue.ts";
-import * as schedule from "./fair_scheduler.ts";
+import * as flowQueue from "./flow_queue.ts";
+import * as fairScheduler from "./fair_scheduler.ts";
 import * as weight from "./weight.ts";
 
-/** Flows, and accounts, among which patient items look for shorter ones. */
-const MOST_SCANNED = 64;
+/** Maximum number of flows, and of accounts, that are scanned for an item with
+ * less slack; with more, no item is deferred. */
+const MAX_SCANNED = 64;
 
-/** A flow as a dump shows it. */
+/** State of a flow, for dumps. */
 export interface FlowState extends weight.Flow {
   weight: number;
   size: number;
   work: number;
 }
 
-/** Items of all flows that wait for one pool of slots. */
+/** Queued items of all flows that share one pool of slots. */
 export class FairQueue {
   #policies: request.Policies;
   #work = 0;
-  /** What `pop` gave last, and the start it had before. */
-  #last?: { item: lanes.Item; start: number | undefined };
-  readonly #entries = new Map<string, lanes.Entry>();
-  readonly #accounts = new Map<string, lanes.AccountQueue>();
-  readonly #turns = schedule.FairScheduler.create<lanes.AccountQueue>();
-  readonly #waiting = heap.Heap.create<lanes.FlowQueue>(lanes.flowWeightOrder);
-  readonly #retried = heap.Heap.create<lanes.Entry>(lanes.retriedOrder);
-  readonly #expiry = heap.Heap.create<lanes.Entry>(lanes.expiryOrder);
+  /** Item that `pop` returned last, and the start tag it had before. */
+  #lastPopped?: { item: flowQueue.Item; start: number | undefined };
+  readonly #entries = new Map<string, flowQueue.Entry>();
+  readonly #accounts = new Map<string, flowQueue.AccountQueue>();
+  readonly #scheduler = fairScheduler.FairScheduler.create<
+    flowQueue.AccountQueue
+  >();
+  readonly #byFlowWeight = heap.Heap.create<flowQueue.FlowQueue>(
+    flowQueue.flowWeightOrder,
+  );
+  readonly #retried = heap.Heap.create<flowQueue.Entry>(flowQueue.retriedOrder);
+  readonly #expiry = heap.Heap.create<flowQueue.Entry>(flowQueue.expiryOrder);
 
   private constructor(policies: request.Policies) {
     this.#policies = policies;
@@ -50,230 +55,241 @@
     return this.#entries.size;
   }
 
-  /** Predicted milliseconds of all that waits. */
+  /** Predicted slot milliseconds of all queued items. */
   get work(): number {
     return this.#work;
   }
 
-  /** Earliest `expires` of all that waits. */
+  /** Earliest `expires` of all queued items. */
   get nextExpiry(): number | undefined {
     return this.#expiry.peek()?.item.expires;
   }
 
-  /** Takes new weights; what waits is weighed by them at once. */
+  /** Applies new weights, to items already queued as well. */
   setPolicies(policies: request.Policies): void {
     this.#policies = policies;
     for (const account of this.#accounts.values()) {
       account.weight = weight.ofAccount(policies, account.name);
-      for (const lane of account.flowQueues.values()) {
-        this.#weigh(lane);
-        this.#waiting.update(lane);
+      for (const flow of account.flowQueues.values()) {
+        this.#updateWeights(flow);
+        this.#byFlowWeight.update(flow);
       }
     }
   }
 
-  /** Queues an item; returns false when one with its id waits already. */
-  push(item: lanes.Item): boolean {
+  /** Queues an item; returns false when one with its id is queued already. */
+  push(item: flowQueue.Item): boolean {
     if (this.#entries.has(item.id)) return false;
-    const lane = this.#laneOf(item);
-    const entry = lanes.createEntry(item, lane);
+    const flow = this.#flowQueueOf(item);
+    const entry = flowQueue.createEntry(item, flow);
     this.#entries.set(item.id, entry);
     this.#expiry.push(entry);
-    lane.byLatestDeadline.push(entry);
+    flow.byLatestDeadline.push(entry);
     if (entry.retried) this.#retried.push(entry);
-    else lane.fresh.push(entry);
-    this.#count(lane, 1, item.work);
-    this.#settle(lane);
+    else flow.fresh.push(entry);
+    this.#addToTotals(flow, 1, item.work);
+    this.#updateActivity(flow);
     return true;
   }
 
-  /** Removes the item to be served next; without a time, nothing waits for
-   * shorter items. */
-  pop(now = Infinity): lanes.Item | undefined {
-    const entry = this.#first(now);
+  /** Removes and returns the item to be served next. Without a time, no item is
+   * deferred in favour of one with less slack. */
+  pop(now = Infinity): flowQueue.Item | undefined {
+    const entry = this.#next(now);
     if (entry === undefined) return undefined;
-    const { item, flowQueue: lane, retried } = entry;
-    const { accountQueue: owner } = lane;
-    // Whoever was passed over keeps its place: virtual time waits for it.
-    const start = item.startTag ?? startOf(this.#turns);
-    const inner = retried ? lane.startTag : startOf(owner.scheduler);
-    this.#last = { item, start: item.startTag };
+    const { item, flowQueue: flow, retried } = entry;
+    const { accountQueue: account } = flow;
+    // Virtual time does not pass the start tag of a deferred item's account, so
+    // that the account keeps its turn.
+    const start = item.startTag ?? nextStartTag(this.#scheduler);
+    const flowStart = retried ? flow.startTag : nextStartTag(account.scheduler);
+    this.#lastPopped = { item, start: item.startTag };
     item.startTag = start;
-    this.#turns.serve(owner, item.work / owner.weight, start);
-    const charge = weight.chargeOf(item.work) / lane.weight;
-    owner.scheduler.serve(lane, charge, inner);
-    this.#drop(entry);
+    this.#scheduler.serve(account, item.work / account.weight, start);
+    const charge = weight.chargeOf(item.work) / flow.weight;
+    account.scheduler.serve(flow, charge, flowStart);
+    this.#removeEntry(entry);
     return item;
   }
 
-  /** Takes back what `pop` gave but could not be started: it keeps its place,
-   * and its flow does not pay. */
-  putBack(item: lanes.Item): void {
-    const owner = this.#accounts.get(item.account);
-    const lane = owner?.flowQueues.get(item.kind);
-    if (owner !== undefined) {
-      this.#turns.refund(owner, item.work / owner.weight);
+  /** Returns an item to the queue that `pop` removed but that could not be
+   * started: it keeps its position, and its flow's charge is refunded. */
+  putBack(item: flowQueue.Item): void {
+    const account = this.#accounts.get(item.account);
+    const flow = account?.flowQueues.get(item.kind);
+    if (account !== undefined) {
+      this.#scheduler.refund(account, item.work / account.weight);
     }
-    if (lane !== undefined) {
-      const charge = weight.chargeOf(item.work) / lane.weight;
-      lane.accountQueue.scheduler.refund(lane, charge);
+    if (flow !== undefined) {
+      const charge = weight.chargeOf(item.work) / flow.weight;
+      flow.accountQueue.scheduler.refund(flow, charge);
     }
-    if (this.#last?.item === item) item.startTag = this.#last.start;
+    if (this.#lastPopped?.item === item) item.startTag = this.#lastPopped.start;
     this.push(item);
   }
 
-  /** Removes all items whose latest start is before `now`. */
-  expire(now: number): lanes.Item[] {
-    const gone: lanes.Item[] = [];
+  /** Removes and returns all items whose latest start is before `now`. */
+  expire(now: number): flowQueue.Item[] {
+    const expired: flowQueue.Item[] = [];
     let entry = this.#expiry.peek();
     while (entry !== undefined && entry.item.expires < now) {
-      this.#drop(entry);
-      gone.push(entry.item);
+      this.#removeEntry(entry);
+      expired.push(entry.item);
       entry = this.#expiry.peek();
     }
-    return gone;
+    return expired;
   }
 
-  /** Removes the latest deadline of the least weighted flow. */
-  shed(): lanes.Item | undefined {
-    const entry = this.#waiting.peek()?.byLatestDeadline.peek();
-    if (entry !== undefined) this.#drop(entry);
+  /** Removes and returns the item with the latest deadline of the flow with the
+   * lowest weight. */
+  shed(): flowQueue.Item | undefined {
+    const entry = this.#byFlowWeight.peek()?.byLatestDeadline.peek();
+    if (entry !== undefined) this.#removeEntry(entry);
     return entry?.item;
   }
 
-  /** Removes the item with this id. */
-  remove(id: string): lanes.Item | undefined {
+  /** Removes and returns the item with this id. */
+  remove(id: string): flowQueue.Item | undefined {
     const entry = this.#entries.get(id);
-    if (entry !== undefined) this.#drop(entry);
+    if (entry !== undefined) this.#removeEntry(entry);
     return entry?.item;
   }
 
   toJSON(): FlowState[] {
     const all = [...this.#accounts.values()].flatMap(
-      ({ flowQueues: lanes }) => {
-        return [...lanes.values()];
+      ({ flowQueues }) => {
+        return [...flowQueues.values()];
       },
     );
-    return all.map(({ account, kind, flowWeight: worth, size, work }) => {
-      return { account, kind, weight: worth, size, work };
+    return all.map(({ account, kind, flowWeight, size, work }) => {
+      return { account, kind, weight: flowWeight, size, work };
     });
   }
 
-  /** The entry to be served next. */
-  #first(now: number): lanes.Entry | undefined {
-    const first = this.#entitled();
-    if (first === undefined || !lanes.canDefer(first.item, now)) return first;
-    return this.#shorter(first.item) ?? first;
+  /** Entry to be served next. */
+  #next(now: number): flowQueue.Entry | undefined {
+    const next = this.#nextByStartTag();
+    if (next === undefined || !flowQueue.canDefer(next.item, now)) return next;
+    return this.#findShorter(next.item) ?? next;
   }
 
-  /** The entry whose turn it is. */
-  #entitled(): lanes.Entry | undefined {
+  /** Entry with the earliest start tag, before any deferral. */
+  #nextByStartTag(): flowQueue.Entry | undefined {
     const retried = this.#retried.peek();
-    const account = this.#turns.peek();
+    const account = this.#scheduler.peek();
     const fresh = account?.scheduler.peek()?.fresh.peek();
     if (retried === undefined || account === undefined) return retried ?? fresh;
-    return lanes.startTagOf(retried) <= account.startTag ? retried : fresh;
+    return flowQueue.startTagOf(retried) <= account.startTag ? retried : fresh;
   }
 
-  /** The entry that an item lets go first, in the order of turns. */
-  #shorter(patient: lanes.Item): lanes.Entry | undefined {
-    if (this.#accounts.size > MOST_SCANNED) return undefined;
-    if (this.#waiting.size > MOST_SCANNED) return undefined;
-    let best: lanes.FlowQueue | undefined;
+  /** First entry, in service order, in favour of which an item is deferred. */
+  #findShorter(item: flowQueue.Item): flowQueue.Entry | undefined {
+    if (this.#accounts.size > MAX_SCANNED) return undefined;
+    if (this.#byFlowWeight.size > MAX_SCANNED) return undefined;
+    let best: flowQueue.FlowQueue | undefined;
     for (const { flowQueues: flows } of this.#accounts.values()) {
-      for (const lane of flows.values()) {
-        const head = lane.fresh.peek();
-        if (head === undefined || !lanes.defersTo(patient, head.item)) continue;
-        if (best === undefined || isBefore(lane, best)) best = lane;
+      for (const flow of flows.values()) {
+        const top = flow.fresh.peek();
+        if (top === undefined || !flowQueue.defersTo(item, top.item)) continue;
+        if (best === undefined || isBefore(flow, best)) best = flow;
       }
     }
     return best?.fresh.peek();
   }
 
-  #drop(entry: lanes.Entry): void {
-    const { item, flowQueue: lane } = entry;
+  #removeEntry(entry: flowQueue.Entry): void {
+    const { item, flowQueue: flow } = entry;
     this.#entries.delete(item.id);
     this.#expiry.remove(entry);
-    lane.byLatestDeadline.remove(entry);
+    flow.byLatestDeadline.remove(entry);
     if (entry.retried) this.#retried.remove(entry);
-    else lane.fresh.remove(entry);
-    this.#count(lane, -1, item.work);
-    this.#settle(lane);
-    this.#forget(lane.accountQueue);
+    else flow.fresh.remove(entry);
+    this.#addToTotals(flow, -1, item.work);
+    this.#updateActivity(flow);
+    this.#removeIdle(flow.accountQueue);
   }
 
-  #count(lane: lanes.FlowQueue, change: 1 | -1, work: number): void {
-    lane.size += change;
-    lane.accountQueue.size += change;
-    lane.work = lane.size === 0 ? 0 : lane.work + change * work;
+  #addToTotals(flow: flowQueue.FlowQueue, change: 1 | -1, work: number): void {
+    flow.size += change;
+    flow.accountQueue.size += change;
+    flow.work = flow.size === 0 ? 0 : flow.work + change * work;
     this.#work = this.size === 0 ? 0 : this.#work + change * work;
   }
 
-  /** Puts a lane and its account among those with work, or without. */
-  #settle(lane: lanes.FlowQueue): void {
-    const { accountQueue: owner } = lane;
-    if (lane.fresh.size > 0) owner.scheduler.activate(lane);
-    else owner.scheduler.deactivate(lane);
-    if (owner.scheduler.peek() !== undefined) this.#turns.activate(owner);
-    else this.#turns.deactivate(owner);
-    if (lane.size === 0) this.#waiting.remove(lane);
-    else if (lane.flowWeightPos < 0) this.#waiting.push(lane);
+  /** Updates whether a flow and its account are active in their schedulers, and
+   * whether the flow has items to shed. */
+  #updateActivity(flow: flowQueue.FlowQueue): void {
+    const { accountQueue: owner } = flow;
+    if (flow.fresh.size > 0) owner.scheduler.activate(flow);
+    else owner.scheduler.deactivate(flow);
+    if (owner.scheduler.peek() !== undefined) this.#scheduler.activate(owner);
+    else this.#scheduler.deactivate(owner);
+    if (flow.size === 0) this.#byFlowWeight.remove(flow);
+    else if (flow.flowWeightPos < 0) this.#byFlowWeight.push(flow);
   }
 
-  #forget(owner: lanes.AccountQueue): void {
-    const over = (lane: lanes.FlowQueue) => owner.flowQueues.delete(lane.kind);
-    forgetAll(owner.scheduler, { over, all: owner.size === 0 });
-    forgetAll(this.#turns, {
-      over: (account) => this.#accounts.delete(account.name),
+  #removeIdle(account: flowQueue.AccountQueue): void {
+    const onRemove = (flow: flowQueue.FlowQueue) =>
+      account.flowQueues.delete(flow.kind);
+    removeIdleEntities(account.scheduler, {
+      onRemove,
+      all: account.size === 0,
+    });
+    removeIdleEntities(this.#scheduler, {
+      onRemove: (account) => this.#accounts.delete(account.name),
       all: this.size === 0,
     });
   }
 
-  #weigh(lane: lanes.FlowQueue): void {
-    lane.weight = weight.ofKind(this.#policies, lane.kind);
-    lane.flowWeight = weight.ofFlow(this.#policies, lane);
+  #updateWeights(flow: flowQueue.FlowQueue): void {
+    flow.weight = weight.ofKind(this.#policies, flow.kind);
+    flow.flowWeight = weight.ofFlow(this.#policies, flow);
   }
 
-  #laneOf({ account, kind }: weight.Flow): lanes.FlowQueue {
-    let owner = this.#accounts.get(account);
-    if (owner === undefined) {
-      owner = lanes.createAccountQueue(account);
-      owner.weight = weight.ofAccount(this.#policies, account);
-      this.#accounts.set(account, owner);
+  #flowQueueOf({ account, kind }: weight.Flow): flowQueue.FlowQueue {
+    let accountQueue = this.#accounts.get(account);
+    if (accountQueue === undefined) {
+      accountQueue = flowQueue.createAccountQueue(account);
+      accountQueue.weight = weight.ofAccount(this.#policies, account);
+      this.#accounts.set(account, accountQueue);
     }
-    let lane = owner.flowQueues.get(kind);
-    if (lane === undefined) {
-      lane = lanes.createFlowQueue(owner, kind);
-      this.#weigh(lane);
-      owner.flowQueues.set(kind, lane);
+    let flow = accountQueue.flowQueues.get(kind);
+    if (flow === undefined) {
+      flow = flowQueue.createFlowQueue(accountQueue, kind);
+      this.#updateWeights(flow);
+      accountQueue.flowQueues.set(kind, flow);
     }
-    return lane;
+    return flow;
   }
 }
 
-/** Virtual start of the member whose turn it is. */
-function startOf(turns: schedule.FairScheduler<schedule.Entity>): number {
-  return turns.peek()?.startTag ?? 0;
+/** Start tag of the entity to be served next. */
+function nextStartTag(
+  scheduler: fairScheduler.FairScheduler<fairScheduler.Entity>,
+): number {
+  return scheduler.peek()?.startTag ?? 0;
 }
 
-/** Whether the turn of a lane comes first, its account's before its own. */
-function isBefore(a: lanes.FlowQueue, b: lanes.FlowQueue): boolean {
-  const accounts = schedule.compare(a.accountQueue, b.accountQueue);
-  return (accounts !== 0 ? accounts : schedule.compare(a, b)) < 0;
+/** Whether flow `a` is served before `b`: by account first, then by kind. */
+function isBefore(a: flowQueue.FlowQueue, b: flowQueue.FlowQueue): boolean {
+  const accounts = fairScheduler.compare(a.accountQueue, b.accountQueue);
+  return (accounts !== 0 ? accounts : fairScheduler.compare(a, b)) < 0;
 }
 
-/** Forgets members that hold nothing; those that only wait for retries are
- * kept, since their entries refer to them. */
-function forgetAll<T extends lanes.AccountQueue | lanes.FlowQueue>(
-  turns: schedule.FairScheduler<T>,
-  by: { over(member: T): void; all: boolean },
+/** Removes idle entities. Those with only retried items queued are kept, since
+ * their entries refer to them. */
+function removeIdleEntities<
+  T extends flowQueue.AccountQueue | flowQueue.FlowQueue,
+>(
+  scheduler: fairScheduler.FairScheduler<T>,
+  options: { onRemove(entity: T): void; all: boolean },
 ): void {
   const kept: T[] = [];
-  let member = turns.removeIdle(by.all);
-  while (member !== undefined) {
-    if (member.size > 0) kept.push(member);
-    else by.over(member);
-    member = turns.removeIdle(by.all);
+  let entity = scheduler.removeIdle(options.all);
+  while (entity !== undefined) {
+    if (entity.size > 0) kept.push(entity);
+    else options.onRemove(entity);
+    entity = scheduler.removeIdle(options.all);
   }
-  for (const one of kept) turns.deactivate(one);
+  for (const idle of kept) scheduler.deactivate(idle);
 }
--- a/src/admission/fair_queue_test.ts
+++ b/src/admission/fair_queue_test.ts
@@ -2,8 +2,8 @@
 import * as fc from "fast-check";
 import type * as request from "../request/mod.ts";
 import * as fairQueue from "./fair_queue.ts";
-import * as lane from "./flow_queue.ts";
-import * as naive from "./naive_fair_queue.ts";
+import * as flowQueue from "./flow_queue.ts";
+import * as naiveFairQueue from "./naive_fair_queue.ts";
 
 const policies: request.Policies = new Map([
   ["account/large", { weight: 3 }],
@@ -11,7 +11,7 @@
   ["kind/plan", { weight: 2 }],
 ]);
 
-function createItem(fields: Partial<lane.Item> = {}): lane.Item {
+function createItem(fields: Partial<flowQueue.Item> = {}): flowQueue.Item {
   return {
     id: "r",
     account: "large",
@@ -24,7 +24,7 @@
   };
 }
 
-test("serves flows by weight and each by deadline", (t) => {
+test("serves flows by weight and the items of each by deadline", (t) => {
   const queue = fairQueue.FairQueue.create(policies);
   for (let i = 0; i < 40; i++) {
     queue.push(createItem({ id: `l${i}`, deadline: 1000 - i }));
@@ -38,7 +38,7 @@
   ]);
 });
 
-test("a retried item keeps its place and its flow pays again", (t) => {
+test("a retried item keeps its place and its flow is charged again", (t) => {
   const queue = fairQueue.FairQueue.create();
   const [a, b] = ["a", "b"];
   queue.push(createItem({ id: "a1", account: a }));
@@ -56,7 +56,7 @@
   );
 });
 
-test("inside an account, cheap requests go before dear ones", (t) => {
+test("within an account, cheap requests get more slots", (t) => {
   const queue = fairQueue.FairQueue.create(policies);
   for (let i = 0; i < 20; i++) {
     queue.push(createItem({ id: `p${i}`, work: 20 }));
@@ -66,7 +66,7 @@
   t.is(served.filter((kind) => kind === "question").length, 12);
 });
 
-test("what an account sends of one kind takes nothing from others", (t) => {
+test("an account's backlog of one kind takes no share from others", (t) => {
   const queue = fairQueue.FairQueue.create();
   for (let i = 0; i < 90; i++) queue.push(createItem({ id: `a${i}` }));
   for (let i = 0; i < 10; i++) {
@@ -78,7 +78,7 @@
   t.is(served.filter((account) => account === "b").length, 20);
 });
 
-test("an item put back keeps its place and its flow does not pay", (t) => {
+test("an item put back keeps its place and its flow is not charged", (t) => {
   const queue = fairQueue.FairQueue.create();
   for (let i = 0; i < 4; i++) {
     queue.push(createItem({ id: `a${i}`, account: "a" }));
@@ -89,7 +89,7 @@
   t.deepEqual(served, ["a0", "b0", "a1", "b1", "a2", "b2"]);
 });
 
-test("an item with time left lets shorter ones go first", (t) => {
+test("an item with slack is deferred in favour of shorter ones", (t) => {
   const queue = fairQueue.FairQueue.create(policies);
   const long = { deadline: 1000, expires: 1000 };
   for (const id of ["l1", "l2"]) queue.push(createItem({ id, ...long }));
@@ -101,7 +101,7 @@
   t.is(queue.pop(100)?.id, "l2");
 });
 
-test("an account that let others go first has lost none of its share", (t) => {
+test("an account whose items were deferred keeps its share", (t) => {
   const queue = fairQueue.FairQueue.create();
   for (let i = 0; i < 20; i++) {
     queue.push(createItem({ id: `l${i}` }));
@@ -114,7 +114,7 @@
   t.is(served.filter((account) => account === "large").length, 4);
 });
 
-test("an item put back after others still waits for shorter ones", (t) => {
+test("an item put back can still be deferred", (t) => {
   const queue = fairQueue.FairQueue.create();
   const short = { account: "small", kind: "question", expires: 400 };
   queue.push(createItem({ id: "l" }));
@@ -124,7 +124,7 @@
   t.deepEqual(served, ["s1", "s2", "s3", "l"]);
 });
 
-test("an idle flow saves up no credit", (t) => {
+test("an idle flow accumulates no credit", (t) => {
   const queue = fairQueue.FairQueue.create();
   for (let i = 0; i < 100; i++) queue.push(createItem({ id: `a${i}` }));
   for (let i = 0; i < 50; i++) queue.pop();
@@ -135,7 +135,7 @@
   t.is(served.filter((account) => account === "late").length, 10);
 });
 
-test("sheds the latest deadline of the least weighted flow", (t) => {
+test("sheds the latest deadline of the flow with the lowest weight", (t) => {
   const queue = fairQueue.FairQueue.create(policies);
   queue.push(createItem({ id: "l" }));
   queue.push(createItem({ id: "s1", account: "small", deadline: 5 }));
@@ -147,7 +147,7 @@
   ]);
 });
 
-test("new weights count at once", (t) => {
+test("new weights apply to queued items", (t) => {
   const queue = fairQueue.FairQueue.create(policies);
   for (let i = 0; i < 20; i++) {
     queue.push(createItem({ id: `l${i}` }));
@@ -196,15 +196,15 @@
   fc.constant({ type: "shed" as const }),
 );
 
-/** Runs the commands on one queue; returns the ids it gave, in order. */
-function play(
+/** Runs the commands on a queue; returns the ids that each one removed. */
+function run(
   queue: Pick<
     fairQueue.FairQueue,
     "push" | "pop" | "expire" | "shed" | "remove"
   >,
   commands: readonly Command[],
 ): string[] {
-  const popped: lane.Item[] = [];
+  const popped: flowQueue.Item[] = [];
   const trace: string[] = [];
   commands.forEach((step, now) => {
     const handlers = {
@@ -231,7 +231,7 @@
         return [queue.remove(`r${pick}`)].filter((item) => item !== undefined);
       },
       expire: () =>
-        queue.expire(now).sort((a, b) => lane.isBefore(a, b) ? -1 : 1),
+        queue.expire(now).sort((a, b) => flowQueue.isBefore(a, b) ? -1 : 1),
       shed: () => [queue.shed()].filter((item) => item !== undefined),
     };
     const items = handlers[step.type]();
@@ -241,18 +241,18 @@
   return trace;
 }
 
-test("decides as its naive twin does", (t) => {
+test("makes the same decisions as the reference implementation", (t) => {
   fc.assert(
     fc.property(fc.array(command, { maxLength: 120 }), (commands) => {
-      const fast = play(fairQueue.FairQueue.create(policies), commands);
-      const slow = play(new naive.NaiveFairQueue(policies), commands);
+      const fast = run(fairQueue.FairQueue.create(policies), commands);
+      const slow = run(new naiveFairQueue.NaiveFairQueue(policies), commands);
       t.deepEqual(fast, slow);
     }),
     { seed: 4, numRuns: 400 },
   );
 });
 
-test("forgets flows that are idle", (t) => {
+test("removes idle flows", (t) => {
   const queue = fairQueue.FairQueue.create();
   for (let i = 0; i < 1000; i++) {
     queue.push(createItem({ id: `${i}`, account: `a${i}` }));
--- a/src/admission/fair_scheduler.ts
+++ b/src/admission/fair_scheduler.ts
@@ -1,24 +1,25 @@
-/** Start-time fair queueing over members that have work.
+/** Start-time fair queueing over entities that have work.
  *
- * A member carries the virtual time at which its next work starts; the one
- * with the least is served and moves on by what it is charged. Virtual time is
- * the start of what was served last, so that a member that was idle saves up
- * no credit.
+ * Each entity has a start tag, the virtual time at which its next work starts.
+ * The entity with the earliest tag is served, and its tag advances by the
+ * charge. Virtual time is the start tag of the work served last, so that an
+ * idle entity accumulates no credit.
  * @module */
 
 import * as heap from "./heap.ts";
 
-/** Something that is served in turn; the schedule sets the last three. */
+/** An entity to be scheduled. The scheduler maintains all fields but `name`. */
 export interface Entity {
   readonly name: string;
+  /** Virtual time at which its next work starts. */
   startTag: number;
   readyPos: number;
   idlePos: number;
 }
 
-/** Members in the order in which they are served; changed in place. */
+/** Orders entities for service; mutated in place. */
 export class FairScheduler<T extends Entity> {
-  #virtual = 0;
+  #virtualTime = 0;
   readonly #ready = heap.Heap.create<T>(readyOrder);
   readonly #idle = heap.Heap.create<T>(idleOrder);
 
@@ -28,51 +29,54 @@
     return new FairScheduler();
   }
 
-  /** The member to be served next. */
+  /** Entity to be served next. */
   peek(): T | undefined {
     return this.#ready.peek();
   }
 
-  /** The member has work; it starts now at the earliest. */
-  activate(member: T): void {
-    this.#idle.remove(member);
-    if (member.readyPos >= 0) return;
-    member.startTag = Math.max(member.startTag, this.#virtual);
-    this.#ready.push(member);
+  /** Marks an entity as having work. Its start tag is at least the current
+   * virtual time. */
+  activate(entity: T): void {
+    this.#idle.remove(entity);
+    if (entity.readyPos >= 0) return;
+    entity.startTag = Math.max(entity.startTag, this.#virtualTime);
+    this.#ready.push(entity);
   }
 
-  /** The member has no work; what it was charged is kept for a while. */
-  deactivate(member: T): void {
-    this.#ready.remove(member);
-    if (member.idlePos < 0) this.#idle.push(member);
+  /** Marks an entity as idle. It is kept until `removeIdle`, so that a start
+   * tag ahead of virtual time is not lost. */
+  deactivate(entity: T): void {
+    this.#ready.remove(entity);
+    if (entity.idlePos < 0) this.#idle.push(entity);
   }
 
-  /** Serves a member from `start` on and charges it. */
-  serve(member: T, charge: number, start = member.startTag): void {
-    this.#virtual = Math.max(this.#virtual, start);
-    member.startTag = Math.max(member.startTag, this.#virtual) + charge;
-    this.#ready.update(member);
-    this.#idle.update(member);
+  /** Advances virtual time to `start` and charges the entity. */
+  serve(entity: T, charge: number, start = entity.startTag): void {
+    this.#virtualTime = Math.max(this.#virtualTime, start);
+    entity.startTag = Math.max(entity.startTag, this.#virtualTime) + charge;
+    this.#ready.update(entity);
+    this.#idle.update(entity);
   }
 
-  /** Gives a charge back. */
-  refund(member: T, charge: number): void {
-    member.startTag = Math.max(this.#virtual, member.startTag - charge);
-    this.#ready.update(member);
-    this.#idle.update(member);
+  /** Refunds a charge. */
+  refund(entity: T, charge: number): void {
+    entity.startTag = Math.max(this.#virtualTime, entity.startTag - charge);
+    this.#ready.update(entity);
+    this.#idle.update(entity);
   }
 
-  /** Takes out a member without work that virtual time has passed, since it
-   * holds nothing worth keeping; with `all`, any without work. */
+  /** Removes and returns an idle entity whose start tag virtual time has
+   * passed, as it holds no state that still matters; with `all`, any idle
+   * entity. */
   removeIdle(all = false): T | undefined {
-    const member = this.#idle.peek();
-    if (member === undefined) return undefined;
-    if (!all && member.startTag > this.#virtual) return undefined;
+    const entity = this.#idle.peek();
+    if (entity === undefined) return undefined;
+    if (!all && entity.startTag > this.#virtualTime) return undefined;
     return this.#idle.pop();
   }
 }
 
-/** Order of turns: least start first, then by name. */
+/** Service order: earliest start tag first, then by name. */
 export function compare(a: Entity, b: Entity): number {
   if (a.startTag !== b.startTag) return a.startTag - b.startTag;
   if (a.name === b.name) return 0;
@@ -81,12 +85,12 @@
 
 const readyOrder: heap.Order<Entity> = {
   less: (a, b) => compare(a, b) < 0,
-  position: (member) => member.readyPos,
-  setPosition: (member, pos) => member.readyPos = pos,
+  position: (entity) => entity.readyPos,
+  setPosition: (entity, pos) => entity.readyPos = pos,
 };
 
 const idleOrder: heap.Order<Entity> = {
   less: (a, b) => a.startTag < b.startTag,
-  position: (member) => member.idlePos,
-  setPosition: (member, pos) => member.idlePos = pos,
+  position: (entity) => entity.idlePos,
+  setPosition: (entity, pos) => entity.idlePos = pos,
 };
--- a/src/admission/flow_queue.ts
+++ b/src/admission/flow_queue.ts
@@ -1,65 +1,68 @@
-/** Items, flows and accounts as the fair queue keeps them.
+/** Data structures of the fair queue: items, entries, and the queues of flows
+ * and accounts, with the orders of its heaps.
  * @module */
 
 import * as heap from "./heap.ts";
-import * as schedule from "./fair_scheduler.ts";
+import * as fairScheduler from "./fair_scheduler.ts";
 import type * as weight from "./weight.ts";
 
-/** Work that waits for a slot. */
+/** A unit of work that waits for a slot. */
 export interface Item extends weight.Flow {
   id: string;
-  /** First arrival of the request, milliseconds; a retry keeps it. */
+  /** First arrival of the request, milliseconds; unchanged by a retry. */
   arrived: number;
   deadline: number;
-  /** Latest start, in milliseconds, at which it can still finish. */
+  /** Latest start, in milliseconds, at which the deadline can still be met. */
   expires: number;
-  /** Predicted milliseconds of a slot. */
+  /** Predicted slot time, milliseconds. */
   work: number;
-  /** Virtual start given when it first left the queue. */
+  /** Start tag assigned when the item is first dequeued. */
   startTag?: number;
 }
 
-/** An item in the queue, with its position in each heap. */
+/** A queued item with its position in each heap. */
 export interface Entry {
   item: Item;
   flowQueue: FlowQueue;
-  /** True when it left the queue before, so that it keeps its start. */
+  /** Whether the item was dequeued before, so that it keeps its start tag. */
   retried: boolean;
   orderPos: number;
   latestDeadlinePos: number;
   expiryPos: number;
 }
 
-/** An account in the queue. */
-export interface AccountQueue extends schedule.Entity {
+/** Queued items of one account. */
+export interface AccountQueue extends fairScheduler.Entity {
   weight: number;
-  /** Lanes in turn, and all of them by kind. */
-  scheduler: schedule.FairScheduler<FlowQueue>;
+  /** Orders the account's flows for service. */
+  scheduler: fairScheduler.FairScheduler<FlowQueue>;
+  /** All flows of the account by kind. */
   flowQueues: Map<string, FlowQueue>;
   size: number;
 }
 
-/** A flow in the queue: the items of one kind of one account. */
-export interface FlowQueue extends schedule.Entity, weight.Flow {
+/** Queued items of one flow: one kind of one account. */
+export interface FlowQueue extends fairScheduler.Entity, weight.Flow {
   accountQueue: AccountQueue;
-  /** Weight among the kinds of the account, and among all flows. */
+  /** Weight among the kinds of the account. */
   weight: number;
+  /** Weight among all flows. */
   flowWeight: number;
   work: number;
   size: number;
-  /** Fresh items, earliest deadline first. */
+  /** Items that were never dequeued, earliest deadline first. */
   fresh: heap.Heap<Entry>;
   /** All items, latest deadline first. */
   byLatestDeadline: heap.Heap<Entry>;
   flowWeightPos: number;
 }
 
-/** An entry in no heap yet. */
-export function createEntry(item: Item, lane: FlowQueue): Entry {
+/** Creates an entry that is in no heap. */
+export function createEntry(item: Item, flowQueue: FlowQueue): Entry {
   const retried = item.startTag !== undefined;
   return {
     item,
-    flowQueue: lane,
+    flowQueue,
     retried,
     orderPos: -1,
     latestDeadlinePos: -1,
@@ -67,13 +70,13 @@
   };
 }
 
-/** An account without lanes. */
+/** Creates an account without flows. */
 export function createAccountQueue(name: string): AccountQueue {
   return {
     name,
     weight: 1,
     startTag: 0,
-    scheduler: schedule.FairScheduler.create(),
+    scheduler: fairScheduler.FairScheduler.create(),
     flowQueues: new Map(),
     size: 0,
     readyPos: -1,
@@ -81,52 +84,58 @@
   };
 }
 
-/** A lane without items. */
-export function createFlowQueue(owner: AccountQueue, kind: string): FlowQueue {
+/** Creates a flow without items. */
+export function createFlowQueue(
+  accountQueue: AccountQueue,
+  kind: string,
+): FlowQueue {
   return {
     name: kind,
-    account: owner.name,
+    account: accountQueue.name,
     kind,
-    accountQueue: owner,
+    accountQueue,
     weight: 1,
     flowWeight: 1,
     startTag: 0,
     work: 0,
     size: 0,
     fresh: heap.Heap.create<Entry>(deadlineOrder),
-    byLatestDeadline: heap.Heap.create<Entry>(lastOrder),
+    byLatestDeadline: heap.Heap.create<Entry>(latestDeadlineOrder),
     readyPos: -1,
     idlePos: -1,
     flowWeightPos: -1,
   };
 }
 
-/** Virtual start of a retried entry. */
+/** Start tag of a retried entry. */
 export function startTagOf(entry: Entry): number {
   return entry.item.startTag ?? 0;
 }
 
-/** Earliest deadline, then first arrival, then id, so that runs repeat. */
+/** Orders by deadline, then by arrival, then by id, so that the order is
+ * deterministic. */
 export function isBefore(a: Item, b: Item): boolean {
   if (a.deadline !== b.deadline) return a.deadline < b.deadline;
   if (a.arrived !== b.arrived) return a.arrived < b.arrived;
   return a.id < b.id;
 }
 
-/** Part of an item's allowance for which it does not wait for others. */
-const RESERVE = 0.2;
+/** Part of its allowance that an item keeps in reserve: with less time left it
+ * is no longer deferred. */
+const SLACK_RESERVE_RATIO = 0.2;
 
-/** Times another item's allowance from which on an item waits for that one. */
-const LONGER = 2;
+/** Ratio of an item's allowance to another's from which on it is deferred. */
+const DEFERRAL_RATIO = 2;
 
-/** Whether an item can still wait while shorter ones are served. */
+/** Whether an item has enough slack left to be deferred. */
 export function canDefer(item: Item, now: number): boolean {
-  return item.expires - now > RESERVE * allowance(item);
+  return item.expires - now > SLACK_RESERVE_RATIO * allowance(item);
 }
 
-/** Whether `patient` lets `other` go first, since it has far more time. */
-export function defersTo(patient: Item, other: Item): boolean {
-  return allowance(other) * LONGER <= allowance(patient);
+/** Whether `item` is deferred in favour of `other`, whose allowance is far
+ * smaller. */
+export function defersTo(item: Item, other: Item): boolean {
+  return allowance(other) * DEFERRAL_RATIO <= allowance(item);
 }
 
 /** Milliseconds between arrival and the latest start. */
@@ -142,13 +151,13 @@
 };
 
 /** Latest deadline first. */
-const lastOrder: heap.Order<Entry> = {
+const latestDeadlineOrder: heap.Order<Entry> = {
   less: (a, b) => isBefore(b.item, a.item),
   position: (entry) => entry.latestDeadlinePos,
   setPosition: (entry, pos) => entry.latestDeadlinePos = pos,
 };
 
-/** Least virtual start first. */
+/** Earliest start tag first. */
 export const retriedOrder: heap.Order<Entry> = {
   less: (a, b) =>
     startTagOf(a) !== startTagOf(b)
@@ -158,19 +167,19 @@
   setPosition: (entry, pos) => entry.orderPos = pos,
 };
 
-/** Earliest expiry first. */
+/** Earliest latest start first. */
 export const expiryOrder: heap.Order<Entry> = {
   less: (a, b) => a.item.expires < b.item.expires,
   position: (entry) => entry.expiryPos,
   setPosition: (entry, pos) => entry.expiryPos = pos,
 };
 
-/** Least weight among all flows first, then by name. */
+/** Lowest weight among all flows first, then by name. */
 export const flowWeightOrder: heap.Order<FlowQueue> = {
   less(a, b) {
     if (a.flowWeight !== b.flowWeight) return a.flowWeight < b.flowWeight;
     return a.account !== b.account ? a.account < b.account : a.kind < b.kind;
   },
-  position: (lane) => lane.flowWeightPos,
-  setPosition: (lane, pos) => lane.flowWeightPos = pos,
+  position: (flow) => flow.flowWeightPos,
+  setPosition: (flow, pos) => flow.flowWeightPos = pos,
 };
--- a/src/admission/heap.ts
+++ b/src/admission/heap.ts
@@ -1,8 +1,8 @@
-/** Binary heap that tells each value its position, so that any value can be
- * removed in O(log n).
+/** Indexed binary heap: each value stores its position, so that any value can
+ * be removed in O(log n).
  * @module */
 
-/** How a heap orders its values and where a value keeps its position. */
+/** Order of a heap's values, and access to the position stored in a value. */
 export interface Order<T> {
   less(a: T, b: T): boolean;
   /** Position of the value, -1 when it is not in the heap. */
@@ -10,7 +10,7 @@
   setPosition(value: T, pos: number): void;
 }
 
-/** Values by `Order.less`, the least one first. */
+/** Min-heap of values ordered by `Order.less`. */
 export class Heap<T> {
   readonly #order: Order<T>;
   readonly #values: T[] = [];
@@ -27,7 +27,7 @@
     return this.#values.length;
   }
 
-  /** The least value, which stays. */
+  /** Returns the least value without removing it. */
   peek(): T | undefined {
     return this.#values[0];
   }
@@ -37,7 +37,7 @@
     this.#up(this.#values.length - 1, value);
   }
 
-  /** Removes the least value. */
+  /** Removes and returns the least value. */
   pop(): T | undefined {
     const least = this.#values[0];
     if (least !== undefined) this.remove(least);
@@ -54,7 +54,7 @@
     return true;
   }
 
-  /** Restores the order after the key of `value` has changed. */
+  /** Restores the heap order after the key of `value` has changed. */
   update(value: T): void {
     const pos = this.#order.position(value);
     if (pos >= 0) this.#settle(pos, value);
--- a/src/admission/mod.ts
+++ b/src/admission/mod.ts
@@ -1,7 +1,8 @@
-/** Queues, weights, limits, early refusal, stage time estimates and cost.
+/** Admission control: fair queues, weights, rate and concurrency limits,
+ * deadline-aware admission, stage time estimates and cost accounting.
  *
- * Pure decisions in virtual time: nothing here reads a clock. The containers
- * are changed in place, since they stand on the hot path of every request.
+ * Callers pass the time in; nothing here reads a clock. The containers are
+ * mutated in place, since they are on the hot path of every request.
  * @module */
 
 export * as backlog from "./backlog.ts";
--- a/src/admission/naive_fair_queue.ts
+++ b/src/admission/naive_fair_queue.ts
@@ -1,12 +1,13 @@
-/** Naive twin of the fair queue, for differential tests and ratios: one list,
- * scanned for every operation.
+/** Reference implementation of the fair queue, for differential tests and
+ * benchmarks: one list, scanned for every operation.
  * @module */
 
 import type * as request from "../request/mod.ts";
-import * as lane from "./flow_queue.ts";
+import * as flowQueue from "./flow_queue.ts";
 import * as weight from "./weight.ts";
 
-/** Virtual time of one level and where each name stands in it. */
+/** Virtual time of one level of the hierarchy and the start tags of its names.
+ */
 class Level {
   virtual = 0;
   readonly starts = new Map<string, number>();
@@ -26,9 +27,9 @@
   }
 }
 
-/** Same decisions as `FairQueue`, in O(n) an operation. */
+/** Makes the same decisions as `FairQueue`, in O(n) for each operation. */
 export class NaiveFairQueue {
-  #items: lane.Item[] = [];
+  #items: flowQueue.Item[] = [];
   #accounts = new Level();
   readonly #kinds = new Map<string, Level>();
   readonly #policies: request.Policies;
@@ -37,7 +38,7 @@
     this.#policies = policies;
   }
 
-  push(item: lane.Item): boolean {
+  push(item: flowQueue.Item): boolean {
     if (this.#items.some((other) => other.id === item.id)) return false;
     if (item.startTag === undefined) {
       const fresh = this.#fresh().filter(({ account }) => {
@@ -51,84 +52,88 @@
     return true;
   }
 
-  pop(now = Infinity): lane.Item | undefined {
-    const turn = this.#first();
-    if (turn === undefined) return undefined;
-    const first = this.#shorter(turn, now) ?? turn;
-    const { account, kind, work } = first;
+  pop(now = Infinity): flowQueue.Item | undefined {
+    const next = this.#next();
+    if (next === undefined) return undefined;
+    const chosen = this.#findShorter(next, now) ?? next;
+    const { account, kind, work } = chosen;
     const fresh = this.#fresh();
     const kinds = fresh.filter((item) => item.account === account)
       .map((item) => this.#levelOf(account).startOf(item.kind));
-    const inner = first.startTag === undefined ? Math.min(...kinds) : undefined;
-    const least = fresh.map((item) => this.#accounts.startOf(item.account));
-    const start = first.startTag ?? Math.min(...least);
-    first.startTag = start;
+    const kindStart = chosen.startTag === undefined
+      ? Math.min(...kinds)
+      : undefined;
+    const accountStarts = fresh.map((item) =>
+      this.#accounts.startOf(item.account)
+    );
+    const start = chosen.startTag ?? Math.min(...accountStarts);
+    chosen.startTag = start;
     const share = weight.ofAccount(this.#policies, account);
     this.#accounts.serve(account, work / share, start);
     const charge = weight.chargeOf(work) / weight.ofKind(this.#policies, kind);
-    this.#levelOf(account).serve(kind, charge, inner);
-    this.#take([first]);
-    return first;
+    this.#levelOf(account).serve(kind, charge, kindStart);
+    this.#remove([chosen]);
+    return chosen;
   }
 
-  expire(now: number): lane.Item[] {
-    const gone = this.#items.filter((item) => item.expires < now);
-    this.#take(gone);
-    return gone;
+  expire(now: number): flowQueue.Item[] {
+    const expired = this.#items.filter((item) => item.expires < now);
+    this.#remove(expired);
+    return expired;
   }
 
-  shed(): lane.Item | undefined {
-    const worst = least(this.#items, (a, b) => {
+  shed(): flowQueue.Item | undefined {
+    const worst = first(this.#items, (a, b) => {
       const weighed = weight.ofFlow(this.#policies, a) -
         weight.ofFlow(this.#policies, b);
       if (weighed !== 0) return weighed;
       const names = compare(weight.nameOf(a), weight.nameOf(b));
-      return names !== 0 ? names : lane.isBefore(a, b) ? 1 : -1;
+      return names !== 0 ? names : flowQueue.isBefore(a, b) ? 1 : -1;
     });
-    if (worst !== undefined) this.#take([worst]);
+    if (worst !== undefined) this.#remove([worst]);
     return worst;
   }
 
-  remove(id: string): lane.Item | undefined {
+  remove(id: string): flowQueue.Item | undefined {
     const found = this.#items.find((item) => item.id === id);
-    if (found !== undefined) this.#take([found]);
+    if (found !== undefined) this.#remove([found]);
     return found;
   }
 
-  #fresh(): lane.Item[] {
-    return this.#items.filter(({ startTag: start }) => start === undefined);
+  #fresh(): flowQueue.Item[] {
+    return this.#items.filter(({ startTag }) => startTag === undefined);
   }
 
-  #first(): lane.Item | undefined {
-    const retried = least(
-      this.#items.filter(({ startTag: start }) => start !== undefined),
+  #next(): flowQueue.Item | undefined {
+    const retried = first(
+      this.#items.filter(({ startTag }) => startTag !== undefined),
       (a, b) => {
         const starts = (a.startTag ?? 0) - (b.startTag ?? 0);
-        return starts !== 0 ? starts : lane.isBefore(a, b) ? -1 : 1;
+        return starts !== 0 ? starts : flowQueue.isBefore(a, b) ? -1 : 1;
       },
     );
-    const fresh = least(this.#fresh(), (a, b) => this.#compareFresh(a, b));
+    const fresh = first(this.#fresh(), (a, b) => this.#compareFresh(a, b));
     if (retried === undefined || fresh === undefined) return retried ?? fresh;
     const start = this.#accounts.startOf(fresh.account);
     return (retried.startTag ?? 0) <= start ? retried : fresh;
   }
 
-  /** The fresh item that goes before a patient one. Of each flow only the
-   * first counts. */
-  #shorter(turn: lane.Item, now: number): lane.Item | undefined {
-    if (!lane.canDefer(turn, now)) return undefined;
+  /** Fresh item in favour of which `next` is deferred. Only the first item of
+   * each flow is considered. */
+  #findShorter(next: flowQueue.Item, now: number): flowQueue.Item | undefined {
+    if (!flowQueue.canDefer(next, now)) return undefined;
     const fresh = this.#fresh();
     const heads = fresh.filter((item) =>
       !fresh.some((other) =>
         weight.nameOf(other) === weight.nameOf(item) &&
-        lane.isBefore(other, item)
+        flowQueue.isBefore(other, item)
       )
     );
-    const shorter = heads.filter((item) => lane.defersTo(turn, item));
-    return least(shorter, (a, b) => this.#compareFresh(a, b));
+    const shorter = heads.filter((item) => flowQueue.defersTo(next, item));
+    return first(shorter, (a, b) => this.#compareFresh(a, b));
   }
 
-  #compareFresh(a: lane.Item, b: lane.Item): number {
+  #compareFresh(a: flowQueue.Item, b: flowQueue.Item): number {
     const accounts = this.#accounts.startOf(a.account) -
       this.#accounts.startOf(b.account);
     if (accounts !== 0) return accounts;
@@ -137,7 +142,7 @@
     const kinds = level.startOf(a.kind) - level.startOf(b.kind);
     if (kinds !== 0) return kinds;
     if (a.kind !== b.kind) return compare(a.kind, b.kind);
-    return lane.isBefore(a, b) ? -1 : 1;
+    return flowQueue.isBefore(a, b) ? -1 : 1;
   }
 
   #levelOf(account: string): Level {
@@ -149,11 +154,11 @@
     return level;
   }
 
-  /** An account without items starts afresh among its kinds, and a queue
-   * without items altogether. */
-  #take(gone: lane.Item[]): void {
-    this.#items = this.#items.filter((item) => !gone.includes(item));
-    for (const { account } of gone) {
+  /** Removes items. The start tags of an account's kinds are reset once it has
+   * no items, and all start tags once the queue is empty. */
+  #remove(removed: flowQueue.Item[]): void {
+    this.#items = this.#items.filter((item) => !removed.includes(item));
+    for (const { account } of removed) {
       const left = this.#items.some((item) => item.account === account);
       if (!left) this.#levelOf(account).starts.clear();
     }
@@ -167,7 +172,7 @@
   return a === b ? 0 : a < b ? -1 : 1;
 }
 
-function least<T>(
+function first<T>(
   values: readonly T[],
   order: (a: T, b: T) => number,
 ): T | undefined {
--- a/src/admission/naive_stage_time_estimator.ts
+++ b/src/admission/naive_stage_time_estimator.ts
@@ -1,16 +1,17 @@
-/** Naive twin of the stage time estimate: keeps every sample, and answers with
- * the median of the samples nearest in size.
+/** Reference implementation of the stage time estimate, for tests and
+ * benchmarks: keeps every sample and predicts the median of the nearest ones by
+ * size.
  * @module */
 
-/** Nearest samples taken by size. */
-const NEAREST = 31;
+/** Number of nearest samples of which the median is taken. */
+const NEAREST_COUNT = 31;
 
 interface Sample {
   size: number;
   time: number;
 }
 
-/** Sorts all samples for each prediction. */
+/** Nearest-neighbour estimate that sorts all samples for each prediction. */
 export class NaiveStageTimeEstimator {
   readonly #samples: Sample[] = [];
 
@@ -21,7 +22,7 @@
   predict(size: number): number {
     const nearest = this.#samples
       .toSorted((a, b) => Math.abs(a.size - size) - Math.abs(b.size - size))
-      .slice(0, NEAREST)
+      .slice(0, NEAREST_COUNT)
       .map((sample) => sample.time)
       .sort((a, b) => a - b);
     return nearest[Math.floor(nearest.length / 2)] ?? 0;
--- a/src/admission/quantile_estimator.ts
+++ b/src/admission/quantile_estimator.ts
@@ -1,35 +1,35 @@
-/** Online quantile of positive values in constant memory.
+/** Online quantile estimate of positive values in constant memory.
  *
- * Steps on a logarithmic scale: up by `step * quantile` when a value lies
- * above, down by `step * (1 - quantile)` otherwise, so one extreme value
- * moves it no further than any other.
+ * The estimate moves on a logarithmic scale: up by `step * quantile` for a
+ * value above it, down by `step * (1 - quantile)` otherwise, so that one
+ * extreme value moves it no further than any other.
  * @module */
 
-/** What a tracker follows. */
+/** Parameters of an estimator. */
 export interface Options {
-  /** Share of values to lie below, 0 to 1. */
+  /** Share of values below the estimate, 0 to 1. */
   quantile: number;
-  /** Value before any sample. */
+  /** Estimate before any sample. */
   initial: number;
-  /** Relative step; larger follows faster and rests less. */
+  /** Relative step; a larger one adapts faster but fluctuates more. */
   step: number;
   min: number;
   max: number;
 }
 
-/** An online quantile; `observe` changes it in place. */
+/** An online quantile estimate; `observe` updates it in place. */
 export class QuantileEstimator {
-  readonly #goal: Options;
+  readonly #options: Options;
   #value: number;
   #samples = 0;
 
-  private constructor(goal: Options) {
-    this.#goal = goal;
-    this.#value = goal.initial;
+  private constructor(options: Options) {
+    this.#options = options;
+    this.#value = options.initial;
   }
 
-  static create(goal: Options): QuantileEstimator {
-    return new QuantileEstimator(goal);
+  static create(options: Options): QuantileEstimator {
+    return new QuantileEstimator(options);
   }
 
   get value(): number {
@@ -41,10 +41,10 @@
   }
 
   observe(value: number): void {
-    const { quantile, step, min: least, max: most } = this.#goal;
-    const move = value > this.#value ? quantile : quantile - 1;
-    const next = this.#value * Math.exp(step * move);
-    this.#value = Math.min(most, Math.max(least, next));
+    const { quantile, step, min, max } = this.#options;
+    const direction = value > this.#value ? quantile : quantile - 1;
+    const next = this.#value * Math.exp(step * direction);
+    this.#value = Math.min(max, Math.max(min, next));
     this.#samples++;
   }
 }
--- a/src/admission/regression.ts
+++ b/src/admission/regression.ts
@@ -1,73 +1,76 @@
-/** Online linear fit `y = a + b x1 + c x2` that stragglers hardly move.
+/** Online linear regression `y = a + b x1 + c x2` that is robust to outliers.
  *
- * Weighted least squares with exponential forgetting, on relative errors, and
- * a pull towards a prior. A sample far off the fit is clipped to a multiple of
- * the learnt median error. A lasting change widens that median and so gets
- * through; while nearly all samples lie on one side, the past is forgotten
- * faster. Errors are taken relative to the prior, not to the fit: weights by
- * the fit would keep a fit that had once been low from rising. The prior gives
- * the shape only; its level is learnt. Constant memory: 16 numbers.
+ * Weighted least squares on relative errors, with exponential forgetting and
+ * regularization towards a prior. A sample far off the fit is clipped to a
+ * multiple of the learned median error. A lasting change widens that median and
+ * so takes effect; while nearly all samples lie on one side of the fit, old
+ * samples are forgotten faster. Errors are relative to the prior, not to the
+ * fit: with weights from the fit, a fit that had once been too low could not
+ * rise again. The prior determines only the shape; its level is learned.
+ * Constant memory: 16 numbers.
  * @module */
 
-/** Coefficients of a fit. */
+/** Coefficients of the constant term and of the two variables. */
 export interface Coefficients {
   constant: number;
   first: number;
   second: number;
 }
 
-/** Share of the past that one sample keeps. */
-const MEMORY = 0.99;
+/** Forgetting factor: remaining weight of old samples after a new one. */
+const FORGETTING_FACTOR = 0.99;
 
-/** The same while nearly all samples lie on one side of the fit. */
-const SHORT_MEMORY = 0.85;
+/** Forgetting factor while nearly all samples lie on one side of the fit. */
+const OUTDATED_FORGETTING_FACTOR = 0.85;
 
-/** Mean side, of -1 to 1, past which the fit counts as outdated. */
-const OUTDATED = 0.8;
+/** Absolute mean sign of the residuals, on a scale from -1 to 1, above which
+ * the fit counts as outdated. */
+const OUTDATED_SIGN_MEAN = 0.8;
 
-/** Step of the mean side. */
-const SIDE_STEP = 0.1;
+/** Weight of the newest sample in the mean sign of the residuals. */
+const SIGN_MEAN_STEP = 0.1;
 
-/** Samples are clipped at this many median errors. */
-const CLIP = 3;
+/** Number of median errors at which samples are clipped. */
+const CLIP_ERROR_COUNT = 3;
 
 /** Median relative error assumed before any sample. */
-const FIRST_ERROR = 8;
+const INITIAL_ERROR_RATIO = 8;
 
-/** Least median relative error, so that an exact fit still follows a change. */
-const LEAST_ERROR = 0.1;
+/** Minimum of the median relative error, so that an exact fit can still adapt
+ * to a change. */
+const MIN_ERROR_RATIO = 0.1;
 
-/** Least relative step of the median error. */
-const ERROR_STEP = 0.1;
+/** Minimum relative step of the median error. */
+const MIN_ERROR_STEP = 0.1;
 
-/** Least prediction as a share of the prior at its learnt level, for sizes far
- * from those seen. */
-const LEAST_SHARE = 0.05;
+/** Minimum prediction as a share of the prior at its learned level, for inputs
+ * far from those observed. */
+const MIN_PRIOR_RATIO = 0.05;
 
-/** Weight of the prior against that of one sample. */
+/** Weight of the prior relative to that of one sample. */
 const PRIOR_WEIGHT = 0.01;
 
-/** Least prediction; keeps relative errors finite. */
-const LEAST = 1e-3;
+/** Minimum prediction; keeps relative errors finite. */
+const MIN_PREDICTION = 1e-3;
 
-/** An online fit; `observe` changes it in place. */
+/** An online regression; `observe` updates it in place. */
 export class Regression {
   readonly #prior: Coefficients;
-  /** Sums of weighted products: 11, 12, 13, 22, 23, 33. */
+  /** Weighted normal matrix, upper triangle: 11, 12, 13, 22, 23, 33. */
   readonly #products = new Float64Array(6);
   readonly #targets = new Float64Array(3);
-  #line: Coefficients;
+  #fit: Coefficients;
   #stale = false;
-  /** Mean of the samples against the prior. */
+  /** Mean ratio of the samples to the prior. */
   #level = 1;
-  #error = FIRST_ERROR;
-  /** Mean of 1 for samples above the fit, -1 for those below. */
-  #side = 0;
+  #error = INITIAL_ERROR_RATIO;
+  /** Moving average of the residuals' signs: 1 above the fit, -1 below. */
+  #signMean = 0;
   #samples = 0;
 
   private constructor(prior: Coefficients) {
     this.#prior = prior;
-    this.#line = prior;
+    this.#fit = prior;
   }
 
   static create(prior: Coefficients): Regression {
@@ -78,55 +81,58 @@
     return this.#samples;
   }
 
-  /** Median relative error of late. */
+  /** Median relative error of recent samples. */
   get error(): number {
     return this.#error;
   }
 
   predict(x1: number, x2: number): number {
     if (this.#stale) this.#solve();
-    const { constant, first, second } = this.#line;
-    const least = LEAST_SHARE * this.#level * shapeOf(this.#prior, [x1, x2]);
-    return Math.max(LEAST, least, constant + first * x1 + second * x2);
+    const { constant, first, second } = this.#fit;
+    const min = MIN_PRIOR_RATIO * this.#level * evaluate(this.#prior, [x1, x2]);
+    return Math.max(MIN_PREDICTION, min, constant + first * x1 + second * x2);
   }
 
   observe(x: readonly [number, number], y: number): void {
-    const guess = this.predict(x[0], x[1]);
-    const bound = CLIP * this.#error;
-    const most = guess * (1 + bound);
-    const least = guess * Math.max(0, 1 - bound);
-    const clipped = Math.min(most, Math.max(least, y));
-    this.#learnError(Math.abs(y - guess) / guess);
-    this.#side += SIDE_STEP * (Math.sign(y - guess) - this.#side);
+    const predicted = this.predict(x[0], x[1]);
+    const bound = CLIP_ERROR_COUNT * this.#error;
+    const max = predicted * (1 + bound);
+    const min = predicted * Math.max(0, 1 - bound);
+    const clipped = Math.min(max, Math.max(min, y));
+    this.#updateError(Math.abs(y - predicted) / predicted);
+    this.#signMean += SIGN_MEAN_STEP *
+      (Math.sign(y - predicted) - this.#signMean);
     this.#add(x, clipped);
     this.#samples++;
   }
 
   toJSON() {
     if (this.#stale) this.#solve();
-    return { ...this.#line, error: this.#error, samples: this.#samples };
+    return { ...this.#fit, error: this.#error, samples: this.#samples };
   }
 
-  #learnError(error: number): void {
-    const step = Math.max(ERROR_STEP, 1 / (1 + this.#samples / 4));
+  #updateError(error: number): void {
+    const step = Math.max(MIN_ERROR_STEP, 1 / (1 + this.#samples / 4));
     const direction = error > this.#error ? 0.5 : -0.5;
     const next = this.#error * Math.exp(step * direction);
-    this.#error = Math.max(LEAST_ERROR, next);
+    this.#error = Math.max(MIN_ERROR_RATIO, next);
   }
 
   #add([x1, x2]: readonly [number, number], y: number): void {
-    const scale = shapeOf(this.#prior, [x1, x2]);
+    const scale = evaluate(this.#prior, [x1, x2]);
     const weight = 1 / (scale * scale);
-    const outdated = Math.abs(this.#side) > OUTDATED;
-    const memory = outdated ? SHORT_MEMORY : MEMORY;
-    const step = Math.max(1 - memory, 1 / (1 + this.#samples));
+    const outdated = Math.abs(this.#signMean) > OUTDATED_SIGN_MEAN;
+    const forgetting = outdated
+      ? OUTDATED_FORGETTING_FACTOR
+      : FORGETTING_FACTOR;
+    const step = Math.max(1 - forgetting, 1 / (1 + this.#samples));
     this.#level += step * (y / scale - this.#level);
     const terms = [1, x1, x2, x1 * x1, x1 * x2, x2 * x2];
     for (let i = 0; i < 6; i++) {
-      this.#products[i] = memory * this.#products[i] + weight * terms[i];
+      this.#products[i] = forgetting * this.#products[i] + weight * terms[i];
     }
     for (let i = 0; i < 3; i++) {
-      this.#targets[i] = memory * this.#targets[i] + weight * terms[i] * y;
+      this.#targets[i] = forgetting * this.#targets[i] + weight * terms[i] * y;
     }
     this.#stale = true;
   }
@@ -134,36 +140,42 @@
   #solve(): void {
     const [p1, p2, p3, p4, p5, p6] = this.#products;
     const { constant, first, second } = this.#prior;
-    const [pull1, pull2, pull3] = [constant, first, second].map(pullOf);
-    const [goal1, goal2, goal3] = [constant, first, second].map((prior) => {
-      return pullOf(prior) * prior * this.#level;
+    const [weight1, weight2, weight3] = [constant, first, second].map(
+      priorWeight,
+    );
+    const [prior1, prior2, prior3] = [constant, first, second].map((prior) => {
+      return priorWeight(prior) * prior * this.#level;
     });
     const [t1, t2, t3] = this.#targets;
     const rows = [
-      [p1 + pull1, p2, p3, t1 + goal1],
-      [p2, p4 + pull2, p5, t2 + goal2],
-      [p3, p5, p6 + pull3, t3 + goal3],
+      [p1 + weight1, p2, p3, t1 + prior1],
+      [p2, p4 + weight2, p5, t2 + prior2],
+      [p3, p5, p6 + weight3, t3 + prior3],
     ];
-    const [a, b, c] = eliminate(rows);
-    this.#line = { constant: a, first: b, second: c };
+    const [a, b, c] = solveLinear(rows);
+    this.#fit = { constant: a, first: b, second: c };
     this.#stale = false;
   }
 }
 
-function shapeOf(
-  line: Coefficients,
+function evaluate(
+  prior: Coefficients,
   [x1, x2]: readonly [number, number],
 ): number {
-  return Math.max(LEAST, line.constant + line.first * x1 + line.second * x2);
+  return Math.max(
+    MIN_PREDICTION,
+    prior.constant + prior.first * x1 + prior.second * x2,
+  );
 }
 
-function pullOf(prior: number): number {
-  const scale = Math.max(LEAST, Math.abs(prior));
+function priorWeight(prior: number): number {
+  const scale = Math.max(MIN_PREDICTION, Math.abs(prior));
   return PRIOR_WEIGHT / (scale * scale);
 }
 
-/** Solves three equations; they are positive definite, so no pivoting. */
-function eliminate(rows: number[][]): number[] {
+/** Solves the system by Gaussian elimination. The matrix is positive definite,
+ * so that no pivoting is needed. */
+function solveLinear(rows: number[][]): number[] {
   const size = rows.length;
   for (let i = 0; i < size; i++) {
     for (let j = i + 1; j < size; j++) {
--- a/src/admission/request_limiter.ts
+++ b/src/admission/request_limiter.ts
@@ -1,83 +1,88 @@
-/** Rate and concurrency limits by the cells of the table, for this host's
- * share of the fleet's limits. What passes no limit is refused at once.
+/** Rate and concurrency limits by the cells of the policy table, for this
+ * host's share of the fleet's limits. A request over a limit is refused at once
+ * instead of being queued.
  * @module */
 
 import type * as request from "../request/mod.ts";
 import type * as weight from "./weight.ts";
 
-/** Answer of the limits; `row` is the row that refused. */
+/** Result of a check; `row` is the policy row whose limit is reached. */
 export type Decision =
   | { type: "admit" }
   | { type: "refuse"; row: string; retryAfter?: number };
 
-/** Milliseconds of its rate that a row may save up for a burst. */
-const BURST = 1000;
+/** Burst size of a row's token bucket, as milliseconds of its rate. */
+const BURST_MS = 1000;
 
-/** Share that one holding time has in the running mean. */
-const HOLDING_STEP = 0.1;
+/** Weight of the newest sample in the moving average of holding times. */
+const HOLDING_TIME_RATIO = 0.1;
 
-/** Least `Retry-After`, milliseconds. */
-const LEAST_RETRY_AFTER = 10;
+/** Lower bound of `retryAfter`. */
+const MIN_RETRY_AFTER_MS = 10;
 
-/** Rows that nothing was asked of for so long are forgotten, milliseconds. */
-const FORGET_AFTER = 60_000;
+/** Idle time after which a row is evicted. */
+const EVICTION_IDLE_MS = 60_000;
 
-/** Rows looked at for each decision, to forget old ones. */
-const SWEEP = 2;
+/** Rows checked for eviction at each decision. */
+const EVICTION_CHECKS = 2;
 
-interface Row {
+/** Token bucket and concurrency count of one policy row. */
+interface RowState {
   tokens: number;
-  /** When `tokens` was brought up to date. */
-  at: number;
+  /** Time of the last refill. */
+  refilledAt: number;
   inFlight: number;
   /** Mean milliseconds that a request is in flight; 0 before the first. */
-  holding: number;
+  holdingTime: number;
 }
 
-/** Limits of all rows; `take` and `release` change it in place. */
+/** Limits of all rows; `acquire` and `release` mutate it in place. */
 export class RequestLimiter {
   #policies: request.Policies;
-  readonly #rows = new Map<string, Row>();
-  #sweep: Iterator<[string, Row]>;
+  readonly #rows = new Map<string, RowState>();
+  #evictionCursor: Iterator<[string, RowState]>;
 
   private constructor(policies: request.Policies) {
     this.#policies = policies;
-    this.#sweep = this.#rows.entries();
+    this.#evictionCursor = this.#rows.entries();
   }
 
   static create(policies: request.Policies = new Map()): RequestLimiter {
     return new RequestLimiter(policies);
   }
 
-  /** Takes new limits. What is in flight stays, also above a lower limit. */
+  /** Applies new limits. Requests in flight stay, even above a lower limit. */
   setPolicies(policies: request.Policies): void {
     this.#policies = policies;
   }
 
-  /** Whether the account's row and the kind's have a token and a place. */
+  /** Checks that the account's and the kind's row both have a token and free
+   * concurrency. */
   check(flow: weight.Flow, now: number): Decision {
-    this.#forget(now);
+    this.#evictIdle(now);
     for (const name of rowsOf(flow)) {
-      const verdict = this.#check(name, now);
-      if (verdict.type === "refuse") return verdict;
+      const decision = this.#checkRow(name, now);
+      if (decision.type === "refuse") return decision;
     }
     return { type: "admit" };
   }
 
-  /** Takes them after `check`, once nothing else refuses the request, so that
-   * a refusal uses up no limit. What was taken must be released. */
+  /** Takes a token and a concurrency slot of each row. Called after `check`,
+   * once no other check refuses the request, so that a refused request uses up
+   * no limit. Each call must be paired with `release`. */
   acquire(flow: weight.Flow): void {
-    for (const name of rowsOf(flow)) this.#take(name);
+    for (const name of rowsOf(flow)) this.#acquireRow(name);
   }
 
-  /** Gives the places back. `held` is milliseconds since `take`. */
-  release(flow: weight.Flow, held: number): void {
+  /** Releases the concurrency slots. `heldMs` is the time since
+   * `acquire`. */
+  release(flow: weight.Flow, heldMs: number): void {
     for (const name of rowsOf(flow)) {
       const row = this.#rows.get(name);
       if (row === undefined) continue;
       row.inFlight = Math.max(0, row.inFlight - 1);
-      const step = row.holding === 0 ? 1 : HOLDING_STEP;
-      row.holding += step * (held - row.holding);
+      const step = row.holdingTime === 0 ? 1 : HOLDING_TIME_RATIO;
+      row.holdingTime += step * (heldMs - row.holdingTime);
     }
   }
 
@@ -87,7 +92,7 @@
     return Object.fromEntries(entries);
   }
 
-  #check(name: string, now: number): Decision {
+  #checkRow(name: string, now: number): Decision {
     const policy = this.#policies.get(name) ?? {};
     const row = this.#rowOf(name, now);
     const { rate, concurrency } = policy;
@@ -99,45 +104,51 @@
       }
     }
     if (concurrency !== undefined && row.inFlight + 1 > concurrency) {
-      const wait = row.holding / Math.max(1, concurrency);
+      const wait = row.holdingTime / Math.max(1, concurrency);
       return refusal(name, concurrency >= 1 ? wait : undefined);
     }
     return { type: "admit" };
   }
 
-  #take(name: string): void {
+  #acquireRow(name: string): void {
     const row = this.#rows.get(name);
     if (row === undefined) return;
     row.inFlight++;
     if (this.#policies.get(name)?.rate !== undefined) row.tokens--;
   }
 
-  #rowOf(name: string, now: number): Row {
+  #rowOf(name: string, now: number): RowState {
     let row = this.#rows.get(name);
     if (row === undefined) {
       const rate = this.#policies.get(name)?.rate ?? 0;
-      row = { tokens: capacity(rate), at: now, inFlight: 0, holding: 0 };
+      row = {
+        tokens: capacity(rate),
+        refilledAt: now,
+        inFlight: 0,
+        holdingTime: 0,
+      };
       this.#rows.set(name, row);
     }
     return row;
   }
 
-  #forget(now: number): void {
-    for (let i = 0; i < SWEEP; i++) {
-      const next = this.#sweep.next();
+  #evictIdle(now: number): void {
+    for (let i = 0; i < EVICTION_CHECKS; i++) {
+      const next = this.#evictionCursor.next();
       if (next.done) {
-        this.#sweep = this.#rows.entries();
+        this.#evictionCursor = this.#rows.entries();
         return;
       }
       const [name] = next.value;
-      if (this.#mayForget(next.value, now)) this.#rows.delete(name);
+      if (this.#canEvict(next.value, now)) this.#rows.delete(name);
     }
   }
 
-  /** A new row has a full bucket, so only full ones may be forgotten. */
-  #mayForget([name, row]: [string, Row], now: number): boolean {
-    const idle = now - row.at;
-    if (row.inFlight > 0 || idle <= FORGET_AFTER) return false;
+  /** Whether a row may be evicted. A new row starts with a full bucket, so only
+   * rows with full buckets may be. */
+  #canEvict([name, row]: [string, RowState], now: number): boolean {
+    const idle = now - row.refilledAt;
+    if (row.inFlight > 0 || idle <= EVICTION_IDLE_MS) return false;
     const rate = this.#policies.get(name)?.rate ?? 0;
     return row.tokens + rate * idle / 1000 >= capacity(rate);
   }
@@ -147,19 +158,20 @@
   return [`account/${flow.account}`, `kind/${flow.kind}`];
 }
 
-/** Tokens that a bucket holds; at least one, or nothing would ever pass. */
+/** Capacity of a bucket; at least one token, since otherwise no request would
+ * ever be admitted. */
 function capacity(rate: number): number {
-  return rate > 0 ? Math.max(1, rate * BURST / 1000) : 0;
+  return rate > 0 ? Math.max(1, rate * BURST_MS / 1000) : 0;
 }
 
-function refill(row: Row, rate: number, now: number): void {
-  const gained = rate * (now - row.at) / 1000;
+function refill(row: RowState, rate: number, now: number): void {
+  const gained = rate * (now - row.refilledAt) / 1000;
   row.tokens = Math.min(capacity(rate), row.tokens + gained);
-  row.at = now;
+  row.refilledAt = now;
 }
 
 function refusal(row: string, wait?: number): Decision {
   if (wait === undefined) return { type: "refuse", row };
-  const retryAfter = Math.max(LEAST_RETRY_AFTER, Math.ceil(wait));
+  const retryAfter = Math.max(MIN_RETRY_AFTER_MS, Math.ceil(wait));
   return { type: "refuse", row, retryAfter };
 }
--- a/src/admission/service_queue.ts
+++ b/src/admission/service_queue.ts
@@ -1,38 +1,40 @@
-/** Work that waits for one service, as the dispatcher's queue.
+/** Adapts the fair queue to the dispatcher's queue interface, one queue for
+ * each service.
  * @module */
 
 import type * as policySet from "../request/policy_set.ts";
 import type * as request from "../request/mod.ts";
 import * as fairQueue from "./fair_queue.ts";
-import type * as lane from "./flow_queue.ts";
+import type * as flowQueue from "./flow_queue.ts";
 
-/** What a queue asks of the estimates. */
+/** Predictions that a queue needs for a stage. */
 export interface Predictor {
-  /** Milliseconds of a slot that the stage takes. */
+  /** Slot time of the stage, milliseconds. */
   work(work: policySet.Work): number;
-  /** Latest start at which the request can still finish. */
+  /** Latest start at which the request can still meet its deadline. */
   expires(work: policySet.Work): number;
 }
 
-interface Place {
+/** A dequeued item and its stage. */
+interface Dequeued {
   stage: number;
-  item: lane.Item;
+  item: flowQueue.Item;
 }
 
-/** A weighted fair queue over the dispatcher's work. */
+/** A weighted fair queue of the dispatcher's work for one service. */
 export class ServiceQueue implements policySet.Queue {
-  readonly #predict: Predictor;
+  readonly #predictor: Predictor;
   readonly #queue = fairQueue.FairQueue.create();
-  readonly #works = new Map<string, policySet.Work>();
-  /** Items that left the queue, so that a retry keeps its place. */
-  readonly #places = new WeakMap<policySet.Work, Place>();
+  readonly #workById = new Map<string, policySet.Work>();
+  /** Dequeued items, so that a retry keeps its start tag. */
+  readonly #dequeued = new WeakMap<policySet.Work, Dequeued>();
 
-  private constructor(predict: Predictor) {
-    this.#predict = predict;
+  private constructor(predictor: Predictor) {
+    this.#predictor = predictor;
   }
 
-  static create(predict: Predictor): ServiceQueue {
-    return new ServiceQueue(predict);
+  static create(predictor: Predictor): ServiceQueue {
+    return new ServiceQueue(predictor);
   }
 
   get size(): number {
@@ -45,7 +47,7 @@
 
   push(work: policySet.Work): void {
     const item = this.#itemOf(work);
-    this.#works.set(item.id, work);
+    this.#workById.set(item.id, work);
     this.#queue.push(item);
   }
 
@@ -53,19 +55,19 @@
     const item = this.#queue.pop(now);
     if (item === undefined) return undefined;
     const work = this.#take(item);
-    this.#places.set(work, { stage: work.stage, item });
+    this.#dequeued.set(work, { stage: work.stage, item });
     return work;
   }
 
   unshift(work: policySet.Work): void {
-    const place = this.#places.get(work);
-    if (place === undefined) return this.push(work);
-    this.#works.set(place.item.id, work);
-    this.#queue.putBack(place.item);
+    const dequeued = this.#dequeued.get(work);
+    if (dequeued === undefined) return this.push(work);
+    this.#workById.set(dequeued.item.id, work);
+    this.#queue.putBack(dequeued.item);
   }
 
   remove(id: string): boolean {
-    this.#works.delete(id);
+    this.#workById.delete(id);
     return this.#queue.remove(id) !== undefined;
   }
 
@@ -75,29 +77,29 @@
 
   nextAt(): number | undefined {
     const expiry = this.#queue.nextExpiry;
-    // An item expires after its latest start, not at it.
+    // At its latest start an item can still be started; it expires after it.
     return expiry === undefined ? undefined : expiry + 1;
   }
 
-  #take(item: lane.Item): policySet.Work {
-    const work = this.#works.get(item.id) as policySet.Work;
-    this.#works.delete(item.id);
+  #take(item: flowQueue.Item): policySet.Work {
+    const work = this.#workById.get(item.id) as policySet.Work;
+    this.#workById.delete(item.id);
     return work;
   }
 
-  #itemOf(work: policySet.Work): lane.Item {
+  #itemOf(work: policySet.Work): flowQueue.Item {
     const { id, account, kind, arrived, deadline } = work.request;
-    const place = this.#places.get(work);
-    const retried = place?.stage === work.stage;
+    const dequeued = this.#dequeued.get(work);
+    const retried = dequeued?.stage === work.stage;
     return {
       id,
       account,
       kind,
       arrived,
       deadline,
-      expires: this.#predict.expires(work),
-      work: this.#predict.work(work),
-      startTag: retried ? place.item.startTag : undefined,
+      expires: this.#predictor.expires(work),
+      work: this.#predictor.work(work),
+      startTag: retried ? dequeued.item.startTag : undefined,
     };
   }
 }
--- a/src/admission/slot_share.ts
+++ b/src/admission/slot_share.ts
@@ -1,27 +1,30 @@
-/** This host's share of a service's slots, by which the gate predicts.
+/** This host's share of a service's slots, from which queueing delays are
+ * predicted.
  *
- * Hosts share no counts. Each takes its own calls in flight, scaled by slots
- * over all calls that endpoints report, plus half of what is free, or one
- * call. Shares of all hosts add up to about the slots when these are in use.
+ * Hosts exchange no counts. Each host takes its own calls in flight, scaled by
+ * the ratio of slots to all calls that the endpoints report, plus half of the
+ * free slots, or one slot. The shares of all hosts add up to about the total
+ * number of slots when all slots are in use.
  * @module */
 
 import type * as request from "../request/mod.ts";
 
-/** Milliseconds for which a report counts. */
-const FRESH = 3000;
+/** Maximum age of a load report that is used. */
+const MAX_AGE_MS = 3000;
 
-/** Part of the free slots that one host may take before the next report. */
-const FREE_PART = 0.5;
+/** Part of the free slots that one host may take until the next report. */
+const FREE_SLOT_RATIO = 0.5;
 
-interface Member {
+/** A usable endpoint and its last load report. */
+interface Endpoint {
   slots: number;
   load?: request.Load;
 }
 
-/** Share of one service's slots; changed in place. */
+/** This host's share of one service's slots; mutated in place. */
 export class SlotShare {
-  readonly #members = new Map<string, Member>();
-  #own = 0;
+  readonly #endpoints = new Map<string, Endpoint>();
+  #ownCalls = 0;
 
   private constructor() {}
 
@@ -32,45 +35,46 @@
   /** Slots of all usable endpoints. */
   get slots(): number {
     let slots = 0;
-    for (const member of this.#members.values()) slots += member.slots;
+    for (const endpoint of this.#endpoints.values()) slots += endpoint.slots;
     return slots;
   }
 
-  /** Takes the usable endpoints with their slots. */
+  /** Replaces the usable endpoints and their slots; load reports are kept. */
   setEndpoints(endpoints: ReadonlyMap<string, number>): void {
-    for (const id of this.#members.keys()) {
-      if (!endpoints.has(id)) this.#members.delete(id);
+    for (const id of this.#endpoints.keys()) {
+      if (!endpoints.has(id)) this.#endpoints.delete(id);
     }
     for (const [id, slots] of endpoints) {
-      const load = this.#members.get(id)?.load;
-      this.#members.set(id, { slots, load });
+      const load = this.#endpoints.get(id)?.load;
+      this.#endpoints.set(id, { slots, load });
     }
   }
 
+  /** Records an endpoint's load report. */
   report(endpoint: string, load: request.Load): void {
-    const member = this.#members.get(endpoint);
-    if (member !== undefined) member.load = load;
+    const known = this.#endpoints.get(endpoint);
+    if (known !== undefined) known.load = load;
   }
 
-  /** Counts a call that starts, or one that ends. */
+  /** Counts a call of this host that starts (1) or ends (-1). */
   addCalls(change: 1 | -1): void {
-    this.#own = Math.max(0, this.#own + change);
+    this.#ownCalls = Math.max(0, this.#ownCalls + change);
   }
 
-  /** Slots that this host can count on; infinite while the endpoints report
-   * nothing. */
+  /** Slots that this host can count on; infinite unless all endpoints have a
+   * recent report. */
   usableSlots(now: number): number {
     let slots = 0;
     let calls = 0;
-    for (const member of this.#members.values()) {
-      const { load } = member;
-      if (load === undefined || now - load.at > FRESH) return Infinity;
-      slots += member.slots;
+    for (const endpoint of this.#endpoints.values()) {
+      const { load } = endpoint;
+      if (load === undefined || now - load.at > MAX_AGE_MS) return Infinity;
+      slots += endpoint.slots;
       calls += load.running + load.waiting;
     }
     if (slots === 0) return Infinity;
-    const free = Math.max(1, FREE_PART * (slots - calls));
-    const scaled = calls > 0 ? this.#own * slots / calls : this.#own;
+    const free = Math.max(1, FREE_SLOT_RATIO * (slots - calls));
+    const scaled = calls > 0 ? this.#ownCalls * slots / calls : this.#ownCalls;
     return Math.min(slots, Math.max(1, scaled + free));
   }
 }
--- a/src/admission/slot_share_test.ts
+++ b/src/admission/slot_share_test.ts
@@ -1,11 +1,12 @@
 import test from "ava";
-import * as share from "./slot_share.ts";
+import * as slotShare from "./slot_share.ts";
 
 const SLOTS = 8;
 
-/** A share of two endpoints that report these calls, with `own` in flight. */
-function createShare(own: number, calls: number): share.SlotShare {
-  const created = share.SlotShare.create();
+/** Creates a share of two endpoints that report `calls` calls in all, with
+ * `own` calls of this host in flight. */
+function createShare(own: number, calls: number): slotShare.SlotShare {
+  const created = slotShare.SlotShare.create();
   created.setEndpoints(new Map([["a", SLOTS], ["b", SLOTS]]));
   for (const id of ["a", "b"]) {
     const running = Math.min(SLOTS, calls / 2);
@@ -16,32 +17,32 @@
   return created;
 }
 
-test("takes half of what is free", (t) => {
+test("takes half of the free slots", (t) => {
   t.is(createShare(0, 0).usableSlots(0), 8);
   t.is(createShare(4, 8).usableSlots(0), 12);
 });
 
-test("scales down with all others when calls wait at the endpoints", (t) => {
+test("scales down in proportion when calls wait at the endpoints", (t) => {
   t.is(createShare(16, 64).usableSlots(0), 5);
 });
 
-test("keeps room for one call", (t) => {
+test("keeps at least one slot", (t) => {
   t.is(createShare(0, 640).usableSlots(0), 1);
 });
 
-test("knows no bound without fresh reports", (t) => {
+test("is unbounded without recent reports", (t) => {
   t.is(createShare(1, 4).usableSlots(60_000), Infinity);
-  t.is(share.SlotShare.create().usableSlots(0), Infinity);
+  t.is(slotShare.SlotShare.create().usableSlots(0), Infinity);
 });
 
-test("hosts that start unevenly settle at even shares of the slots", (t) => {
+test("uneven shares of hosts converge to even ones", (t) => {
   let windows = [16, 1, 1, 1];
   for (let round = 0; round < 60; round++) {
     const calls = windows.reduce((sum, own) => sum + own, 0);
     windows = windows.map((own) => {
       const scaled = createShare(0, calls);
       for (let i = 0; i < own; i++) scaled.addCalls(1);
-      // As if another call started while fewer than that were in flight.
+      // A host starts another call while fewer than its share are in flight.
       return Math.ceil(scaled.usableSlots(0));
     });
   }
--- a/src/admission/stage_time_estimator.ts
+++ b/src/admission/stage_time_estimator.ts
@@ -1,69 +1,72 @@
-/** Stage times by input size and output tokens, learnt online.
+/** Online estimates of stage times from input size and output tokens.
  *
- * One record per service and stage: a fit of time, a fit of output tokens, a
- * fit of the stage's input size against the request's size, and the high
- * quantile of actual against predicted time. About 1 KB a record.
+ * Each service and stage has one record: regressions of the time, of the output
+ * tokens, and of the stage's input size against the request's size, and a high
+ * and a low quantile of the ratio of actual to predicted time. A record takes
+ * about 1 KB.
  * @module */
 
-import * as quantile from "./quantile_estimator.ts";
+import * as quantileEstimator from "./quantile_estimator.ts";
 import * as regression from "./regression.ts";
 
-/** One stage's work, as far as known before it runs. */
+/** Input of a stage, as far as known before it runs. */
 export interface StageInput {
   service: string;
   stage: string;
   /** Input tokens. */
   size: number;
-  /** Most output tokens; 0 where it generates none. */
+  /** Maximum output tokens; 0 for a stage that generates none. */
   maxTokens: number;
 }
 
-/** What a finished call took. */
+/** Measurement of a completed call. */
 export interface Sample {
-  /** Milliseconds from the call to the whole answer. */
+  /** Milliseconds from the start of the call to its complete answer. */
   time: number;
   outputTokens: number;
 }
 
-/** One predicted stage. */
+/** Predicted time of a stage, milliseconds. */
 export interface Prediction {
-  /** Milliseconds expected. */
+  /** Expected time. */
   mean: number;
-  /** Milliseconds that 95 of 100 calls stay below. */
+  /** Time that 95 of 100 calls do not exceed. */
   high: number;
-  /** Milliseconds that 90 of 100 calls take at least. */
+  /** Time that 90 of 100 calls take at least. */
   low: number;
 }
 
-/** Most records; later stages share one record for all. */
-const MOST_RECORDS = 1024;
+/** Number of stages with a record of their own; further ones share one. */
+const MAX_RECORDS = 1024;
 
-/** Tokens in one unit of size, so that coefficients are of like magnitude. */
-const UNIT = 1000;
+/** Tokens in one unit of size, so that the coefficients have similar
+ * magnitudes. */
+const UNIT_TOKENS = 1000;
 
-/** Before any sample: 20 ms a call, 100 ms per 1,000 tokens in, 10 ms a token
- * out. */
+/** Prior of the time: 20 ms for a call, 100 ms for 1,000 input tokens, and
+ * 10 ms for an output token. */
 const TIME_PRIOR: regression.Coefficients = {
   constant: 20,
   first: 100,
   second: 10_000,
 };
 
-/** Before any sample: about a quarter of the most tokens is generated. */
+/** Prior of the output: about a quarter of the maximum tokens. */
 const OUTPUT_PRIOR: regression.Coefficients = {
   constant: 0.01,
   first: 0.001,
   second: 0.25,
 };
 
-/** Before any sample: a stage's input is about as large as the request. */
+/** Prior of a stage's input size: about the size of the request. */
 const SIZE_PRIOR: regression.Coefficients = {
   constant: 0.05,
   first: 1,
   second: 0.01,
 };
 
-const HIGH: quantile.Options = {
+/** Parameters of the 95th percentile of actual over predicted time. */
+const HIGH_OPTIONS: quantileEstimator.Options = {
   quantile: 0.95,
   initial: 2,
   step: 0.1,
@@ -71,7 +74,8 @@
   max: 20,
 };
 
-const LOW: quantile.Options = {
+/** Parameters of the 10th percentile of actual over predicted time. */
+const LOW_OPTIONS: quantileEstimator.Options = {
   quantile: 0.1,
   initial: 0.5,
   step: 0.1,
@@ -79,17 +83,18 @@
   max: 1,
 };
 
-interface Record {
+/** Learned estimates of one stage. */
+interface StageRecord {
   time: regression.Regression;
   output: regression.Regression;
   size: regression.Regression;
-  high: quantile.QuantileEstimator;
-  low: quantile.QuantileEstimator;
+  high: quantileEstimator.QuantileEstimator;
+  low: quantileEstimator.QuantileEstimator;
 }
 
-/** Learnt stage times of all services; `observe` changes it in place. */
+/** Stage time estimates of all services; `observe` updates them in place. */
 export class StageTimeEstimator {
-  readonly #records = new Map<string, Record>();
+  readonly #records = new Map<string, StageRecord>();
 
   private constructor() {}
 
@@ -97,38 +102,44 @@
     return new StageTimeEstimator();
   }
 
-  /** Time that a stage is expected to take in a slot. */
-  predict(work: StageInput): Prediction {
-    const record = this.#recordOf(work);
-    const output = outputOf(record, work);
-    const mean = record.time.predict(work.size / UNIT, output / UNIT);
+  /** Predicts the time of a stage in a slot. */
+  predict(input: StageInput): Prediction {
+    const record = this.#recordOf(input);
+    const output = predictOutput(record, input);
+    const mean = record.time.predict(
+      input.size / UNIT_TOKENS,
+      output / UNIT_TOKENS,
+    );
     const { high, low } = record;
     return { mean, high: mean * high.value, low: mean * low.value };
   }
 
-  /** Input size of a stage of a request that came in with `size` tokens. */
+  /** Predicts a stage's input size for a request of `size` tokens. */
   sizeOf(stage: { service: string; stage: string }, size: number): number {
     const record = this.#recordOf(stage);
-    return UNIT * record.size.predict(size / UNIT, 0);
+    return UNIT_TOKENS * record.size.predict(size / UNIT_TOKENS, 0);
   }
 
-  /** Learns from a call that was answered whole. */
-  observe(work: StageInput, sample: Sample): void {
-    const record = this.#recordOf(work);
-    const size = work.size / UNIT;
-    const output = sample.outputTokens / UNIT;
-    const guess = record.time.predict(size, output);
-    record.high.observe(sample.time / guess);
-    record.low.observe(sample.time / guess);
+  /** Adds a sample of a completely answered call. */
+  observe(input: StageInput, sample: Sample): void {
+    const record = this.#recordOf(input);
+    const size = input.size / UNIT_TOKENS;
+    const output = sample.outputTokens / UNIT_TOKENS;
+    const predicted = record.time.predict(size, output);
+    record.high.observe(sample.time / predicted);
+    record.low.observe(sample.time / predicted);
     record.time.observe([size, output], sample.time);
-    if (work.maxTokens > 0) {
-      record.output.observe([size, work.maxTokens / UNIT], output);
+    if (input.maxTokens > 0) {
+      record.output.observe([size, input.maxTokens / UNIT_TOKENS], output);
     }
   }
 
-  /** Learns the input size that a stage got for a request of `size` tokens. */
-  observeSize(work: StageInput, size: number): void {
-    this.#recordOf(work).size.observe([size / UNIT, 0], work.size / UNIT);
+  /** Adds a sample of a stage's input size for a request of `size` tokens. */
+  observeSize(input: StageInput, size: number): void {
+    this.#recordOf(input).size.observe(
+      [size / UNIT_TOKENS, 0],
+      input.size / UNIT_TOKENS,
+    );
   }
 
   toJSON() {
@@ -140,17 +151,17 @@
     return Object.fromEntries(entries);
   }
 
-  #recordOf(work: { service: string; stage: string }): Record {
-    const name = `${work.service} ${work.stage}`;
+  #recordOf(stage: { service: string; stage: string }): StageRecord {
+    const name = `${stage.service} ${stage.stage}`;
     const found = this.#records.get(name);
     if (found !== undefined) return found;
-    if (this.#records.size >= MOST_RECORDS) return this.#shared();
+    if (this.#records.size >= MAX_RECORDS) return this.#sharedRecord();
     const record = createRecord();
     this.#records.set(name, record);
     return record;
   }
 
-  #shared(): Record {
+  #sharedRecord(): StageRecord {
     let record = this.#records.get("");
     if (record === undefined) {
       record = createRecord();
@@ -160,21 +171,21 @@
   }
 }
 
-function createRecord(): Record {
+function createRecord(): StageRecord {
   return {
     time: regression.Regression.create(TIME_PRIOR),
     output: regression.Regression.create(OUTPUT_PRIOR),
     size: regression.Regression.create(SIZE_PRIOR),
-    high: quantile.QuantileEstimator.create(HIGH),
-    low: quantile.QuantileEstimator.create(LOW),
+    high: quantileEstimator.QuantileEstimator.create(HIGH_OPTIONS),
+    low: quantileEstimator.QuantileEstimator.create(LOW_OPTIONS),
   };
 }
 
-function outputOf(record: Record, work: StageInput): number {
-  if (work.maxTokens === 0) return 0;
+function predictOutput(record: StageRecord, input: StageInput): number {
+  if (input.maxTokens === 0) return 0;
   const output = record.output.predict(
-    work.size / UNIT,
-    work.maxTokens / UNIT,
+    input.size / UNIT_TOKENS,
+    input.maxTokens / UNIT_TOKENS,
   );
-  return Math.min(work.maxTokens, UNIT * output);
+  return Math.min(input.maxTokens, UNIT_TOKENS * output);
 }
--- a/src/admission/weight.ts
+++ b/src/admission/weight.ts
@@ -1,56 +1,59 @@
-/** Weights of accounts and kinds, from the rows of the table, and what work
- * counts for under them.
+/** Weights of accounts and request kinds, from the policy table, and the charge
+ * for work under them.
  *
- * Accounts share slots in proportion to their weights. Inside an account, a
- * kind's weight is what one of its requests is worth: kinds share the
- * account's slots the more, the less work a request is, so that under overload
- * more requests are answered.
+ * Accounts share slots in proportion to their weights. Within an account, a
+ * kind's weight is the value of one of its requests: the less work a request
+ * takes, the larger its kind's share of the account's slots, so that more
+ * requests are answered under overload.
  * @module */
 
 import type * as request from "../request/mod.ts";
 
-/** Weight of a row that says nothing. */
+/** Weight of a row that sets none. */
 export const DEFAULT_WEIGHT = 1;
 
-/** Least weight, so that a weight of 0 still drains when nothing else waits. */
+/** Minimum weight; a flow of weight 0 is still served when no other flow has
+ * work. */
 export const MIN_WEIGHT = 0.001;
 
-/** Requests of one client account and one request kind. */
+/** Requests of one kind from one client account. */
 export interface Flow {
   account: string;
   kind: string;
 }
 
-/** Name of a flow, for maps and dumps. */
+/** Name of a flow, as a map key and for dumps. */
 export function nameOf(flow: Flow): string {
   return `${flow.account} ${flow.kind}`;
 }
 
-/** Weight of an account among accounts. */
+/** Weight of an account among all accounts. */
 export function ofAccount(policies: request.Policies, name: string): number {
-  return orLeast(policies.get(`account/${name}`)?.weight);
+  return atLeastMin(policies.get(`account/${name}`)?.weight);
 }
 
 /** Weight of a kind among the kinds of one account. */
 export function ofKind(policies: request.Policies, name: string): number {
-  return orLeast(policies.get(`kind/${name}`)?.weight);
+  return atLeastMin(policies.get(`kind/${name}`)?.weight);
 }
 
-/** Weight of a flow among all, by which overload sheds. */
+/** Weight of a flow among all flows, which determines what is shed under
+ * overload. */
 export function ofFlow(policies: request.Policies, flow: Flow): number {
   const { account, kind } = flow;
   return ofAccount(policies, account) * ofKind(policies, kind);
 }
 
-/** 1 would share slots alike between kinds of one weight; 2 in inverse
- * proportion to work, 3 to its square. Measured: docs/design/admission.md. */
-const CHARGE_POWER = 3;
+/** Exponent of the charge. 1 shares slots equally between kinds of the same
+ * weight, 2 in inverse proportion to the work of a request, and 3 in inverse
+ * proportion to its square. See docs/design/admission.md. */
+const CHARGE_EXPONENT = 3;
 
-/** What work counts for among the kinds of one account. */
+/** Charge for work among the kinds of one account. */
 export function chargeOf(work: number): number {
-  return work ** CHARGE_POWER;
+  return work ** CHARGE_EXPONENT;
 }
 
-function orLeast(weight = DEFAULT_WEIGHT): number {
+function atLeastMin(weight = DEFAULT_WEIGHT): number {
   return Math.max(MIN_WEIGHT, weight);
 }
