--- a/src/routing/duration_histogram.ts
+++ b/src/routing/duration_histogram.ts
@@ -1,26 +1,26 @@
-/** Quantiles of recent durations in a few hundred bytes. The libraries'
- * histograms neither forget nor stay this small, and there is one for each
- * service and size.
+/** Histogram of recent durations in a few hundred bytes. One exists for each
+ * service and size class; library histograms are larger and do not decay old
+ * samples.
  * @module */
 
-/** Buckets in one doubling of the duration. */
-const PER_OCTAVE = 4;
-/** Buckets from 1 ms up to about 18 minutes. */
-const BUCKETS = 80;
-/** Weight at which all counts are halved, so that old samples fade. */
-const CAPACITY = 1024;
+/** Buckets per doubling of the duration. */
+const BUCKETS_PER_DOUBLING = 4;
+/** Number of buckets, from 1 ms up to about 18 minutes. */
+const BUCKET_COUNT = 80;
+/** Total weight at which all counts are halved, so that old samples decay. */
+const MAX_WEIGHT = 1024;
 
-/** Histogram of durations in milliseconds, on a logarithmic scale. */
+/** Histogram of durations in milliseconds, with logarithmic buckets. */
 export class DurationHistogram {
-  #counts = new Float32Array(BUCKETS);
+  #counts = new Float32Array(BUCKET_COUNT);
   #total = 0;
 
-  /** A histogram without samples. */
+  /** Creates a histogram without samples. */
   static create(): DurationHistogram {
     return new DurationHistogram();
   }
 
-  /** Weight of the samples that still count. */
+  /** Total weight of the samples after decay. */
   get total(): number {
     return this.#total;
   }
@@ -29,19 +29,19 @@
   add(ms: number): void {
     this.#counts[bucketOf(ms)]++;
     this.#total++;
-    if (this.#total >= CAPACITY) this.#halve();
+    if (this.#total >= MAX_WEIGHT) this.#halve();
   }
 
   /** Duration that a share `q` of the samples does not exceed; undefined
    * without samples. */
   quantile(q: number): number | undefined {
     if (this.#total === 0) return undefined;
-    let left = q * this.#total;
-    for (let pos = 0; pos < BUCKETS; pos++) {
-      left -= this.#counts[pos];
-      if (left <= 0 && this.#counts[pos] > 0) return upperEnd(pos);
+    let remaining = q * this.#total;
+    for (let pos = 0; pos < BUCKET_COUNT; pos++) {
+      remaining -= this.#counts[pos];
+      if (remaining <= 0 && this.#counts[pos] > 0) return upperBound(pos);
     }
-    return upperEnd(BUCKETS - 1);
+    return upperBound(BUCKET_COUNT - 1);
   }
 
   /** Share of the samples that do not exceed `ms`. */
@@ -54,7 +54,7 @@
 
   #halve(): void {
     this.#total = 0;
-    for (let pos = 0; pos < BUCKETS; pos++) {
+    for (let pos = 0; pos < BUCKET_COUNT; pos++) {
       this.#counts[pos] /= 2;
       this.#total += this.#counts[pos];
     }
@@ -62,10 +62,10 @@
 }
 
 function bucketOf(ms: number): number {
-  const pos = Math.ceil(Math.log2(Math.max(1, ms)) * PER_OCTAVE);
-  return Math.min(BUCKETS - 1, pos);
+  const pos = Math.ceil(Math.log2(Math.max(1, ms)) * BUCKETS_PER_DOUBLING);
+  return Math.min(BUCKET_COUNT - 1, pos);
 }
 
-function upperEnd(pos: number): number {
-  return 2 ** (pos / PER_OCTAVE);
+function upperBound(pos: number): number {
+  return 2 ** (pos / BUCKETS_PER_DOUBLING);
 }
--- a/src/routing/endpoint_choice.ts
+++ b/src/routing/endpoint_choice.ts
@@ -1,56 +1,60 @@
-/** Choice of the endpoint with the least predicted finish among a small random
- * sample, the believed holders of the prompt's prefix and its home.
+/** Endpoint choice: picks the endpoint with the earliest predicted finish
+ * among a small random sample, the engines believed to have the prompt's prefix
+ * cached, and the prompt's endpoint on the hash ring.
  *
- * A sample, since hosts share no counts: if each took the least loaded of all,
- * all would take the same one until the next report.
+ * Only a sample is compared, since hosts exchange no counts: if each host took
+ * the least loaded of all endpoints, all hosts would take the same one until
+ * the next load report.
  * @module */
 
 import type * as endpoint from "../schema/endpoint_types.ts";
-import type * as group from "./endpoint_group.ts";
+import type * as endpointGroup from "./endpoint_group.ts";
 import type * as pool from "./pool.ts";
-import * as finish from "./finish_time.ts";
+import * as finishTime from "./finish_time.ts";
 
-/** A call that needs an endpoint. */
+/** A call for which an endpoint is chosen. */
 export interface Call {
-  /** Milliseconds that it takes at an idle, typical endpoint. */
+  /** Time of the call at an idle, typical endpoint, milliseconds. */
   work: number;
-  /** Milliseconds of that for the prefill of the whole prompt. */
+  /** Part of `work` for the prefill of the whole prompt, milliseconds. */
   prefill: number;
   /** Hashes of the prompt's prefix blocks, longest last. */
   prefix: readonly string[];
   role: endpoint.EngineRole;
-  /** Endpoints that may not be chosen. */
+  /** Ids of endpoints that must not be chosen. */
   avoid: readonly string[];
-  /** Whether it may be sent to an ejected endpoint as a probe: only a call
-   * that can be repeated. */
+  /** Whether the call may be sent to an ejected endpoint as a probe, which only
+   * an idempotent call may. */
   probe: boolean;
 }
 
 /** An endpoint chosen for a call. */
 export interface Choice {
   endpoint: string;
-  /** Milliseconds until the call is expected to finish. */
+  /** Predicted milliseconds until the call finishes. */
   finish: number;
-  /** Leading blocks of its prompt believed to be cached there. */
+  /** Leading blocks of the prompt that are believed to be cached there. */
   blocks: number;
 }
 
-/** Endpoints compared for one choice. */
-const SAMPLE = 4;
-/** Pools of at most this many with room are compared as a whole. */
-const WHOLE = 12;
-/** Draws for one choice at most. */
-const DRAWS = 16;
-/** Load over the group's mean, above which affinity counts no more. */
-const BOUND = 1.25;
-/** Share of its slots up to which affinity always counts. */
-const LIGHT = 0.5;
-/** Finish over the best one's that a prompt's home may have. */
-const HOME = 1.1;
-
-/** Chooses among the members of `from`; undefined when none has room. */
+/** Number of endpoints sampled for one choice. */
+const SAMPLE_COUNT = 4;
+/** Number of available endpoints up to which all are compared. */
+const FULL_SCAN_COUNT = 12;
+/** Maximum number of random draws for one choice. */
+const MAX_DRAWS = 16;
+/** Ratio of an endpoint's load to the group's mean above which affinity is
+ * ignored. */
+const AFFINITY_LOAD_RATIO = 1.25;
+/** Share of an endpoint's slots in use below which affinity always applies. */
+const AFFINITY_SLOT_RATIO = 0.5;
+/** Maximum ratio of the predicted finish at the prompt's ring endpoint to the
+ * best one. */
+const RING_FINISH_RATIO = 1.1;
+
+/** Chooses an endpoint of `from`; undefined when none has a free slot. */
 export function choose(
-  from: group.EndpointGroup,
+  from: endpointGroup.EndpointGroup,
   call: Call,
   now: number,
 ): Choice | undefined {
@@ -58,175 +62,178 @@
   return search.probe() ?? search.run();
 }
 
-/** One choice under way. */
+/** State of one choice. */
 class Search {
-  #from: group.EndpointGroup;
+  #group: endpointGroup.EndpointGroup;
   #call: Call;
   #now: number;
   #best: Choice | undefined;
-  #spare: Choice | undefined;
+  #fallback: Choice | undefined;
 
-  constructor(from: group.EndpointGroup, call: Call, now: number) {
-    this.#from = from;
+  constructor(from: endpointGroup.EndpointGroup, call: Call, now: number) {
+    this.#group = from;
     this.#call = call;
     this.#now = now;
   }
 
-  /** An ejected endpoint whose time for a probe has come. */
+  /** Chooses an ejected endpoint that is due for a probe. */
   probe(): Choice | undefined {
     if (!this.#call.probe) return undefined;
-    const id = this.#from.outliers.dueProbe(this.#now);
-    const member = id === undefined ? undefined : this.#from.member(id);
-    if (member === undefined || !this.#usable(member)) return undefined;
-    return this.#weigh(member, 0);
+    const id = this.#group.outliers.dueProbe(this.#now);
+    const member = id === undefined ? undefined : this.#group.member(id);
+    if (member === undefined || !this.#isUsable(member)) return undefined;
+    return this.#evaluate(member, 0);
   }
 
   run(): Choice | undefined {
-    const pools = [...this.#from.pools(this.#call.role)];
-    this.#from.recheckUnavailable(pools, this.#now);
+    const pools = [...this.#group.pools(this.#call.role)];
+    this.#group.recheckUnavailable(pools, this.#now);
     this.#considerHolders();
     this.#considerPools(pools);
-    this.#considerHome();
-    return this.#best ?? this.#spare ?? this.#lastResort(pools);
+    this.#considerRingMember();
+    return this.#best ?? this.#fallback ?? this.#firstUsable(pools);
   }
 
   #considerHolders(): void {
     const { prefix, prefill } = this.#call;
     if (prefix.length === 0 || prefill === 0) return;
-    for (const one of this.#from.prefixIndex.holders(prefix, this.#now)) {
-      const member = this.#from.member(one.endpoint);
-      if (member === undefined || !this.#bounded(member)) continue;
-      this.#consider(member, one.blocks);
+    for (const holder of this.#group.prefixIndex.holders(prefix, this.#now)) {
+      const member = this.#group.member(holder.endpoint);
+      if (member === undefined || !this.#allowsAffinity(member)) continue;
+      this.#consider(member, holder.blocks);
     }
   }
 
   #considerPools(pools: readonly pool.Pool[]): void {
-    let open = 0;
-    for (const one of pools) open += one.available.length;
-    if (open <= WHOLE) {
-      for (const one of pools) this.#considerAll(one);
-    } else this.#sample(pools, open);
+    let availableCount = 0;
+    for (const each of pools) availableCount += each.available.length;
+    if (availableCount <= FULL_SCAN_COUNT) {
+      for (const each of pools) this.#considerAll(each);
+    } else this.#sample(pools, availableCount);
   }
 
-  /** Begins anywhere, so that hosts that know nothing do not agree. */
+  /** Starts at a random member, so that hosts without load information do not
+   * all prefer the same one. */
   #considerAll(from: pool.Pool): void {
-    // A copy, as members without room leave the list on the way.
+    // A copy, as members found to be full leave the list during the iteration.
     const members = [...from.available];
-    const start = this.#from.random.below(members.length);
+    const start = this.#group.random.below(members.length);
     for (let pos = 0; pos < members.length; pos++) {
       this.#consider(members[(start + pos) % members.length], 0);
     }
   }
 
-  /** Draws one half nearby, where there is any, the rest from all. */
-  #sample(pools: readonly pool.Pool[], open: number): void {
-    const near = pools.find((one) => one.isLocal);
+  /** Draws half of the sample from the local data centre, if it has a pool, and
+   * the rest from all pools. */
+  #sample(pools: readonly pool.Pool[], availableCount: number): void {
+    const localPool = pools.find((each) => each.isLocal);
     let taken = 0;
-    for (let draw = 0; draw < DRAWS && taken < SAMPLE; draw++) {
-      const nearby = draw % 2 === 0 ? near : undefined;
-      const from = nearby ?? this.#draw(pools, open);
-      const member = from.sample(this.#from.random);
+    for (let draw = 0; draw < MAX_DRAWS && taken < SAMPLE_COUNT; draw++) {
+      const preferred = draw % 2 === 0 ? localPool : undefined;
+      const from = preferred ?? this.#drawPool(pools, availableCount);
+      const member = from.sample(this.#group.random);
       if (member !== undefined && this.#consider(member, 0)) taken++;
     }
   }
 
-  /** A pool with a chance that follows its members with room. */
-  #draw(pools: readonly pool.Pool[], open: number): pool.Pool {
-    let left = this.#from.random.below(open);
-    for (const one of pools) {
-      left -= one.available.length;
-      if (left < 0) return one;
+  /** Draws a pool with a probability proportional to its available members. */
+  #drawPool(pools: readonly pool.Pool[], availableCount: number): pool.Pool {
+    let remaining = this.#group.random.below(availableCount);
+    for (const each of pools) {
+      remaining -= each.available.length;
+      if (remaining < 0) return each;
     }
     return pools[0];
   }
 
-  /** The prompt's place on the ring, the same for all hosts, so that prompts
-   * that begin alike meet where their prefix will be cached. */
-  #considerHome(): void {
+  /** Considers the prompt's endpoint on the hash ring, which is the same for
+   * all hosts, so that prompts with a common beginning are sent where their
+   * prefix will be cached. */
+  #considerRingMember(): void {
     const best = this.#best;
     if (best === undefined || best.blocks > 0) return;
     if (this.#call.prefix.length === 0 || this.#call.prefill === 0) return;
-    const id = this.#from.ring.lookup(this.#call.prefix[0]);
-    const member = id === undefined ? undefined : this.#from.member(id);
-    if (member === undefined || !this.#usable(member)) return;
-    if (!this.#bounded(member) || !this.#accept(member)) return;
-    const home = this.#weigh(member, 0);
-    if (home.finish <= HOME * best.finish) this.#best = home;
+    const id = this.#group.ring.lookup(this.#call.prefix[0]);
+    const member = id === undefined ? undefined : this.#group.member(id);
+    if (member === undefined || !this.#isUsable(member)) return;
+    if (!this.#allowsAffinity(member) || !this.#accept(member)) return;
+    const found = this.#evaluate(member, 0);
+    if (found.finish <= RING_FINISH_RATIO * best.finish) this.#best = found;
   }
 
-  /** Takes a member if it beats the best so far; false if it may not be
-   * chosen now. */
+  /** Keeps a member if it beats the best one so far; returns false if the
+   * member must not be chosen now. */
   #consider(member: pool.Member, blocks: number): boolean {
-    if (!this.#usable(member)) return false;
-    const weighed = this.#weigh(member, blocks);
+    if (!this.#isUsable(member)) return false;
+    const found = this.#evaluate(member, blocks);
     if (this.#accept(member)) {
-      this.#best = sooner(this.#best, weighed);
+      this.#best = earlier(this.#best, found);
       return true;
     }
-    if (!this.#held(member)) this.#spare = sooner(this.#spare, weighed);
+    if (!this.#isHeld(member)) this.#fallback = earlier(this.#fallback, found);
     return false;
   }
 
-  /** Members that may be chosen when none with full weight was drawn. */
-  #lastResort(pools: readonly pool.Pool[]): Choice | undefined {
-    for (const one of pools) {
-      const length = Math.min(one.available.length, DRAWS);
-      const start = this.#from.random.below(one.available.length);
+  /** Returns the first usable member when none was accepted by its weight. */
+  #firstUsable(pools: readonly pool.Pool[]): Choice | undefined {
+    for (const each of pools) {
+      const length = Math.min(each.available.length, MAX_DRAWS);
+      const start = this.#group.random.below(each.available.length);
       for (let pos = 0; pos < length; pos++) {
-        const member = one.available[(start + pos) % one.available.length];
+        const member = each.available[(start + pos) % each.available.length];
         if (member === undefined) continue;
-        if (!this.#usable(member) || this.#held(member)) continue;
-        return this.#weigh(member, 0);
+        if (!this.#isUsable(member) || this.#isHeld(member)) continue;
+        return this.#evaluate(member, 0);
       }
     }
     return undefined;
   }
 
-  #usable(member: pool.Member): boolean {
+  #isUsable(member: pool.Member): boolean {
     const { endpoint } = member;
     if (endpoint.state !== "ready" || endpoint.role !== this.#call.role) {
       return false;
     }
     if (this.#call.avoid.includes(endpoint.id)) return false;
-    return this.#from.updateAvailability(member, this.#now);
+    return this.#group.updateAvailability(member, this.#now);
   }
 
-  /** By chance, as often as the member's weight says. */
+  /** Accepts a member with a probability equal to its weight. */
   #accept(member: pool.Member): boolean {
-    const weight = this.#from.outliers.weight(member.endpoint.id, this.#now);
-    return weight >= 1 || this.#from.random.next() < weight;
+    const weight = this.#group.outliers.weight(member.endpoint.id, this.#now);
+    return weight >= 1 || this.#group.random.next() < weight;
   }
 
-  #held(member: pool.Member): boolean {
-    return this.#from.outliers.weight(member.endpoint.id, this.#now) === 0;
+  #isHeld(member: pool.Member): boolean {
+    return this.#group.outliers.weight(member.endpoint.id, this.#now) === 0;
   }
 
-  /** Whether affinity may add to a member's load. */
-  #bounded(member: pool.Member): boolean {
-    const load = this.#from.predictLoad(member, this.#now);
+  /** Whether a member's load is low enough for prefix affinity. */
+  #allowsAffinity(member: pool.Member): boolean {
+    const load = this.#group.predictLoad(member, this.#now);
     const { slots } = member.endpoint;
-    if (load < LIGHT * slots) return true;
-    const mean = (this.#from.totalCalls + 1) / this.#from.slots;
-    return load <= BOUND * mean * slots;
+    if (load < AFFINITY_SLOT_RATIO * slots) return true;
+    const meanUtilisation = (this.#group.totalCalls + 1) / this.#group.slots;
+    return load <= AFFINITY_LOAD_RATIO * meanUtilisation * slots;
   }
 
-  #weigh(member: pool.Member, blocks: number): Choice {
+  #evaluate(member: pool.Member, blocks: number): Choice {
     const { endpoint } = member;
     const { work, prefill, prefix } = this.#call;
-    const predicted = finish.predict({
+    const predicted = finishTime.predict({
       latency: member.pool?.latency ?? 0,
       work,
       saved: blocks === 0 ? 0 : prefill * blocks / prefix.length,
-      load: this.#from.predictLoad(member, this.#now),
+      load: this.#group.predictLoad(member, this.#now),
       slots: endpoint.slots,
-      service: this.#from.meanServiceTime || work,
-      slowness: this.#from.outliers.slowness(endpoint.id),
+      service: this.#group.meanServiceTime || work,
+      slowness: this.#group.outliers.slowness(endpoint.id),
       kvUsed: member.kvUsed,
     });
     return { endpoint: endpoint.id, finish: predicted, blocks };
   }
 }
 
-function sooner(best: Choice | undefined, other: Choice): Choice {
+function earlier(best: Choice | undefined, other: Choice): Choice {
   return best === undefined || other.finish < best.finish ? other : best;
 }
--- a/src/routing/endpoint_group.ts
+++ b/src/routing/endpoint_group.ts
@@ -1,60 +1,61 @@
-/** Endpoints of one service as routing sees them: load, health, belief about
- * their caches, and pools from which one is chosen.
+/** Endpoints of one service with their load, health and believed cache
+ * contents, and the pools from which one is chosen.
  * @module */
 
 import type * as endpoint from "../schema/endpoint_types.ts";
 import type * as event from "../request/event.ts";
 import type * as runtime from "../runtime/mod.ts";
-import * as ejection from "./outlier_detector.ts";
+import * as outlierDetector from "./outlier_detector.ts";
 import type * as health from "./health.ts";
-import * as load from "./load_estimate.ts";
+import * as loadEstimate from "./load_estimate.ts";
 import * as pool from "./pool.ts";
-import * as prefix from "./prefix_index.ts";
-import * as ring from "./hash_ring.ts";
+import * as prefixIndex from "./prefix_index.ts";
+import * as hashRing from "./hash_ring.ts";
 
-/** Where a host is and what it draws random numbers from. */
+/** Configuration of a group. */
 export interface Options {
+  /** Data centre of this host. */
   dataCentre: string;
   random: runtime.Random;
-  /** Milliseconds to another data centre and back. */
+  /** Round trip to another data centre, milliseconds. */
   latency?: number;
 }
 
-/** How a call ended. */
+/** Result of a call. */
 export interface CallResult {
-  /** Undefined where the end says nothing of the endpoint's health. */
+  /** Undefined if the result says nothing about the endpoint's health. */
   observation?: health.Observation;
-  /** Milliseconds that the call took, where it ended well. */
+  /** Milliseconds that a successful call took. */
   serviceTime?: number;
 }
 
-/** Milliseconds to another data centre and back. */
-const FAR = 2.5;
-/** Weight of the newest call in the mean time of a call. */
-const ALPHA = 0.02;
+/** Default round trip to another data centre. */
+const REMOTE_LATENCY_MS = 2.5;
+/** Weight of the newest call in the moving average of the service time. */
+const SERVICE_TIME_STEP = 0.02;
 
-/** Members of one service; changed in place. */
+/** Endpoints of one service; mutated in place. */
 export class EndpointGroup {
-  readonly outliers = ejection.OutlierDetector.create();
-  readonly prefixIndex = prefix.PrefixIndex.create();
-  readonly ring = ring.HashRing.create();
+  readonly outliers = outlierDetector.OutlierDetector.create();
+  readonly prefixIndex = prefixIndex.PrefixIndex.create();
+  readonly ring = hashRing.HashRing.create();
   readonly random: runtime.Random;
   #dataCentre: string;
   #latency: number;
   #members = new Map<string, pool.Member>();
   #pools = new Map<endpoint.EngineRole, Map<string, pool.Pool>>();
-  #own = 0;
-  #foreign = 0;
+  #ownCalls = 0;
+  #otherHostCalls = 0;
   #slots = 0;
-  #service = 0;
+  #meanServiceTime = 0;
 
   private constructor(options: Options) {
     this.random = options.random;
     this.#dataCentre = options.dataCentre;
-    this.#latency = options.latency ?? FAR;
+    this.#latency = options.latency ?? REMOTE_LATENCY_MS;
   }
 
-  /** A group without members. */
+  /** Creates a group without members. */
   static create(options: Options): EndpointGroup {
     return new EndpointGroup(options);
   }
@@ -64,22 +65,22 @@
     return this.#members.size;
   }
 
-  /** Mean time of a call in milliseconds; 0 before the first. */
+  /** Mean service time of a call, milliseconds; 0 before the first call. */
   get meanServiceTime(): number {
-    return this.#service;
+    return this.#meanServiceTime;
   }
 
-  /** Calls in the group over those it runs side by side. */
+  /** Ratio of the calls in the group to its slots. */
   get utilisation(): number {
     return this.#slots === 0 ? 0 : this.totalCalls / this.#slots;
   }
 
-  /** Calls in the group, of this and of other hosts. */
+  /** Calls of all hosts in the group. */
   get totalCalls(): number {
-    return this.#own + this.#foreign;
+    return this.#ownCalls + this.#otherHostCalls;
   }
 
-  /** Calls that the group runs side by side. */
+  /** Calls that the group runs concurrently. */
   get slots(): number {
     return this.#slots;
   }
@@ -89,7 +90,7 @@
     return this.#members.get(id);
   }
 
-  /** Whether a ready member is not among these. */
+  /** Whether the group has a ready member that is not among `ids`. */
   hasOther(ids: readonly string[]): boolean {
     for (const [id, member] of this.#members) {
       if (member.pool !== undefined && !ids.includes(id)) return true;
@@ -107,43 +108,43 @@
     return this.#pools.get(role)?.values() ?? [];
   }
 
-  /** Adds an endpoint, or takes in what changed of it. */
-  upsert(described: event.Endpoint): void {
-    const known = this.#members.get(described.id);
-    if (known !== undefined && same(known.endpoint, described)) return;
-    if (known !== undefined && restarted(known.endpoint, described)) {
-      this.prefixIndex.removeEngine(described.id);
+  /** Adds an endpoint, or updates it. */
+  upsert(updated: event.Endpoint): void {
+    const known = this.#members.get(updated.id);
+    if (known !== undefined && isUnchanged(known.endpoint, updated)) return;
+    if (known !== undefined && hasRestarted(known.endpoint, updated)) {
+      this.prefixIndex.removeEngine(updated.id);
     }
-    const member = known ?? this.#enter(described);
-    this.#slots += described.slots - (known?.endpoint.slots ?? 0);
+    const member = known ?? this.#addMember(updated);
+    this.#slots += updated.slots - (known?.endpoint.slots ?? 0);
     member.pool?.remove(member);
-    member.endpoint = described;
-    if (described.state === "ready") this.#poolOf(described).add(member);
+    member.endpoint = updated;
+    if (updated.state === "ready") this.#poolOf(updated).add(member);
   }
 
-  /** Removes an endpoint that is gone. */
+  /** Removes an endpoint and all of its state. */
   remove(id: string): void {
     const member = this.#members.get(id);
     if (member === undefined) return;
     member.pool?.remove(member);
     this.#members.delete(id);
     this.#slots -= member.endpoint.slots;
-    this.#own -= member.load.ownCalls;
-    this.#foreign -= member.otherHostCalls;
+    this.#ownCalls -= member.load.ownCalls;
+    this.#otherHostCalls -= member.otherHostCalls;
     this.outliers.remove(id);
     this.prefixIndex.removeEngine(id);
     this.ring.remove(id);
   }
 
-  /** Takes a load report. */
-  reportLoad(id: string, seen: event.Load, now: number): void {
+  /** Applies a load report. */
+  reportLoad(id: string, report: event.Load, now: number): void {
     const member = this.#members.get(id);
     if (member === undefined) return;
-    member.load.report(seen, now);
-    member.kvUsed = seen.kvUsed;
-    const foreign = member.load.reportedOtherHostCalls;
-    this.#foreign += foreign - member.otherHostCalls;
-    member.otherHostCalls = foreign;
+    member.load.report(report, now);
+    member.kvUsed = report.kvUsed;
+    const otherHostCalls = member.load.reportedOtherHostCalls;
+    this.#otherHostCalls += otherHostCalls - member.otherHostCalls;
+    member.otherHostCalls = otherHostCalls;
     this.updateAvailability(member, now);
   }
 
@@ -152,92 +153,99 @@
     const member = this.#members.get(id);
     if (member === undefined) return;
     member.load.startCall(now);
-    this.#own++;
+    this.#ownCalls++;
     this.outliers.startCall(id, now);
     if (blocks.length > 0) this.prefixIndex.recordPrompt(id, blocks, now);
     this.updateAvailability(member, now);
   }
 
   /** Counts the end of a call that was sent to a member. */
-  endCall(id: string, ended: CallResult, now: number): void {
-    if (ended.serviceTime !== undefined) this.#learn(ended.serviceTime);
+  endCall(id: string, result: CallResult, now: number): void {
+    if (result.serviceTime !== undefined) this.#observeTime(result.serviceTime);
     const member = this.#members.get(id);
     if (member === undefined) return;
-    if (member.load.ownCalls > 0) this.#own--;
+    if (member.load.ownCalls > 0) this.#ownCalls--;
     member.load.endCall(now);
-    if (ended.observation) this.outliers.observe(id, ended.observation, now);
+    if (result.observation) this.outliers.observe(id, result.observation, now);
     this.updateAvailability(member, now);
   }
 
-  /** Calls that a member is believed to have. */
+  /** Predicted number of calls at a member. */
   predictLoad(member: pool.Member, now: number): number {
-    const prior = this.#foreign * member.endpoint.slots / this.#slots;
-    return member.load.predict(now, { prior, serviceTime: this.#service });
+    const prior = this.#otherHostCalls * member.endpoint.slots / this.#slots;
+    return member.load.predict(now, {
+      prior,
+      serviceTime: this.#meanServiceTime,
+    });
   }
 
-  /** Whether a member may take one more call; moves it in its pool. Only
-   * what was reported of others counts here, not what is usual: else all
-   * hosts would wait for a report when the group is busy. */
+  /** Updates a member's availability in its pool; returns whether it can take
+   * one more call. Other hosts' calls count only as reported, without the prior
+   * that `predictLoad` adds: with the prior, all hosts would hold calls back
+   * until the next report whenever the group is busy. */
   updateAvailability(member: pool.Member, now: number): boolean {
     const { slots } = member.endpoint;
-    const load = member.load.predict(now, { serviceTime: this.#service });
-    const open = member.load.ownCalls < slots && load < slots;
-    member.pool?.setAvailable(member, open);
-    return open && member.pool !== undefined;
+    const load = member.load.predict(now, {
+      serviceTime: this.#meanServiceTime,
+    });
+    const available = member.load.ownCalls < slots && load < slots;
+    member.pool?.setAvailable(member, available);
+    return available && member.pool !== undefined;
   }
 
-  /** Looks again at one member without room in each pool: reports fade. */
+  /** Rechecks one unavailable member in each pool, since reported calls
+   * decay over time. */
   recheckUnavailable(pools: Iterable<pool.Pool>, now: number): void {
-    for (const one of pools) {
-      const member = one.nextUnavailable();
+    for (const each of pools) {
+      const member = each.nextUnavailable();
       if (member !== undefined) this.updateAvailability(member, now);
     }
   }
 
-  #enter(described: event.Endpoint): pool.Member {
+  #addMember(added: event.Endpoint): pool.Member {
     const member: pool.Member = {
-      endpoint: described,
-      load: load.LoadEstimate.create(),
+      endpoint: added,
+      load: loadEstimate.LoadEstimate.create(),
       kvUsed: 0,
       otherHostCalls: 0,
       pool: undefined,
       available: false,
       pos: 0,
     };
-    this.#members.set(described.id, member);
-    this.outliers.add(described.id);
-    this.ring.add(described.id);
+    this.#members.set(added.id, member);
+    this.outliers.add(added.id);
+    this.ring.add(added.id);
     return member;
   }
 
-  #poolOf(described: event.Endpoint): pool.Pool {
-    let pools = this.#pools.get(described.role);
+  #poolOf(added: event.Endpoint): pool.Pool {
+    let pools = this.#pools.get(added.role);
     if (pools === undefined) {
       pools = new Map();
-      this.#pools.set(described.role, pools);
+      this.#pools.set(added.role, pools);
     }
-    let found = pools.get(described.dataCentre);
+    let found = pools.get(added.dataCentre);
     if (found === undefined) {
-      const near = described.dataCentre === this.#dataCentre;
-      found = pool.Pool.create(near, near ? 0 : this.#latency);
-      pools.set(described.dataCentre, found);
+      const isLocal = added.dataCentre === this.#dataCentre;
+      found = pool.Pool.create(isLocal, isLocal ? 0 : this.#latency);
+      pools.set(added.dataCentre, found);
     }
     return found;
   }
 
-  #learn(service: number): void {
-    const alpha = this.#service === 0 ? 1 : ALPHA;
-    this.#service += alpha * (service - this.#service);
+  #observeTime(serviceTime: number): void {
+    const alpha = this.#meanServiceTime === 0 ? 1 : SERVICE_TIME_STEP;
+    this.#meanServiceTime += alpha * (serviceTime - this.#meanServiceTime);
   }
 }
 
-function same(a: event.Endpoint, b: event.Endpoint): boolean {
+function isUnchanged(a: event.Endpoint, b: event.Endpoint): boolean {
   return a.service === b.service && a.dataCentre === b.dataCentre &&
     a.slots === b.slots && a.role === b.role && a.state === b.state &&
-    !restarted(a, b);
+    !hasRestarted(a, b);
 }
 
-/** Whether it is another run of the endpoint. */
-function restarted(a: event.Endpoint, b: event.Endpoint): boolean {
+/** Whether the endpoint has restarted between `a` and `b`. */
+function hasRestarted(a: event.Endpoint, b: event.Endpoint): boolean {
   return a.generation !== b.generation;
 }
--- a/src/routing/extra_call_budget.ts
+++ b/src/routing/extra_call_budget.ts
@@ -1,59 +1,62 @@
-/** How many extra calls, such as retries, a service may get: a share of its
- * recent requests, so that failures never multiply the load.
+/** Budget for extra calls, such as retries and hedges: a share of the service's
+ * recent requests, so that failures cannot multiply the load.
  * @module */
 
-/** What a budget grants. */
+/** Configuration of a budget. */
 export interface Options {
-  /** Extra calls for each request, such as 0.1. */
+  /** Extra calls granted for each request, such as 0.1. */
   ratio: number;
-  /** Extra calls a second that are granted even without requests. */
+  /** Extra calls per second that are granted even without requests. */
   floor?: number;
-  /** Most extra calls that can be saved up. */
+  /** Maximum number of extra calls that accumulate. */
   burst?: number;
 }
 
-/** Milliseconds in which half of what was saved up is lost. */
-const HALF_LIFE = 10_000;
-/** Extra calls a second granted to a service with hardly any requests. */
-const FLOOR = 0.2;
-/** Extra calls that can be saved up. */
-const BURST = 20;
+/** Half-life of the balance. */
+const HALF_LIFE_MS = 10_000;
+/** Default of `floor`: extra calls per second. */
+const DEFAULT_FLOOR = 0.2;
+/** Default of `burst`. */
+const DEFAULT_BURST = 20;
 
-/** Budget of extra calls of one service; changed in place. */
+/** Budget for extra calls of one service; mutated in place. */
 export class ExtraCallBudget {
-  #share: number;
+  #ratio: number;
   #floor: number;
   #burst: number;
   #balance: number;
-  #updated: number;
+  #updatedAt: number;
 
-  private constructor(limits: Options, now: number) {
-    this.#share = limits.ratio;
-    this.#floor = limits.floor ?? FLOOR;
-    this.#burst = limits.burst ?? BURST;
+  private constructor(options: Options, now: number) {
+    this.#ratio = options.ratio;
+    this.#floor = options.floor ?? DEFAULT_FLOOR;
+    this.#burst = options.burst ?? DEFAULT_BURST;
     this.#balance = this.#floor > 0 ? Math.min(1, this.#burst) : 0;
-    this.#updated = now;
+    this.#updatedAt = now;
   }
 
-  /** A budget that holds one call to start with, unless its floor is 0. */
-  static create(limits: Options, now: number): ExtraCallBudget {
-    return new ExtraCallBudget(limits, now);
+  /** Creates a budget with a balance of one call, or of none if `floor` is
+   * 0. */
+  static create(options: Options, now: number): ExtraCallBudget {
+    return new ExtraCallBudget(options, now);
   }
 
-  /** Counts a request, not a repeated call; `scale` scales its share. */
+  /** Adds the share of one request; retries are not deposited. `scale` scales
+   * the share. */
   deposit(now: number, scale = 1): void {
     this.#decay(now);
-    const balance = this.#balance + this.#share * scale;
+    const balance = this.#balance + this.#ratio * scale;
     this.#balance = Math.min(this.#burst, balance);
   }
 
-  /** Extra calls granted now. */
+  /** Number of extra calls that may be made now. */
   available(now: number): number {
     this.#decay(now);
     return this.#balance;
   }
 
-  /** Takes the cost of an extra call, or nothing and returns false. */
+  /** Withdraws the cost of an extra call; returns false and withdraws nothing
+   * when the balance is too low. */
   take(now: number, cost = 1): boolean {
     if (this.available(now) < cost) return false;
     this.#balance -= cost;
@@ -61,10 +64,10 @@
   }
 
   #decay(now: number): void {
-    const passed = now - this.#updated;
+    const passed = now - this.#updatedAt;
     if (passed <= 0) return;
-    this.#updated = now;
-    const kept = this.#balance * 2 ** (-passed / HALF_LIFE);
+    this.#updatedAt = now;
+    const kept = this.#balance * 2 ** (-passed / HALF_LIFE_MS);
     const floor = Math.min(1, kept + this.#floor * passed / 1000);
     this.#balance = Math.max(kept, floor);
   }
--- a/src/routing/finish_time.ts
+++ b/src/routing/finish_time.ts
@@ -1,41 +1,42 @@
-/** When a call would finish at an endpoint.
+/** Predicts the time until a call finishes at an endpoint.
  * @module */
 
-/** What a prediction rests on; times in milliseconds. */
+/** Properties of a call and of an endpoint; times in milliseconds. */
 export interface Conditions {
-  /** Way to the endpoint and back. */
+  /** Round trip to the endpoint. */
   latency: number;
   /** Time of the call at an idle, typical endpoint. */
   work: number;
   /** Part of the work that a cached prefix saves. */
   saved: number;
-  /** Calls that the endpoint has. */
+  /** Running and waiting calls at the endpoint. */
   load: number;
-  /** Calls that it runs side by side. */
+  /** Calls that the endpoint runs concurrently. */
   slots: number;
-  /** Time that a call of the group takes on average. */
+  /** Mean service time of a call in the group. */
   service: number;
-  /** Time that the endpoint takes over that of a typical one. */
+  /** Ratio of the endpoint's times to those of a typical one. */
   slowness: number;
   /** Share of KV memory in use, 0 to 1. */
   kvUsed: number;
 }
 
-/** Added time of a call in a full batch against one alone. */
-const BATCHING = 0.5;
-/** Share of KV memory above which engines begin to push calls out. */
-const KV_TIGHT = 0.9;
-/** Added time of a call when KV memory is full. */
-const KV_FULL = 1;
+/** Relative slowdown of a call in a full batch. */
+const BATCH_SLOWDOWN_RATIO = 0.5;
+/** Share of KV memory in use above which engines begin to preempt calls. */
+const KV_PRESSURE_RATIO = 0.9;
+/** Relative slowdown of a call when KV memory is full. */
+const KV_FULL_SLOWDOWN_RATIO = 1;
 
-/** Milliseconds until the call would finish. */
-export function predict(prospect: Conditions): number {
-  const { load, slots } = prospect;
+/** Predicts the milliseconds until the call finishes. */
+export function predict(conditions: Conditions): number {
+  const { load, slots } = conditions;
   const waiting = Math.max(0, load + 1 - slots) / slots;
-  const batch = 1 + BATCHING * Math.min(1, load / slots);
-  const tight = Math.max(0, prospect.kvUsed - KV_TIGHT) / (1 - KV_TIGHT);
-  const crowded = batch + KV_FULL * tight;
-  const run = Math.max(0, prospect.work - prospect.saved) * crowded;
-  const queue = waiting * prospect.service;
-  return prospect.latency + (queue + run) * prospect.slowness;
+  const batch = 1 + BATCH_SLOWDOWN_RATIO * Math.min(1, load / slots);
+  const kvPressure = Math.max(0, conditions.kvUsed - KV_PRESSURE_RATIO) /
+    (1 - KV_PRESSURE_RATIO);
+  const slowdown = batch + KV_FULL_SLOWDOWN_RATIO * kvPressure;
+  const runMs = Math.max(0, conditions.work - conditions.saved) * slowdown;
+  const queueMs = waiting * conditions.service;
+  return conditions.latency + (queueMs + runMs) * conditions.slowness;
 }
--- a/src/routing/hedge_test.ts
+++ b/src/routing/hedge_test.ts
@@ -1,9 +1,9 @@
 import test from "ava";
-import * as budget from "./extra_call_budget.ts";
+import * as extraCallBudget from "./extra_call_budget.ts";
 import * as hedge from "./hedge.ts";
-import * as quantile from "./duration_histogram.ts";
+import * as durationHistogram from "./duration_histogram.ts";
 
-function learnt(): hedge.HedgePolicy {
+function learned(): hedge.HedgePolicy {
   const hedges = hedge.HedgePolicy.create();
   for (let count = 0; count < 100; count++) {
     hedges.observe(500, count < 97 ? 100 : 2000);
@@ -35,20 +35,23 @@
   };
 }
 
-function spend(tokens: number): budget.ExtraCallBudget {
-  const one = budget.ExtraCallBudget.create({ ratio: 1, floor: 0 }, 0);
-  for (let count = 0; count < tokens; count++) one.deposit(0);
-  return one;
+function spend(tokens: number): extraCallBudget.ExtraCallBudget {
+  const budget = extraCallBudget.ExtraCallBudget.create(
+    { ratio: 1, floor: 0 },
+    0,
+  );
+  for (let count = 0; count < tokens; count++) budget.deposit(0);
+  return budget;
 }
 
-test("hedges a straggler once its learnt quantile has passed", (t) => {
-  const hedges = learnt();
+test("hedges a straggler after its learned threshold", (t) => {
+  const hedges = learned();
   t.like(hedges.decide(call(), spend(2), 50), { type: "wait" });
   t.like(hedges.decide(call(), spend(2), 150), { type: "hedge" });
 });
 
-test("does not hedge without budget, twice, or what may run once", (t) => {
-  const hedges = learnt();
+test("does not hedge without budget, twice, or if not idempotent", (t) => {
+  const hedges = learned();
   t.like(hedges.decide(call(), spend(0), 150), { type: "wait" });
   const twice = call({ hedged: true });
   t.deepEqual(hedges.decide(twice, spend(2), 150), {
@@ -61,25 +64,25 @@
 
 test("does not hedge when a fresh call would come too late", (t) => {
   const late = call({ deadline: 200 });
-  t.like(learnt().decide(late, spend(2), 150), { type: "wait", until: 200 });
+  t.like(learned().decide(late, spend(2), 150), { type: "wait", until: 200 });
 });
 
-test("replaces a stream that makes no progress for its learnt bound", (t) => {
+test("replaces a stream without progress after its learned threshold", (t) => {
   const stream = call({ receiving: true, progressed: 1000 });
-  t.like(learnt().decide(stream, spend(0), 1200), {
+  t.like(learned().decide(stream, spend(0), 1200), {
     type: "wait",
     until: 1250,
   });
-  t.like(learnt().decide(stream, spend(0), 1250), { type: "replace" });
+  t.like(learned().decide(stream, spend(0), 1250), { type: "replace" });
 });
 
-test("calls nothing a hang early before it has learnt", (t) => {
+test("detects no hang early before it has enough samples", (t) => {
   const fresh = hedge.HedgePolicy.create();
   t.like(fresh.decide(call(), spend(2), 4000), { type: "wait", until: 5000 });
 });
 
-test("keeps quantiles within a bucket and forgets old samples", (t) => {
-  const durations = quantile.DurationHistogram.create();
+test("keeps quantiles within a bucket and decays old samples", (t) => {
+  const durations = durationHistogram.DurationHistogram.create();
   for (let ms = 1; ms <= 1000; ms++) durations.add(ms);
   const median = durations.quantile(0.5) ?? 0;
   t.true(median >= 500 && median <= 500 * 2 ** 0.25);
--- a/src/routing/kv_transfer.ts
+++ b/src/routing/kv_transfer.ts
@@ -1,38 +1,40 @@
-/** Whether to move KV cache between engines instead of computing it again.
+/** Decides whether to transfer KV cache between engines instead of computing it
+ * again.
  * @module */
 
-/** What a transfer would move and replace. */
+/** Costs of a transfer and of the prefill that it replaces. */
 export interface Transfer {
   /** Tokens whose KV cache the other engine holds. */
   tokens: number;
-  /** Tokens a second that the target prefills. */
+  /** Prefill rate of the target, tokens per second. */
   prefillRate: number;
   /** Bytes of KV cache of one token. */
   tokenBytes: number;
-  /** Bytes a second between the two engines. */
+  /** Bandwidth between the two engines, bytes per second. */
   bandwidth: number;
-  /** Milliseconds of the export and import calls themselves. */
+  /** Fixed time of the export and import calls, milliseconds. */
   overhead: number;
-  /** Calls that wait at the target over those it runs side by side; a
-   * transfer leaves the prefill to them. */
+  /** Ratio of the calls waiting at the target to its slots; a transfer leaves
+   * the target's prefill capacity to them. */
   pressure: number;
 }
 
-/** Saving, in milliseconds, below which a transfer is not worth its risk. */
-const MARGIN = 20;
-/** A transfer must save this share of what it replaces. */
-const SHARE = 0.2;
+/** Minimum saving; a smaller one is not worth the risk of a transfer. */
+const MIN_SAVING_MS = 20;
+/** Minimum saving as a share of the prefill time that is replaced. */
+const MIN_SAVING_RATIO = 0.2;
 
-/** Milliseconds that a transfer saves; negative where it costs. */
+/** Milliseconds that a transfer saves; negative when it takes longer. */
 export function savedTime(transfer: Transfer): number {
-  const prefill = transfer.tokens / transfer.prefillRate * 1000;
+  const prefillMs = transfer.tokens / transfer.prefillRate * 1000;
   const bytes = transfer.tokens * transfer.tokenBytes;
-  const move = transfer.overhead + bytes / transfer.bandwidth * 1000;
-  return prefill * (1 + Math.max(0, transfer.pressure)) - move;
+  const transferMs = transfer.overhead + bytes / transfer.bandwidth * 1000;
+  return prefillMs * (1 + Math.max(0, transfer.pressure)) - transferMs;
 }
 
-/** Whether a transfer pays. */
+/** Whether a transfer saves enough time. */
 export function isWorthwhile(transfer: Transfer): boolean {
-  const prefill = transfer.tokens / transfer.prefillRate * 1000;
-  return savedTime(transfer) > Math.max(MARGIN, SHARE * prefill);
+  const prefillMs = transfer.tokens / transfer.prefillRate * 1000;
+  return savedTime(transfer) >
+    Math.max(MIN_SAVING_MS, MIN_SAVING_RATIO * prefillMs);
 }
--- a/src/routing/kv_transfer_test.ts
+++ b/src/routing/kv_transfer_test.ts
@@ -1,8 +1,8 @@
 import test from "ava";
-import * as finish from "./finish_time.ts";
-import * as transfer from "./kv_transfer.ts";
+import * as finishTime from "./finish_time.ts";
+import * as kvTransfer from "./kv_transfer.ts";
 
-function move(changes: Partial<transfer.Transfer> = {}): transfer.Transfer {
+function move(changes: Partial<kvTransfer.Transfer> = {}): kvTransfer.Transfer {
   return {
     tokens: 4000,
     prefillRate: 4000,
@@ -14,15 +14,15 @@
   };
 }
 
-test("moves KV cache where that is faster than computing it", (t) => {
-  t.is(transfer.savedTime(move()), 1000 - 430);
-  t.true(transfer.isWorthwhile(move()));
-  t.false(transfer.isWorthwhile(move({ bandwidth: 1e8 })));
-  t.false(transfer.isWorthwhile(move({ tokens: 40 })));
+test("transfers KV cache only if that is faster than a prefill", (t) => {
+  t.is(kvTransfer.savedTime(move()), 1000 - 430);
+  t.true(kvTransfer.isWorthwhile(move()));
+  t.false(kvTransfer.isWorthwhile(move({ bandwidth: 1e8 })));
+  t.false(kvTransfer.isWorthwhile(move({ tokens: 40 })));
 });
 
-test("predicts a later finish for each thing that delays it", (t) => {
-  const idle: finish.Conditions = {
+test("predicts a later finish for each condition that causes delay", (t) => {
+  const idle: finishTime.Conditions = {
     latency: 0,
     work: 100,
     saved: 0,
@@ -32,8 +32,8 @@
     slowness: 1,
     kvUsed: 0,
   };
-  t.is(finish.predict(idle), 100);
-  t.is(finish.predict({ ...idle, saved: 60 }), 40);
+  t.is(finishTime.predict(idle), 100);
+  t.is(finishTime.predict({ ...idle, saved: 60 }), 40);
   for (
     const worse of [
       { latency: 2 },
@@ -42,8 +42,8 @@
       { kvUsed: 0.95 },
     ]
   ) {
-    t.true(finish.predict({ ...idle, ...worse }) > 100);
+    t.true(finishTime.predict({ ...idle, ...worse }) > 100);
   }
-  const full = finish.predict({ ...idle, load: 8 });
-  t.true(finish.predict({ ...idle, load: 16 }) > full);
+  const full = finishTime.predict({ ...idle, load: 8 });
+  t.true(finishTime.predict({ ...idle, load: 16 }) > full);
 });
--- a/src/routing/mod.ts
+++ b/src/routing/mod.ts
@@ -1,6 +1,7 @@
-/** Choice of an endpoint for each call, and what to do when the call fails,
- * is slow or hangs. Pure: time and random numbers come in from outside. The
- * hot path changes its containers in place.
+/** Endpoint choice for each call, and retries, hedging and hang detection.
+ *
+ * Callers pass in the time and the random numbers. Containers are mutated in
+ * place, since they are on the hot path of every call.
  * @module */
 
 export * as extraCallBudget from "./extra_call_budget.ts";
--- a/src/routing/outlier_detector.ts
+++ b/src/routing/outlier_detector.ts
@@ -1,246 +1,274 @@
-/** Keeps calls away from endpoints that fail or are slow against their group,
- * and lets them back slowly. A share of the group is always tried.
+/** Outlier detection: ejects endpoints that fail or are slow compared with
+ * their group, probes them, and returns them gradually. A share of the group is
+ * never ejected.
  * @module */
 
-import * as record from "./health.ts";
+import * as healthRecord from "./health.ts";
 
-/** An ended call of one endpoint. */
-interface Judgement {
+/** A call that ended, and the health of its endpoint. */
+interface Evaluation {
   id: string;
-  health: record.Health;
-  seen: record.Observation;
+  health: healthRecord.Health;
+  observation: healthRecord.Observation;
   now: number;
 }
 
-/** Failures in a row that eject. */
-const IN_A_ROW = 3;
-/** Share of failed calls above the group's that ejects. */
-const FAILING = 0.3;
-/** Calls before a share of failures counts. */
-const ENOUGH = 8;
-/** Slowness against the group's median that ejects at the least. */
-const SLOW = Math.log(3);
-/** Slowness against the median that is noise at the least. */
-const NOISE = Math.log(1.5);
-/** Deviations from the group's median that eject. */
-const DEVIATIONS = 5;
-/** Deviation of a normal distribution for its median absolute deviation. */
-const NORMAL = 1.4826;
-/** Milliseconds of a first ejection, doubled for each one after it. */
-const EJECTION = 2000;
-/** Milliseconds that an endpoint can ask to be left alone at most. */
-const MOST_HOLD = 30_000;
-/** Milliseconds of an ejection at most. */
-const MOST_EJECTION = 60_000;
-/** Probes that must go well before an endpoint returns. */
-const PROBES = 2;
-/** Milliseconds after which a probe without result may be repeated. */
-const PROBE_TIME = 5000;
-/** Share of the group that may be ejected. */
-const MOST_EJECTED = 0.5;
-/** Milliseconds between two looks at the whole group. */
-const LOOK = 500;
-/** Endpoints that such a look reads at most. */
-const LOOK_AT = 256;
-
-/** Health of the endpoints of one service; changed in place. */
+/** Consecutive failures that eject an endpoint. */
+const EJECTION_FAILURES = 3;
+/** Excess of the failure rate over the group's median that ejects. */
+const EJECTION_FAILURE_RATIO = 0.3;
+/** Minimum number of calls before a rate or an average is used. */
+const MIN_CALLS = 8;
+/** Minimum slowness relative to the group's median that ejects (log ratio). */
+const EJECTION_LOG_RATIO = Math.log(3);
+/** Slowness up to which a difference to the median is noise (log ratio). */
+const NOISE_LOG_RATIO = Math.log(1.5);
+/** Number of standard deviations from the group's median that ejects. */
+const EJECTION_DEVIATIONS = 5;
+/** Ratio of a normal distribution's standard deviation to its median absolute
+ * deviation. */
+const DEVIATION_MAD_RATIO = 1.4826;
+/** Duration of the first ejection, doubled for each further one. */
+const EJECTION_MS = 2000;
+/** Maximum time for which an endpoint can ask to get no calls. */
+const MAX_HOLD_MS = 30_000;
+/** Maximum duration of an ejection. */
+const MAX_EJECTION_MS = 60_000;
+/** Successful probes required before an endpoint returns. */
+const MIN_PROBES = 2;
+/** Time after which a probe without a result is repeated. */
+const PROBE_TIMEOUT_MS = 5000;
+/** Maximum share of the group that is ejected. */
+const MAX_EJECTED_RATIO = 0.5;
+/** Minimum interval between two computations of the group's statistics. */
+const STATISTICS_INTERVAL_MS = 500;
+/** Maximum number of endpoints read for the group's statistics. */
+const MAX_STATISTICS_COUNT = 256;
+
+/** Outlier detection among the endpoints of one service; mutated in place. */
 export class OutlierDetector {
-  #members = new Map<string, record.Health>();
-  #out = new Map<string, record.Health>();
-  #nextProbe = Infinity;
-  #looked = -Infinity;
-  #median = 0;
-  #deviation = 0;
-  #failing = 0;
-  /** Whether enough of the group is timed to compare one with it. */
+  #byId = new Map<string, healthRecord.Health>();
+  #ejected = new Map<string, healthRecord.Health>();
+  #nextProbeAt = Infinity;
+  #statisticsAt = -Infinity;
+  #medianSlowness = 0;
+  #slownessDeviation = 0;
+  #medianFailureRate = 0;
+  /** Whether enough of the group has timed samples for a comparison. */
   #comparable = false;
 
-  /** A group without members. */
+  /** Creates a detector without endpoints. */
   static create(): OutlierDetector {
     return new OutlierDetector();
   }
 
-  /** Endpoints that get no calls but probes now. */
+  /** Number of ejected endpoints, which get no calls but probes. */
   get ejectedCount(): number {
-    return this.#out.size;
+    return this.#ejected.size;
   }
 
-  /** Ids of the endpoints that get no calls but probes now. */
+  /** Ids of the ejected endpoints. */
   get ejectedIds(): readonly string[] {
-    return [...this.#out.keys()];
+    return [...this.#ejected.keys()];
   }
 
   /** Adds an endpoint. */
   add(id: string): void {
-    if (!this.#members.has(id)) this.#members.set(id, record.createHealth());
+    if (!this.#byId.has(id)) this.#byId.set(id, healthRecord.createHealth());
   }
 
-  /** Removes an endpoint and what is known of it. */
+  /** Removes an endpoint and its health record. */
   remove(id: string): void {
-    this.#members.delete(id);
-    this.#out.delete(id);
+    this.#byId.delete(id);
+    this.#ejected.delete(id);
     this.#readmit();
-    this.#schedule();
+    this.#updateNextProbe();
   }
 
   /** State of an endpoint. */
-  state(id: string): record.HealthState {
-    return this.#members.get(id)?.state ?? "used";
+  state(id: string): healthRecord.HealthState {
+    return this.#byId.get(id)?.state ?? "used";
   }
 
-  /** Share of its usual calls that an endpoint may get, 0 to 1. */
+  /** Share of its usual calls that an endpoint gets, 0 to 1. */
   weight(id: string, now: number): number {
-    const health = this.#members.get(id);
+    const health = this.#byId.get(id);
     if (health === undefined) return 0;
     if (now < health.heldUntil) return 0;
-    return record.weightByState[health.state](health, now);
+    return healthRecord.weightByState[health.state](health, now);
   }
 
-  /** Time that the endpoint takes over what its group's median takes; 1
-   * within the noise, since calls differ more than endpoints do. */
+  /** Ratio of an endpoint's times to its group's median. Differences within
+   * the noise give 1, since calls vary more than endpoints do. */
   slowness(id: string): number {
-    const health = this.#members.get(id);
-    if (health === undefined || health.timedSamples < ENOUGH) return 1;
+    const health = this.#byId.get(id);
+    if (health === undefined || health.timedSamples < MIN_CALLS) return 1;
     if (!this.#comparable) return 1;
-    const against = health.meanLogSlowness - this.#median;
-    const noise = Math.max(NOISE, 2 * this.#deviation);
-    return against > noise ? Math.exp(against) : 1;
+    const difference = health.meanLogSlowness - this.#medianSlowness;
+    const noise = Math.max(NOISE_LOG_RATIO, 2 * this.#slownessDeviation);
+    return difference > noise ? Math.exp(difference) : 1;
   }
 
-  /** Notes that a call is sent; a probe when the endpoint is ejected. */
+  /** Records that a call is sent, which is a probe if the endpoint is
+   * ejected. */
   startCall(id: string, now: number): void {
-    const health = this.#out.get(id);
+    const health = this.#ejected.get(id);
     if (health === undefined) return;
     health.state = "probing";
-    health.until = now + PROBE_TIME;
-    this.#schedule();
+    health.until = now + PROBE_TIMEOUT_MS;
+    this.#updateNextProbe();
   }
 
-  /** An ejected endpoint that one call may try now. */
+  /** Id of an ejected endpoint that is due for a probe. */
   dueProbe(now: number): string | undefined {
-    if (now < this.#nextProbe) return undefined;
-    for (const [id, health] of this.#out) {
+    if (now < this.#nextProbeAt) return undefined;
+    for (const [id, health] of this.#ejected) {
       if (now >= health.until && now >= health.heldUntil) return id;
     }
     return undefined;
   }
 
-  /** Keeps calls away for `ms`, as the endpoint asked. */
+  /** Sends the endpoint no calls for `ms`, as it requested. */
   hold(id: string, ms: number, now: number): void {
-    const health = this.#members.get(id);
+    const health = this.#byId.get(id);
     if (health === undefined) return;
-    const until = now + Math.min(MOST_HOLD, ms);
+    const until = now + Math.min(MAX_HOLD_MS, ms);
     health.heldUntil = Math.max(health.heldUntil, until);
   }
 
-  /** Learns from an ended call. */
-  observe(id: string, seen: record.Observation, now: number): void {
-    const health = this.#members.get(id);
+  /** Records a call that ended and evaluates its endpoint. */
+  observe(
+    id: string,
+    observation: healthRecord.Observation,
+    now: number,
+  ): void {
+    const health = this.#byId.get(id);
     if (health === undefined) return;
-    record.record(health, seen);
-    this.#look(now);
-    judges[health.state](this, { id, health, seen, now });
+    healthRecord.record(health, observation);
+    this.#updateStatistics(now);
+    evaluations[health.state](this, { id, health, observation, now });
   }
 
-  /** Judges an endpoint in use by its means. */
-  evaluateInUse({ id, health, now }: Judgement): void {
+  /** Evaluates an endpoint in use by its moving averages. */
+  evaluateInUse({ id, health, now }: Evaluation): void {
     if (health.state === "returning" && now >= health.until) {
       health.state = "used";
       health.ejections = Math.max(0, health.ejections - 1);
     }
-    health.suspect = this.#bad(health);
-    if (health.suspect && this.#spare()) this.#eject(id, health, { now });
+    health.suspect = this.#isOutlier(health);
+    if (health.suspect && this.#canEject()) this.#eject(id, health, { now });
   }
 
-  /** Judges an ejected endpoint by its probe alone. */
-  evaluateProbe({ id, health, seen, now }: Judgement): void {
-    const against = Math.log(seen.slowness ?? 1) - this.#median;
-    const slow = this.#comparable && against > SLOW;
-    if (!seen.ok || slow) return this.#eject(id, health, { now });
+  /** Evaluates an ejected endpoint by its probe alone. */
+  evaluateProbe({ id, health, observation, now }: Evaluation): void {
+    const difference = Math.log(observation.slowness ?? 1) -
+      this.#medianSlowness;
+    const slow = this.#comparable && difference > EJECTION_LOG_RATIO;
+    if (!observation.ok || slow) return this.#eject(id, health, { now });
     health.probes++;
     health.state = "ejected";
     health.until = now;
-    if (health.probes >= PROBES) this.#restore(id, health, { now });
-    this.#schedule();
+    if (health.probes >= MIN_PROBES) this.#startReturn(id, health, { now });
+    this.#updateNextProbe();
   }
 
-  #bad(health: record.Health): boolean {
-    if (health.consecutiveFailures >= IN_A_ROW) return true;
-    const failing = health.failureRate - this.#failing > FAILING;
-    if (health.samples >= ENOUGH && failing) return true;
-    const bound = Math.max(SLOW, DEVIATIONS * this.#deviation);
-    const slow = health.meanLogSlowness - this.#median > bound;
-    return this.#comparable && health.timedSamples >= ENOUGH && slow;
+  #isOutlier(health: healthRecord.Health): boolean {
+    if (health.consecutiveFailures >= EJECTION_FAILURES) return true;
+    const failing =
+      health.failureRate - this.#medianFailureRate > EJECTION_FAILURE_RATIO;
+    if (health.samples >= MIN_CALLS && failing) return true;
+    const bound = Math.max(
+      EJECTION_LOG_RATIO,
+      EJECTION_DEVIATIONS * this.#slownessDeviation,
+    );
+    const slow = health.meanLogSlowness - this.#medianSlowness > bound;
+    return this.#comparable && health.timedSamples >= MIN_CALLS && slow;
   }
 
-  #spare(): boolean {
-    return this.#out.size + 1 <= this.#members.size * MOST_EJECTED;
+  #canEject(): boolean {
+    return this.#ejected.size + 1 <= this.#byId.size * MAX_EJECTED_RATIO;
   }
 
-  #eject(id: string, health: record.Health, { now }: { now: number }): void {
-    const time = EJECTION * 2 ** health.ejections;
+  #eject(
+    id: string,
+    health: healthRecord.Health,
+    { now }: { now: number },
+  ): void {
+    const time = EJECTION_MS * 2 ** health.ejections;
     health.state = "ejected";
-    health.until = now + Math.min(MOST_EJECTION, time);
+    health.until = now + Math.min(MAX_EJECTION_MS, time);
     health.ejections++;
     health.probes = 0;
-    this.#out.set(id, health);
-    this.#schedule();
+    this.#ejected.set(id, health);
+    this.#updateNextProbe();
   }
 
-  #restore(id: string, health: record.Health, { now }: { now: number }): void {
+  #startReturn(
+    id: string,
+    health: healthRecord.Health,
+    { now }: { now: number },
+  ): void {
     const { ejections, heldUntil } = health;
-    Object.assign(health, record.createHealth(), { ejections, heldUntil });
+    Object.assign(health, healthRecord.createHealth(), {
+      ejections,
+      heldUntil,
+    });
     health.state = "returning";
-    health.until = now + record.RETURN_RAMP_MS;
-    this.#out.delete(id);
+    health.until = now + healthRecord.RETURN_RAMP_MS;
+    this.#ejected.delete(id);
   }
 
-  /** Takes endpoints back when the group has become too small for them. */
+  /** Returns ejected endpoints to use when a smaller group leaves too many of
+   * its endpoints ejected. */
   #readmit(): void {
-    for (const [id, health] of this.#out) {
-      if (this.#out.size <= this.#members.size * MOST_EJECTED) return;
+    for (const [id, health] of this.#ejected) {
+      if (this.#ejected.size <= this.#byId.size * MAX_EJECTED_RATIO) return;
       health.state = "used";
       health.suspect = true;
-      this.#out.delete(id);
+      this.#ejected.delete(id);
     }
   }
 
-  #schedule(): void {
-    this.#nextProbe = Infinity;
-    for (const health of this.#out.values()) {
-      this.#nextProbe = Math.min(this.#nextProbe, health.until);
+  #updateNextProbe(): void {
+    this.#nextProbeAt = Infinity;
+    for (const health of this.#ejected.values()) {
+      this.#nextProbeAt = Math.min(this.#nextProbeAt, health.until);
     }
   }
 
-  /** Medians of the group, read from a bounded part of it now and then. */
-  #look(now: number): void {
-    if (now - this.#looked < LOOK) return;
-    this.#looked = now;
-    const slowness: number[] = [];
-    const failures: number[] = [];
-    for (const health of this.#members.values()) {
-      if (slowness.length >= LOOK_AT || failures.length >= LOOK_AT) break;
-      if (health.timedSamples >= ENOUGH) slowness.push(health.meanLogSlowness);
-      if (health.samples >= ENOUGH) failures.push(health.failureRate);
+  /** Recomputes the medians of the group at intervals, from a bounded part of
+   * it. */
+  #updateStatistics(now: number): void {
+    if (now - this.#statisticsAt < STATISTICS_INTERVAL_MS) return;
+    this.#statisticsAt = now;
+    const means: number[] = [];
+    const rates: number[] = [];
+    for (const health of this.#byId.values()) {
+      if (
+        means.length >= MAX_STATISTICS_COUNT ||
+        rates.length >= MAX_STATISTICS_COUNT
+      ) break;
+      if (health.timedSamples >= MIN_CALLS) means.push(health.meanLogSlowness);
+      if (health.samples >= MIN_CALLS) rates.push(health.failureRate);
     }
-    this.#median = median(slowness);
-    const looked = Math.min(LOOK_AT, this.#members.size);
-    this.#comparable = slowness.length >= Math.max(2, looked / 2);
-    const deviations = slowness.map((one) => Math.abs(one - this.#median));
-    this.#deviation = NORMAL * median(deviations);
-    this.#failing = median(failures);
+    this.#medianSlowness = median(means);
+    const readCount = Math.min(MAX_STATISTICS_COUNT, this.#byId.size);
+    this.#comparable = means.length >= Math.max(2, readCount / 2);
+    const deviations = means.map((one) => Math.abs(one - this.#medianSlowness));
+    this.#slownessDeviation = DEVIATION_MAD_RATIO * median(deviations);
+    this.#medianFailureRate = median(rates);
   }
 }
 
-/** Who judges an ended call. Calls that were sent before an ejection end
- * after it; they do not make it longer. */
-const judges: Record<
-  record.HealthState,
-  (group: OutlierDetector, judgement: Judgement) => void
+/** Evaluation of a call that ended, by the state of its endpoint. Calls that
+ * were sent before an ejection and end after it do not extend it. */
+const evaluations: Record<
+  healthRecord.HealthState,
+  (detector: OutlierDetector, evaluation: Evaluation) => void
 > = {
-  used: (group, judgement) => group.evaluateInUse(judgement),
-  returning: (group, judgement) => group.evaluateInUse(judgement),
-  probing: (group, judgement) => group.evaluateProbe(judgement),
+  used: (detector, evaluation) => detector.evaluateInUse(evaluation),
+  returning: (detector, evaluation) => detector.evaluateInUse(evaluation),
+  probing: (detector, evaluation) => detector.evaluateProbe(evaluation),
   ejected: () => {},
 };
 
--- a/src/routing/pool.ts
+++ b/src/routing/pool.ts
@@ -1,88 +1,91 @@
-/** Endpoints of one service, role and data centre, kept apart by whether they
- * have room, so that a random one with room is found at once.
+/** Endpoints of one service, role and data centre. Available and unavailable
+ * ones are in separate lists, so that a random available one is found in O(1).
  * @module */
 
 import type * as event from "../request/event.ts";
 import type * as runtime from "../runtime/mod.ts";
-import type * as load from "./load_estimate.ts";
+import type * as loadEstimate from "./load_estimate.ts";
 
-/** An endpoint with what routing knows of it. */
+/** An endpoint with its routing state. */
 export interface Member {
   endpoint: event.Endpoint;
-  load: load.LoadEstimate;
+  load: loadEstimate.LoadEstimate;
   /** Share of KV memory in use, as last reported. */
   kvUsed: number;
-  /** Calls of others, as last reported. */
+  /** Calls of other hosts, as last reported. */
   otherHostCalls: number;
+  /** Undefined unless the endpoint is ready. */
   pool: Pool | undefined;
+  /** Whether the endpoint had a free slot when last checked. */
   available: boolean;
+  /** Position in the pool's list. */
   pos: number;
 }
 
-/** Members that may be chosen; changed in place. */
+/** Ready endpoints of one data centre; mutated in place. */
 export class Pool {
-  /** Whether it is in the host's own data centre. */
+  /** Whether the pool is in the host's own data centre. */
   readonly isLocal: boolean;
-  /** Milliseconds to its endpoints and back. */
+  /** Round trip to the pool's endpoints, milliseconds. */
   readonly latency: number;
-  #open: Member[] = [];
-  #closed: Member[] = [];
+  #available: Member[] = [];
+  #unavailable: Member[] = [];
   #cursor = 0;
 
-  private constructor(near: boolean, latency: number) {
-    this.isLocal = near;
+  private constructor(isLocal: boolean, latency: number) {
+    this.isLocal = isLocal;
     this.latency = latency;
   }
 
-  /** A pool without members. */
-  static create(near: boolean, latency: number): Pool {
-    return new Pool(near, latency);
+  /** Creates a pool without members. */
+  static create(isLocal: boolean, latency: number): Pool {
+    return new Pool(isLocal, latency);
   }
 
-  /** Members with room when last looked at. */
+  /** Members that had a free slot when last checked. */
   get available(): readonly Member[] {
-    return this.#open;
+    return this.#available;
   }
 
-  /** Members with and without room. */
+  /** Number of available and unavailable members. */
   get size(): number {
-    return this.#open.length + this.#closed.length;
+    return this.#available.length + this.#unavailable.length;
   }
 
-  /** Adds a member that is in no pool. */
+  /** Adds a member that is in no pool, as available. */
   add(member: Member): void {
     member.pool = this;
     member.available = true;
-    member.pos = this.#open.push(member) - 1;
+    member.pos = this.#available.push(member) - 1;
   }
 
   /** Removes one of its members. */
   remove(member: Member): void {
-    this.#take(member);
+    this.#detach(member);
     member.pool = undefined;
   }
 
-  /** Notes whether one of its members has room. */
-  setAvailable(member: Member, open: boolean): void {
-    if (member.available === open) return;
-    this.#take(member);
-    member.available = open;
-    member.pos = this.#list(open).push(member) - 1;
+  /** Sets whether one of the pool's members is available. */
+  setAvailable(member: Member, available: boolean): void {
+    if (member.available === available) return;
+    this.#detach(member);
+    member.available = available;
+    member.pos = this.#list(available).push(member) - 1;
   }
 
-  /** A random member with room; undefined when there is none. */
+  /** A random available member; undefined when there is none. */
   sample(random: runtime.Random): Member | undefined {
-    return this.#open[random.below(this.#open.length)];
+    return this.#available[random.below(this.#available.length)];
   }
 
-  /** A member without room, another one each time, to be looked at again. */
+  /** The next unavailable member in round-robin order, to be rechecked. */
   nextUnavailable(): Member | undefined {
-    if (this.#closed.length === 0) return undefined;
-    this.#cursor = (this.#cursor + 1) % this.#closed.length;
-    return this.#closed[this.#cursor];
+    if (this.#unavailable.length === 0) return undefined;
+    this.#cursor = (this.#cursor + 1) % this.#unavailable.length;
+    return this.#unavailable[this.#cursor];
   }
 
-  #take(member: Member): void {
+  #detach(member: Member): void {
     const list = this.#list(member.available);
     const last = list.pop();
     if (last === undefined || last === member) return;
@@ -90,7 +93,7 @@
     last.pos = member.pos;
   }
 
-  #list(open: boolean): Member[] {
-    return open ? this.#open : this.#closed;
+  #list(available: boolean): Member[] {
+    return available ? this.#available : this.#unavailable;
   }
 }
--- a/src/routing/prefix_index.ts
+++ b/src/routing/prefix_index.ts
@@ -1,12 +1,12 @@
-/** Belief of which engine has which blocks of a prompt in its cache, from
- * this host's own calls and from cache events that come late and with gaps.
- * A wrong belief costs a prefill, never a wrong answer.
+/** Approximate index of the prompt blocks in each engine's prefix cache, built
+ * from this host's own calls and from cache events, which arrive late and with
+ * gaps. A wrong entry costs a prefill but never a wrong answer.
  * @module */
 
 /** An engine that is believed to hold the first blocks of a prompt. */
 export interface Holder {
   endpoint: string;
-  /** Blocks that it holds, at least. */
+  /** Minimum number of leading blocks that it holds. */
   blocks: number;
 }
 
@@ -17,39 +17,44 @@
   removed: readonly string[];
 }
 
+/** An engine whose cache is tracked. */
 interface Engine {
   id: string;
-  /** Grows when what was believed of the engine is discarded. */
+  /** Incremented to invalidate all entries of the engine. */
   epoch: number;
+  /** Sequence number of the last cache event. */
   sequence: number | undefined;
 }
 
-interface Belief {
+/** An entry of the index: an engine is believed to hold a block. */
+interface Entry {
   engine: Engine;
+  /** Epoch of the engine in which the entry was made. */
   epoch: number;
-  /** When it was last confirmed. */
+  /** Time of the last confirmation. */
   at: number;
 }
 
-/** Blocks that are remembered, for all engines together. */
-const CAPACITY = 16_384;
-/** Engines that are remembered for one block. */
-const MOST_HOLDERS = 4;
-/** Holders that a search returns at most. */
-const FOUND = 4;
-/** Milliseconds after which a belief counts no more. */
-const LIFETIME = 300_000;
-/** Leading blocks of a prompt that are all remembered. */
-const DENSE = 16;
-/** Of the blocks after them, one in so many is. */
-const STRIDE = 8;
-/** Events out of order by this many are late; by more, a restart. */
-const LATE = 16;
-
-/** Beliefs about the engines of one service; changed in place. */
+/** Maximum number of indexed blocks, for all engines together. */
+const DEFAULT_CAPACITY = 16_384;
+/** Maximum number of engines in the index for one block. */
+const MAX_ENGINES_PER_BLOCK = 4;
+/** Maximum number of holders that a search returns. */
+const MAX_FOUND = 4;
+/** Milliseconds after which an entry expires. */
+const ENTRY_LIFETIME_MS = 300_000;
+/** Number of leading blocks of a prompt that are all indexed. */
+const DENSE_BLOCKS = 16;
+/** Interval at which the blocks after these are indexed. */
+const BLOCK_STRIDE = 8;
+/** Maximum distance of an out-of-order event; an event further back means that
+ * the engine has restarted. */
+const MAX_REORDER_DISTANCE = 16;
+
+/** Prefix cache index of one service's engines; mutated in place. */
 export class PrefixIndex {
   /** Least recently used first. */
-  #blocks = new Map<string, Belief[]>();
+  #blocks = new Map<string, Entry[]>();
   #engines = new Map<string, Engine>();
   #capacity: number;
 
@@ -57,39 +62,41 @@
     this.#capacity = capacity;
   }
 
-  /** No beliefs yet. */
-  static create(capacity = CAPACITY): PrefixIndex {
+  /** Creates an empty index. */
+  static create(capacity = DEFAULT_CAPACITY): PrefixIndex {
     return new PrefixIndex(capacity);
   }
 
-  /** Blocks that are remembered. */
+  /** Number of indexed blocks. */
   get size(): number {
     return this.#blocks.size;
   }
 
-  /** Notes that a prompt was sent to an engine. */
+  /** Records that a prompt was sent to an engine. */
   recordPrompt(endpoint: string, prefix: readonly string[], now: number): void {
     const engine = this.#engine(endpoint);
-    // The first blocks come last, so that the last ones are forgotten first.
-    for (let rank = ranks(prefix.length) - 1; rank >= 0; rank--) {
-      this.#believe(prefix[position(rank)], engine, now);
+    // Leading blocks are inserted last, so that trailing ones are evicted
+    // first.
+    for (let rank = rankCount(prefix.length) - 1; rank >= 0; rank--) {
+      this.#insert(prefix[position(rank)], engine, now);
     }
   }
 
-  /** Takes a cache event; returns whether beliefs had to be discarded. */
-  applyEvent(endpoint: string, seen: CacheEvent, now: number): boolean {
+  /** Applies a cache event; returns whether a gap in the sequence invalidated
+   * the engine's entries. */
+  applyEvent(endpoint: string, change: CacheEvent, now: number): boolean {
     const engine = this.#engine(endpoint);
     const last = engine.sequence;
-    if (late(seen.sequence, last)) return false;
-    const gap = last !== undefined && seen.sequence !== last + 1;
+    if (isLate(change.sequence, last)) return false;
+    const gap = last !== undefined && change.sequence !== last + 1;
     if (gap) engine.epoch++;
-    engine.sequence = seen.sequence;
-    for (const block of seen.stored) this.#believe(block, engine, now);
-    for (const block of seen.removed) this.#disbelieve(block, engine);
+    engine.sequence = change.sequence;
+    for (const block of change.stored) this.#insert(block, engine, now);
+    for (const block of change.removed) this.#removeEntry(block, engine);
     return gap;
   }
 
-  /** Discards what is believed of an engine, such as one that left. */
+  /** Invalidates all entries of an engine, such as one that left. */
   removeEngine(endpoint: string): void {
     const engine = this.#engines.get(endpoint);
     if (engine === undefined) return;
@@ -97,13 +104,14 @@
     this.#engines.delete(endpoint);
   }
 
-  /** Engines that hold most of a prompt, those with more blocks first. */
+  /** Finds the engines that hold the longest prefixes of a prompt, longest
+   * first. */
   holders(prefix: readonly string[], now: number): Holder[] {
     const found: Holder[] = [];
-    let rank = this.#deepest(prefix, now);
-    while (rank >= 0 && found.length < FOUND) {
+    let rank = this.#lastHeldRank(prefix, now);
+    while (rank >= 0 && found.length < MAX_FOUND) {
       const pos = position(rank);
-      this.#collect(prefix[pos], { blocks: pos + 1, found, now });
+      this.#collectHolders(prefix[pos], { blocks: pos + 1, found, now });
       rank = Math.floor(rank / 2) - (rank < 2 ? 1 : 0);
     }
     return found;
@@ -111,8 +119,10 @@
 
   /** Whether an engine is believed to hold a block. */
   holds(endpoint: string, block: string, now: number): boolean {
-    const beliefs = this.#blocks.get(block) ?? [];
-    return beliefs.some((one) => one.engine.id === endpoint && valid(one, now));
+    const entries = this.#blocks.get(block) ?? [];
+    return entries.some((entry) =>
+      entry.engine.id === endpoint && isValid(entry, now)
+    );
   }
 
   #engine(id: string): Engine {
@@ -124,24 +134,24 @@
     return engine;
   }
 
-  #believe(block: string, engine: Engine, now: number): void {
-    const beliefs = this.#blocks.get(block) ?? [];
-    const belief = { engine, epoch: engine.epoch, at: now };
-    const pos = beliefs.findIndex((one) => one.engine === engine);
-    if (pos >= 0) beliefs[pos] = belief;
-    else if (beliefs.length < MOST_HOLDERS) beliefs.push(belief);
-    else beliefs[oldest(beliefs, now)] = belief;
+  #insert(block: string, engine: Engine, now: number): void {
+    const entries = this.#blocks.get(block) ?? [];
+    const entry = { engine, epoch: engine.epoch, at: now };
+    const pos = entries.findIndex((entry) => entry.engine === engine);
+    if (pos >= 0) entries[pos] = entry;
+    else if (entries.length < MAX_ENGINES_PER_BLOCK) entries.push(entry);
+    else entries[replaceable(entries, now)] = entry;
     this.#blocks.delete(block);
-    this.#blocks.set(block, beliefs);
+    this.#blocks.set(block, entries);
     if (this.#blocks.size > this.#capacity) this.#evict();
   }
 
-  #disbelieve(block: string, engine: Engine): void {
-    const beliefs = this.#blocks.get(block);
-    if (beliefs === undefined) return;
-    const pos = beliefs.findIndex((one) => one.engine === engine);
-    if (pos >= 0) beliefs.splice(pos, 1);
-    if (beliefs.length === 0) this.#blocks.delete(block);
+  #removeEntry(block: string, engine: Engine): void {
+    const entries = this.#blocks.get(block);
+    if (entries === undefined) return;
+    const pos = entries.findIndex((entry) => entry.engine === engine);
+    if (pos >= 0) entries.splice(pos, 1);
+    if (entries.length === 0) this.#blocks.delete(block);
   }
 
   #evict(): void {
@@ -149,67 +159,71 @@
     if (!first.done) this.#blocks.delete(first.value);
   }
 
-  /** Rank of the deepest block that an engine holds, -1 for none; by
-   * bisection, as an engine that holds a block holds those before it. */
-  #deepest(prefix: readonly string[], now: number): number {
+  /** Rank of the last block that any engine holds, -1 for none. Bisection is
+   * possible since an engine that holds a block holds all blocks before it. */
+  #lastHeldRank(prefix: readonly string[], now: number): number {
     let low = -1;
-    let high = ranks(prefix.length);
+    let high = rankCount(prefix.length);
     while (high - low > 1) {
       const middle = (low + high) >> 1;
-      if (this.#held(prefix[position(middle)], now)) low = middle;
+      if (this.#isHeld(prefix[position(middle)], now)) low = middle;
       else high = middle;
     }
     return low;
   }
 
-  #held(block: string, now: number): boolean {
-    const beliefs = this.#blocks.get(block);
-    return beliefs !== undefined && beliefs.some((one) => valid(one, now));
+  #isHeld(block: string, now: number): boolean {
+    const entries = this.#blocks.get(block);
+    return entries !== undefined &&
+      entries.some((entry) => isValid(entry, now));
   }
 
-  #collect(
+  #collectHolders(
     block: string,
     { blocks, found, now }: { blocks: number; found: Holder[]; now: number },
   ): void {
-    for (const one of this.#blocks.get(block) ?? []) {
-      if (found.length === FOUND) return;
-      if (!valid(one, now)) continue;
-      const endpoint = one.engine.id;
+    for (const entry of this.#blocks.get(block) ?? []) {
+      if (found.length === MAX_FOUND) return;
+      if (!isValid(entry, now)) continue;
+      const endpoint = entry.engine.id;
       if (found.some((other) => other.endpoint === endpoint)) continue;
       found.push({ endpoint, blocks });
     }
   }
 }
 
-/** How many blocks of a prompt are remembered. */
-function ranks(length: number): number {
-  if (length <= DENSE) return length;
-  return DENSE + Math.floor((length - DENSE) / STRIDE);
+/** Number of indexed blocks of a prompt. */
+function rankCount(length: number): number {
+  if (length <= DENSE_BLOCKS) return length;
+  return DENSE_BLOCKS + Math.floor((length - DENSE_BLOCKS) / BLOCK_STRIDE);
 }
 
-/** Position in the prompt of a remembered block. */
+/** Position in the prompt of the indexed block of a rank. */
 function position(rank: number): number {
-  return rank < DENSE ? rank : DENSE + (rank - DENSE + 1) * STRIDE - 1;
+  return rank < DENSE_BLOCKS
+    ? rank
+    : DENSE_BLOCKS + (rank - DENSE_BLOCKS + 1) * BLOCK_STRIDE - 1;
 }
 
-function valid(belief: Belief, now: number): boolean {
-  return belief.epoch === belief.engine.epoch && now - belief.at < LIFETIME;
+function isValid(entry: Entry, now: number): boolean {
+  return entry.epoch === entry.engine.epoch &&
+    now - entry.at < ENTRY_LIFETIME_MS;
 }
 
-/** Position of a belief that no longer counts, else of the oldest. */
-function oldest(beliefs: readonly Belief[], now: number): number {
+/** Position of the first invalid entry, or else of the oldest one. */
+function replaceable(entries: readonly Entry[], now: number): number {
   let found = 0;
-  for (let pos = 0; pos < beliefs.length; pos++) {
-    if (!valid(beliefs[pos], now)) return pos;
-    if (beliefs[pos].at < beliefs[found].at) found = pos;
+  for (let pos = 0; pos < entries.length; pos++) {
+    if (!isValid(entries[pos], now)) return pos;
+    if (entries[pos].at < entries[found].at) found = pos;
   }
   return found;
 }
 
-/** Whether an event was overtaken by a later one; an engine that starts
- * again counts from the start. */
-function late(sequence: number, last: number | undefined): boolean {
+/** Whether an event arrived after a later one. The sequence numbers of a
+ * restarted engine start again at 0 or 1. */
+function isLate(sequence: number, last: number | undefined): boolean {
   if (last === undefined || sequence > last) return false;
   if (sequence <= 1 && last > 1) return false;
-  return last - sequence <= LATE;
+  return last - sequence <= MAX_REORDER_DISTANCE;
 }
--- a/src/routing/rendezvous.ts
+++ b/src/routing/rendezvous.ts
@@ -1,5 +1,6 @@
-/** Rendezvous hashing: which of some candidates a key belongs to, the same on
- * all hosts, and moved only when its candidate is gone.
+/** Rendezvous hashing: maps a key to one of several candidates. All hosts agree
+ * on it, and a key moves only when its candidate is removed or a new candidate
+ * ranks higher.
  * @module */
 
 import * as hash from "./hash.ts";
@@ -9,7 +10,7 @@
   return hash.combine(hash.ofString(candidate), hash.ofString(key));
 }
 
-/** Candidates in the order in which they stand for a key. */
+/** Candidates for a key by descending weight. */
 export function rank(key: string, candidates: readonly string[]): string[] {
   return candidates
     .map((candidate) => ({ candidate, weight: weight(key, candidate) }))
--- a/src/routing/retry_test.ts
+++ b/src/routing/retry_test.ts
@@ -2,7 +2,7 @@
 import * as fc from "fast-check";
 import type * as request from "../request/request.ts";
 import * as runtime from "../runtime/mod.ts";
-import * as budget from "./extra_call_budget.ts";
+import * as extraCallBudget from "./extra_call_budget.ts";
 import * as retry from "./retry.ts";
 
 function attempt(changes: Partial<request.Attempt> = {}): request.Attempt {
@@ -36,35 +36,38 @@
 
 function sources(share = 1): retry.Dependencies {
   return {
-    budget: budget.ExtraCallBudget.create({ ratio: share, floor: share }, 0),
+    budget: extraCallBudget.ExtraCallBudget.create({
+      ratio: share,
+      floor: share,
+    }, 0),
     random: runtime.createRandom(1),
     now: 0,
   };
 }
 
-test("repeats no work that must not run twice and may have run", (t) => {
+test("retries no call that is not idempotent and may have run", (t) => {
   const outcomes = fc.constantFrom<request.Outcome>(
     "not-run",
     "ran",
     "unknown",
   );
   fc.assert(fc.property(outcomes, fc.boolean(), (outcome, idempotent) => {
-    const one = call({ failure: failure({ outcome }), idempotent });
-    const decided = retry.decide(one, sources());
+    const failed = call({ failure: failure({ outcome }), idempotent });
+    const decided = retry.decide(failed, sources());
     t.is(decided.type === "retry", idempotent || outcome === "not-run");
   }));
 });
 
-test("resumes behind what was delivered, on another endpoint", (t) => {
-  const one = call({
+test("resumes after the delivered tokens, on another endpoint", (t) => {
+  const failed = call({
     attempt: attempt({ offset: 7 }),
     failure: failure({ received: 5 }),
   });
-  const decided = retry.decide(one, sources());
+  const decided = retry.decide(failed, sources());
   t.like(decided, { type: "retry", avoid: "e", offset: 12 });
 });
 
-test("gives up at once past the deadline, attempts or budget", (t) => {
+test("gives up at once beyond the deadline, attempts or budget", (t) => {
   const late = retry.decide(call({ deadline: 50 }), sources());
   t.like(late, { type: "give-up", reason: "deadline" });
   const often = call({ attempt: attempt({ attempt: 4 }) });
@@ -72,7 +75,7 @@
   t.like(retry.decide(call(), sources(0)), { reason: "budget" });
 });
 
-test("waits as asked only where no other endpoint is left", (t) => {
+test("waits as requested only if no other endpoint is left", (t) => {
   const asked = failure({ outcome: "not-run", retryAfter: 500 });
   const alone = retry.decide(
     call({ failure: asked, others: false }),
--- a/src/routing/router.ts
+++ b/src/routing/router.ts
@@ -1,67 +1,72 @@
-/** Routing of all services of a host: one group of endpoints, one budget of
- * retries, one of hedges and one set of learnt bounds for each.
+/** Routing of all services of a host. Each service has a group of endpoints, a
+ * retry budget, a hedge budget and a hedge policy with learned thresholds.
  * @module */
 
 import type * as event from "../request/event.ts";
-import * as budget from "./extra_call_budget.ts";
-import * as choice from "./endpoint_choice.ts";
-import * as group from "./endpoint_group.ts";
+import * as extraCallBudget from "./extra_call_budget.ts";
+import * as endpointChoice from "./endpoint_choice.ts";
+import * as endpointGroup from "./endpoint_group.ts";
 import * as hedge from "./hedge.ts";
 
-/** Events that routing learns from. */
+/** Events that update the routing state. */
 export type RoutingEvent = Extract<
   event.Event,
   { type: "endpoints" | "load" | "cache" }
 >;
 
-/** What routing keeps of one service. */
+/** Routing state of one service. */
 export interface ServiceState {
-  group: group.EndpointGroup;
-  retryBudget: budget.ExtraCallBudget;
-  /** Fed with the table's `spend` for each request. */
-  hedgeBudget: budget.ExtraCallBudget;
+  group: endpointGroup.EndpointGroup;
+  retryBudget: extraCallBudget.ExtraCallBudget;
+  /** Receives the policy table's `spend` for each request. */
+  hedgeBudget: extraCallBudget.ExtraCallBudget;
   hedgePolicy: hedge.HedgePolicy;
 }
 
-/** Retries for each request. */
-const RETRIES = 0.1;
-/** Share of extra cost that may be spent where the table does not say. */
-const SPEND = 0.02;
+/** Retries granted for each request. */
+const RETRY_RATIO = 0.1;
+/** Share of extra cost granted to hedges when the policy table sets none. */
+const DEFAULT_HEDGE_RATIO = 0.02;
 
-/** Services by name; changed in place. */
+/** Routing state of all services; mutated in place. */
 export class Router {
-  #options: group.Options;
+  #options: endpointGroup.Options;
   #services = new Map<string, ServiceState>();
   /** Name of the service by endpoint. */
-  #homes = new Map<string, string>();
+  #serviceByEndpoint = new Map<string, string>();
 
-  private constructor(options: group.Options) {
+  private constructor(options: endpointGroup.Options) {
     this.#options = options;
   }
 
-  /** A router that knows no endpoint. */
-  static create(options: group.Options): Router {
+  /** Creates a router without endpoints. */
+  static create(options: endpointGroup.Options): Router {
     return new Router(options);
   }
 
-  /** Learns from an event. */
+  /** Applies an event. */
   update(seen: RoutingEvent, now: number): void {
     if (seen.type === "endpoints") return this.#replace(seen.endpoints, now);
-    const service = this.#homes.get(seen.endpoint);
+    const service = this.#serviceByEndpoint.get(seen.endpoint);
     if (service === undefined) return;
     const { group } = this.service(service, now);
     if (seen.type === "load") group.reportLoad(seen.endpoint, seen.load, now);
     else group.prefixIndex.applyEvent(seen.endpoint, seen, now);
   }
 
-  /** What is kept of a service; made when first asked for. */
+  /** State of a service; created on first use. */
   service(name: string, now: number): ServiceState {
     let found = this.#services.get(name);
     if (found === undefined) {
       found = {
-        group: group.EndpointGroup.create(this.#options),
-        retryBudget: budget.ExtraCallBudget.create({ ratio: RETRIES }, now),
-        hedgeBudget: budget.ExtraCallBudget.create({ ratio: 1, floor: 0 }, now),
+        group: endpointGroup.EndpointGroup.create(this.#options),
+        retryBudget: extraCallBudget.ExtraCallBudget.create({
+          ratio: RETRY_RATIO,
+        }, now),
+        hedgeBudget: extraCallBudget.ExtraCallBudget.create({
+          ratio: 1,
+          floor: 0,
+        }, now),
         hedgePolicy: hedge.HedgePolicy.create(),
       };
       this.#services.set(name, found);
@@ -69,24 +74,24 @@
     return found;
   }
 
-  /** Counts the first call of a request's stage; retries and hedges are paid
-   * from what such calls bring in. */
+  /** Counts the first call of a request's stage, which adds to the budgets of
+   * retries and hedges. */
   deposit(name: string, spend: number | undefined, now: number): void {
     const service = this.service(name, now);
     service.retryBudget.deposit(now);
-    service.hedgeBudget.deposit(now, spend ?? SPEND);
+    service.hedgeBudget.deposit(now, spend ?? DEFAULT_HEDGE_RATIO);
   }
 
-  /** Chooses an endpoint of a service; undefined when none has room. */
+  /** Chooses an endpoint of a service; undefined when none has a free slot. */
   choose(
     name: string,
-    call: choice.Call,
+    call: endpointChoice.Call,
     now: number,
-  ): choice.Choice | undefined {
-    return choice.choose(this.service(name, now).group, call, now);
+  ): endpointChoice.Choice | undefined {
+    return endpointChoice.choose(this.service(name, now).group, call, now);
   }
 
-  /** Plain JSON of what is kept of each service. */
+  /** Plain JSON of the state of each service. */
   dump(now: number): unknown {
     const services = [...this.#services].map(([name, service]) => {
       const { group, retryBudget: retries, hedgeBudget: spend } = service;
@@ -105,19 +110,19 @@
 
   #replace(endpoints: readonly event.Endpoint[], now: number): void {
     const present = new Set<string>();
-    for (const one of endpoints) {
-      present.add(one.id);
-      const home = this.#homes.get(one.id);
-      if (home !== undefined && home !== one.service) {
-        this.service(home, now).group.remove(one.id);
+    for (const endpoint of endpoints) {
+      present.add(endpoint.id);
+      const previous = this.#serviceByEndpoint.get(endpoint.id);
+      if (previous !== undefined && previous !== endpoint.service) {
+        this.service(previous, now).group.remove(endpoint.id);
       }
-      this.#homes.set(one.id, one.service);
-      this.service(one.service, now).group.upsert(one);
+      this.#serviceByEndpoint.set(endpoint.id, endpoint.service);
+      this.service(endpoint.service, now).group.upsert(endpoint);
     }
-    for (const [id, service] of this.#homes) {
+    for (const [id, service] of this.#serviceByEndpoint) {
       if (present.has(id)) continue;
       this.service(service, now).group.remove(id);
-      this.#homes.delete(id);
+      this.#serviceByEndpoint.delete(id);
     }
   }
 }
