--- a/src/endpoints/announce.ts
+++ b/src/endpoints/announce.ts
@@ -1,4 +1,4 @@
-/** Takes what endpoints say of themselves, at the host that hears it.
+/** Announcements and leaves that an endpoint sends to this host.
  * @module */
 
 import type * as announcements from "../schema/endpoint_types.ts";
@@ -8,21 +8,21 @@
 import * as merges from "./merge.ts";
 import * as states from "./state.ts";
 
-/** Takes an announcement. A change spreads from here; a renewal only goes to
- * the host that holds the lease. */
+/** Processes an announcement. A change is gossiped to all hosts; a renewal goes
+ * to the lease holder only. */
 export function announce(
   step: states.Step,
   id: string,
   announcement: announcements.Announcement,
 ): void {
   const known = step.state.entries.get(id);
-  const stated = statementOf(id, announcement);
-  const refusal = known && refusalOf(step, known, stated);
+  const announced = entryOf(id, announcement);
+  const refusal = known && refusalOf(step, known, announced);
   if (refusal !== undefined) {
     step.effects.push({ type: "refuse", id, reason: refusal });
     return;
   }
-  const next = known === undefined ? stated : follow(step, known, stated);
+  const next = known === undefined ? announced : apply(step, known, announced);
   if (next !== known) merges.replace(step, next, step.state.options.host);
   leases.renew(step, next);
   step.effects.push({
@@ -32,41 +32,41 @@
   });
 }
 
-/** Takes the farewell of an endpoint, unless it is from an earlier run. One
- * that names a run which this host has not heard of ends that run. */
+/** Processes the leave of an endpoint, unless an earlier incarnation sent it.
+ * A leave of an incarnation unknown to this host ends that incarnation. */
 export function leave(
   step: states.Step,
   id: string,
   incarnation: number | undefined,
 ): void {
   const known = step.state.entries.get(id);
-  const left = known === undefined
-    ? unheard(step, id, incarnation)
-    : leftOf(known, incarnation);
-  if (left === undefined) return;
-  merges.replace(step, left, step.state.options.host);
+  const tombstone = known === undefined
+    ? tombstoneOfUnknown(step, id, incarnation)
+    : tombstoneOf(known, incarnation);
+  if (tombstone === undefined) return;
+  merges.replace(step, tombstone, step.state.options.host);
 }
 
-/** An endpoint that left before this host heard of it. */
-function unheard(
+/** Returns the tombstone of an endpoint that left before this host knew it. */
+function tombstoneOfUnknown(
   { state }: states.Step,
   id: string,
   incarnation: number | undefined,
 ): entries.Entry | undefined {
-  const full = state.notReadySince.size >= states.MAX_TOMBSTONES;
-  if (incarnation === undefined || full) return undefined;
+  const isFull = state.notReadySince.size >= states.MAX_TOMBSTONES;
+  if (incarnation === undefined || isFull) return undefined;
   const generation = incarnation;
   return { id, generation, phase: "left", sequence: 0, declared: incarnation };
 }
 
-function leftOf(
+function tombstoneOf(
   known: entries.Entry,
   incarnation: number | undefined,
 ): entries.Entry | undefined {
   const { id, generation, declared, sequence } = known;
-  const named = incarnation !== undefined && declared !== undefined;
-  if (named && incarnation < declared) return undefined;
-  if (named && incarnation > declared) {
+  const isComparable = incarnation !== undefined && declared !== undefined;
+  if (isComparable && incarnation < declared) return undefined;
+  if (isComparable && incarnation > declared) {
     return {
       id,
       generation: Math.max(generation + 1, incarnation),
@@ -80,7 +80,7 @@
   return { id, generation, phase: "left", sequence: next, declared };
 }
 
-function statementOf(
+function entryOf(
   id: string,
   { state, incarnation, ...rest }: announcements.Announcement,
 ): entries.Entry {
@@ -94,7 +94,8 @@
   };
 }
 
-/** The same keys in the same order, so that equal content gives equal text. */
+/** Returns the keys in a fixed order, so that equal content serializes to equal
+ * text. */
 function endpointOf(
   rest: Omit<announcements.Announcement, "state" | "incarnation">,
 ): schema.Endpoint {
@@ -105,49 +106,53 @@
 function refusalOf(
   step: states.Step,
   known: entries.Entry,
-  stated: entries.Entry,
+  announced: entries.Entry,
 ): states.Refusal | undefined {
-  if (startedBefore(stated, known)) return "stale";
-  if (known.phase !== "left" || isNewRun(step, known, stated)) return undefined;
+  if (startedBefore(announced, known)) return "stale";
+  if (known.phase !== "left" || isNewGeneration(step, known, announced)) {
+    return undefined;
+  }
   return "left";
 }
 
-/** What is known after the statement; `known` itself when it says nothing
- * new. */
-function follow(
+/** Returns the entry after an announcement, or `known` itself if the
+ * announcement changes nothing. */
+function apply(
   step: states.Step,
   known: entries.Entry,
-  stated: entries.Entry,
+  announced: entries.Entry,
 ): entries.Entry {
-  if (isNewRun(step, known, stated)) {
-    const generation = Math.max(known.generation + 1, stated.generation);
-    return { ...stated, generation };
+  if (isNewGeneration(step, known, announced)) {
+    const generation = Math.max(known.generation + 1, announced.generation);
+    return { ...announced, generation };
   }
-  const back =
-    entries.PHASE_ORDER[stated.phase] < entries.PHASE_ORDER[known.phase];
-  const phase = back ? known.phase : stated.phase;
-  const same = phase === known.phase && known.expired === undefined &&
-    entries.contentKey(stated) === entries.contentKey(known);
-  if (same) return known;
+  const isReverting =
+    entries.PHASE_ORDER[announced.phase] < entries.PHASE_ORDER[known.phase];
+  const phase = isReverting ? known.phase : announced.phase;
+  const isUnchanged = phase === known.phase && known.expired === undefined &&
+    entries.contentKey(announced) === entries.contentKey(known);
+  if (isUnchanged) return known;
   const { generation, sequence } = known;
-  return { ...stated, generation, phase, sequence: sequence + 1 };
+  return { ...announced, generation, phase, sequence: sequence + 1 };
 }
 
-/** Whether the statement starts a new generation: a higher incarnation, or a
- * phase that went back and has had time to settle. */
-function isNewRun(
+/** Whether an announcement starts a new generation: it has a higher
+ * incarnation, or goes back to an earlier phase long enough after leaving it. */
+function isNewGeneration(
   { state, now }: states.Step,
   known: entries.Entry,
-  stated: entries.Entry,
+  announced: entries.Entry,
 ): boolean {
-  if (startedBefore(known, stated)) return true;
-  if (entries.PHASE_ORDER[stated.phase] >= entries.PHASE_ORDER[known.phase]) {
+  if (startedBefore(known, announced)) return true;
+  if (
+    entries.PHASE_ORDER[announced.phase] >= entries.PHASE_ORDER[known.phase]
+  ) {
     return false;
   }
-  const turnedAt = state.notReadySince.get(known.id) ?? now;
-  const declared = stated.declared !== undefined;
+  const notReadySince = state.notReadySince.get(known.id) ?? now;
+  const declared = announced.declared !== undefined;
   if (declared && known.phase !== "left") return false;
-  return now - turnedAt >=
+  return now - notReadySince >=
     (declared ? states.REJOIN_DELAY_MS : states.REVERT_DELAY_MS);
 }
 
--- a/src/endpoints/announce_test.ts
+++ b/src/endpoints/announce_test.ts
@@ -5,7 +5,7 @@
 
 function announcementOf(incarnation: number) {
   return {
-    service: "books",
+    service: "lm",
     kind: "engine" as const,
     url: "http://127.0.0.1:9",
     dataCentre: "west",
@@ -13,7 +13,7 @@
   };
 }
 
-/** One host that takes announcements, leaves and news. */
+/** A single host with a registry. */
 class Host {
   #registry = endpoints.Registry.create({
     host: "h1",
@@ -36,26 +36,26 @@
     return this.step({ type: "announce", id: "e1", announcement });
   }
 
-  depart(incarnation?: number): void {
+  leave(incarnation?: number): void {
     this.step({ type: "depart", id: "e1", incarnation });
   }
 }
 
-test("a leave of an earlier run ends nothing, one of this run does", (t) => {
+test("a leave of an earlier incarnation is ignored, one of the current incarnation is applied", (t) => {
   const host = new Host();
   host.announce(5);
   host.announce(6);
-  host.depart(5);
+  host.leave(5);
   t.is(host.serving, 1);
-  host.depart(6);
+  host.leave(6);
   t.is(host.serving, 0);
 });
 
-test("a leave of a run that was not heard of ends that run only", (t) => {
+test("a leave of an unknown incarnation ends that incarnation only", (t) => {
   for (const first of [undefined, 5]) {
     const host = new Host();
     if (first !== undefined) host.announce(first);
-    host.depart(6);
+    host.leave(6);
     t.is(host.serving, 0);
     const late = host.announce(6);
     t.true(late.some(({ type }) => type === "refuse"));
@@ -64,8 +64,9 @@
   }
 });
 
-// Found by seed 367: a fake host without others was never told of itself.
-test("a host that is alone ends the leases of endpoints", (t) => {
+// Regression: a fake host without other hosts never passed itself to its
+// registry, which then had no lease holder and expired nothing (fuzz seed 367).
+test("a host without other hosts expires the leases of endpoints", (t) => {
   const options = { id: "h1", dataCentre: "west", incarnation: 1, seed: 1 };
   const host = new fakeHost.FakeHost({ ...options, seeds: ["h1"], lease: 500 });
   host.wake(0);
--- a/src/endpoints/compact_expiry.ts
+++ b/src/endpoints/compact_expiry.ts
@@ -1,5 +1,5 @@
-/** Short form of an expiry: most of what spreads when the endpoints of a data
- * centre are lost at once.
+/** Compact encoding of an expiry, which keeps gossip small when all endpoints
+ * of a data centre expire at once.
  * @module */
 
 import * as membership from "../membership/mod.ts";
@@ -7,12 +7,13 @@
 
 const RADIX = 36;
 
-/** Id, hash of the version, and the host that let the lease run out. */
+/** Encodes the id, a hash of the version, and the host that declared the
+ * expiry. */
 export function encode(entry: entries.Entry): string {
-  return [entry.id, versionOf(entry), entry.expired].join(" ");
+  return [entry.id, versionHash(entry), entry.expired].join(" ");
 }
 
-/** The whole entry; undefined where that version is not known here. */
+/** Returns the expired entry; undefined if that version is not known here. */
 export function decode(
   known: entries.Entries,
   text: string,
@@ -20,10 +21,10 @@
   const [id, version, expired] = text.split(" ");
   const entry = known.get(id);
   if (entry === undefined || entry.phase === "left") return undefined;
-  return versionOf(entry) === version ? { ...entry, expired } : undefined;
+  return versionHash(entry) === version ? { ...entry, expired } : undefined;
 }
 
-function versionOf(entry: entries.Entry): string {
+function versionHash(entry: entries.Entry): string {
   const { generation, phase, sequence } = entry;
   const text = JSON.stringify([generation, phase, sequence]);
   return membership.hash.text(text).toString(RADIX);
--- a/src/endpoints/entry.ts
+++ b/src/endpoints/entry.ts
@@ -1,32 +1,36 @@
-/** What a host knows of an endpoint, and which of two statements is newer.
+/** Registry entries, and the order in which one version of an entry supersedes
+ * another.
  * @module */
 
 import * as membership from "../membership/mod.ts";
 import type * as schema from "../schema/registry_types.ts";
 
+/** One version of what is known about an endpoint. */
 export type Entry = schema.RegistryEntry;
 
-/** An entry whose endpoint may get calls, or finishes them. */
+/** An entry whose endpoint accepts calls or, while draining, finishes them. */
 export type ServingEntry = Entry & { endpoint: schema.Endpoint };
 
-/** All that one host knows of endpoints, those that left included. */
+/** The entries known to one host, including tombstones of endpoints that left
+ * or expired. */
 export type Entries = membership.DigestMap<Entry>;
 
-/** Phases in the order in which an endpoint goes through them. */
+/** Rank of each phase; an endpoint goes through them in this order. */
 export const PHASE_ORDER: Record<schema.Phase, number> = {
   ready: 0,
   draining: 1,
   left: 2,
 };
 
-/** Whether the lease runs and the endpoint has not left. */
+/** Whether the lease is valid and the endpoint has not left. */
 export function isServing(entry: Entry): entry is ServingEntry {
   return entry.phase !== "left" && entry.expired === undefined;
 }
 
-/** Above 0 when `left` replaces `right`. A later run wins, then a later phase
- * of the run, then a later change; at equal versions an expiry wins, and of
- * two contents that were stated at once the one that sorts later. */
+/** Above 0 if `left` supersedes `right`. The higher generation wins, then the
+ * later phase, then the higher sequence number. At equal versions an expiry
+ * wins; concurrent versions with different content are ordered by that
+ * content, so that all hosts choose the same one. */
 export function compare(left: Entry, right: Entry): number {
   return left.generation - right.generation ||
     PHASE_ORDER[left.phase] - PHASE_ORDER[right.phase] ||
@@ -36,7 +40,7 @@
 }
 
 function compareContent(left: Entry, right: Entry): number {
-  // An expiry and a departure carry no content to differ in.
+  // Expired entries and tombstones carry no content.
   if (!isServing(left) || !isServing(right)) return 0;
   if (left.endpoint === right.endpoint) return 0;
   const texts = [contentKey(left), contentKey(right)];
@@ -44,13 +48,13 @@
   return texts[0] < texts[1] ? -1 : 1;
 }
 
-/** Text that is equal for equal content. */
+/** Serializes the content of an entry; equal for equal content. */
 export function contentKey({ declared, endpoint }: Entry): string {
   return JSON.stringify([declared, endpoint]);
 }
 
-/** An empty map whose hashes cover serving entries only, so that hosts which
- * forgot an endpoint at different times still agree. */
+/** Returns an empty map. Its hashes cover serving entries only, so that hosts
+ * which discarded a tombstone at different times still have equal hashes. */
 export function createMap(): Entries {
   return membership.DigestMap.create<Entry>((entry) => {
     if (!isServing(entry)) return 0;
--- a/src/endpoints/fake_host.ts
+++ b/src/endpoints/fake_host.ts
@@ -1,5 +1,5 @@
-/** A host with membership and registry on a fake fleet, for tests and
- * benches.
+/** A simulated host that runs membership and registry, for tests and
+ * benchmarks.
  * @module */
 
 import * as membership from "../membership/mod.ts";
@@ -11,28 +11,28 @@
 import * as registry from "./registry.ts";
 import type * as states from "./state.ts";
 
-/** What a fake host starts with. */
+/** Options of a fake host. */
 export interface Options {
   id: string;
   dataCentre: string;
   incarnation: number;
   seeds: readonly string[];
-  /** Shortest lease of an endpoint, milliseconds. */
+  /** Minimum lease of an endpoint in milliseconds. */
   lease: number;
   seed: number;
 }
 
-/** Membership and registry wired as a node wires them. */
+/** Connects membership and registry in the same way as a node. */
 export class FakeHost implements fakeFleet.Program {
   readonly id: string;
   membership: membership.Membership;
   registry: registry.Registry;
-  /** Changes of hosts and of endpoints, in order. */
+  /** Changes of hosts and endpoints, in order. */
   readonly changes: (membership.Change | states.Change)[] = [];
-  /** Answers to endpoints, in order. */
+  /** Replies to endpoints, in order. */
   readonly answers: states.Effect[] = [];
-  #memberAt = 0;
-  #registryAt = 0;
+  #membershipWakeAt = 0;
+  #registryWakeAt = 0;
   #started = false;
 
   constructor({ id, seeds, lease, seed, ...self }: Options) {
@@ -48,7 +48,7 @@
   }
 
   get wakeAt(): number {
-    return Math.min(this.#memberAt, this.#registryAt);
+    return Math.min(this.#membershipWakeAt, this.#registryWakeAt);
   }
 
   receive({ from, channel, body }: runtime.Envelope, now: number) {
@@ -62,19 +62,19 @@
 
   wake(now: number): fakeFleet.OutgoingMessage[] {
     const outgoing: fakeFleet.OutgoingMessage[] = [];
-    // A host that is alone never hears of a change.
-    if (!this.#started) outgoing.push(...this.#takeHosts(now));
+    // Without other hosts, membership never reports a change.
+    if (!this.#started) outgoing.push(...this.#updateHosts(now));
     this.#started = true;
-    if (now >= this.#memberAt) {
+    if (now >= this.#membershipWakeAt) {
       outgoing.push(...this.stepMembership({ type: "wake" }, now));
     }
-    if (now >= this.#registryAt) {
+    if (now >= this.#registryWakeAt) {
       outgoing.push(...this.stepRegistry({ type: "wake" }, now));
     }
     return outgoing;
   }
 
-  /** Gives an event to membership. */
+  /** Passes an event to membership. */
   stepMembership(
     event: membership.Event,
     now: number,
@@ -84,7 +84,7 @@
     const outgoing: fakeFleet.OutgoingMessage[] = [];
     let changed = false;
     for (const effect of effects) {
-      if (effect.type === "wake") this.#memberAt = effect.at;
+      if (effect.type === "wake") this.#membershipWakeAt = effect.at;
       else if (effect.type === "send") {
         outgoing.push({ ...effect, channel: "membership" });
       } else {
@@ -92,17 +92,17 @@
         changed = true;
       }
     }
-    if (changed) outgoing.push(...this.#takeHosts(now));
+    if (changed) outgoing.push(...this.#updateHosts(now));
     return outgoing;
   }
 
-  /** Gives an event to the registry. */
+  /** Passes an event to the registry. */
   stepRegistry(event: states.Event, now: number): fakeFleet.OutgoingMessage[] {
     const { state, effects } = this.registry.step(event, now);
     this.registry = state;
     const outgoing: fakeFleet.OutgoingMessage[] = [];
     for (const effect of effects) {
-      if (effect.type === "wake") this.#registryAt = effect.at;
+      if (effect.type === "wake") this.#registryWakeAt = effect.at;
       else if (effect.type === "notify") this.changes.push(effect.change);
       else if (effect.type !== "send") this.answers.push(effect);
       else outgoing.push({ ...effect, channel: "registry" });
@@ -110,7 +110,7 @@
     return outgoing;
   }
 
-  /** An endpoint announces itself or renews here. */
+  /** Passes the announcement of an endpoint to the registry. */
   announce(
     id: string,
     announcement: announcements.Announcement,
@@ -119,7 +119,7 @@
     return this.stepRegistry({ type: "announce", id, announcement }, now);
   }
 
-  #takeHosts(now: number): fakeFleet.OutgoingMessage[] {
+  #updateHosts(now: number): fakeFleet.OutgoingMessage[] {
     const { live, neighbours } = this.membership;
     const hosts = live.map(({ id, dataCentre, drain }) => {
       return { id, dataCentre, draining: drain !== undefined };
--- a/src/endpoints/fixture.ts
+++ b/src/endpoints/fixture.ts
@@ -1,9 +1,9 @@
-/** Sightings for tests.
+/** Sample endpoints for tests.
  * @module */
 
 import type * as roster from "./roster.ts";
 
-/** A ready endpoint of the service `desk`. */
+/** Returns the status of a ready endpoint. */
 export function endpointStatus(
   change: Partial<roster.EndpointStatus> = {},
 ): roster.EndpointStatus {
@@ -20,7 +20,7 @@
   };
 }
 
-/** A ready endpoint as a roster holds it. */
+/** Returns the roster entry of a ready endpoint. */
 export function entry(
   change: Partial<roster.RosterEntry> = {},
 ): roster.RosterEntry {
--- a/src/endpoints/gossip.ts
+++ b/src/endpoints/gossip.ts
@@ -1,24 +1,24 @@
-/** Passes news of endpoints on, and compares copies with neighbours.
+/** Gossips updates of endpoints, and compares replicas with neighbours.
  * @module */
 
 import * as membership from "../membership/mod.ts";
 import type * as schema from "../schema/registry_types.ts";
 import * as entries from "./entry.ts";
-import * as expiries from "./compact_expiry.ts";
+import * as compactExpiry from "./compact_expiry.ts";
 import * as merges from "./merge.ts";
 import * as states from "./state.ts";
 
-const ORDER: membership.exchange.SyncOptions<entries.Entry> = {
+const SYNC_OPTIONS: membership.exchange.SyncOptions<entries.Entry> = {
   compare: entries.compare,
   isLive: entries.isServing,
   maxEntries: states.MAX_UPDATES_PER_MESSAGE,
 };
 
-/** Bytes of an entry in a message, about. */
+/** Approximate size of an entry in a message. */
 const ENTRY_BYTES = 300;
 const EXPIRY_BYTES = 40;
 
-const SENDING: Omit<
+const SEND_OPTIONS: Omit<
   membership.outbox.SendOptions<states.Update>,
   "neighbours"
 > = {
@@ -27,28 +27,28 @@
   maxEntries: states.MAX_UPDATES_PER_MESSAGE,
 };
 
-/** Sends up to one message of news to each neighbour, as far as the bound on
- * bytes allows; the rest follows. */
+/** Sends at most one message of updates to each neighbour, within the rate
+ * limit; the remaining updates are sent later. */
 export function sendUpdates(step: states.Step): void {
   const { state, now } = step;
   const { neighbours } = state;
-  const sending = { ...SENDING, neighbours };
-  const { outbox, parcels } = membership.outbox.dequeue(
+  const options = { ...SEND_OPTIONS, neighbours };
+  const { queue: gossipQueue, batches } = membership.outbox.dequeue(
     state.gossipQueue,
     now,
-    sending,
+    options,
   );
-  const nextNews = outbox.items.size > 0
+  const nextGossip = gossipQueue.items.size > 0
     ? now + states.UPDATE_DELAY_MS
     : Infinity;
-  step.state = { ...state, gossipQueue: outbox, nextGossip: nextNews };
-  for (const parcel of parcels) {
-    const list = parcel.entries.map(({ entry }) => entry);
-    const news = aged(step, list.filter((entry) => !isExpiry(entry)));
-    const expired = list.filter(isExpiry).map(expiries.encode);
+  step.state = { ...state, gossipQueue, nextGossip };
+  for (const batch of batches) {
+    const list = batch.entries.map(({ entry }) => entry);
+    const news = withAges(step, list.filter((entry) => !isExpiry(entry)));
+    const expired = list.filter(isExpiry).map(compactExpiry.encode);
     const body: schema.RegistryNews = { type: "news", news };
     if (expired.length > 0) body.expired = expired;
-    step.effects.push({ type: "send", to: parcel.to, body });
+    step.effects.push({ type: "send", to: batch.to, body });
   }
 }
 
@@ -56,9 +56,9 @@
   return phase !== "left" && expired !== undefined;
 }
 
-/** Tells a neighbour the root, and forgets endpoints that are long gone. */
+/** Sends the root hash to a random neighbour, and discards old tombstones. */
 export function sendRootHash(step: states.Step): void {
-  forget(step);
+  discardTombstones(step);
   const { state, now } = step;
   const { neighbours, options } = state;
   const wait = states.ROOT_HASH_INTERVAL_MS * (0.5 + options.random.next());
@@ -69,47 +69,54 @@
   step.effects.push({ type: "send", to, body: { type: "root", root } });
 }
 
-/** Compares copies with a neighbour whose root differs. */
+/** Starts a replica comparison with a neighbour whose root hash differs. */
 export function compareRootHash(
   step: states.Step,
   from: string,
-  root: string,
+  rootHash: string,
 ): void {
   const { state, now } = step;
-  if (root === state.entries.rootHash()) {
+  if (rootHash === state.entries.rootHash()) {
     if (!state.hasSynced) step.state = { ...state, hasSynced: true };
     return;
   }
-  const quiet = now - state.changedAt >= states.SETTLE_TIME_MS &&
+  const isSettled = now - state.changedAt >= states.SETTLE_TIME_MS &&
     state.gossipQueue.items.size === 0;
-  const waited = now >= state.nextSync + states.SYNC_INTERVAL_MS;
-  if (now < state.nextSync || (!quiet && !waited)) return;
+  const isOverdue = now >= state.nextSync + states.SYNC_INTERVAL_MS;
+  if (now < state.nextSync || (!isSettled && !isOverdue)) return;
   step.state = { ...state, nextSync: now + states.SETTLE_TIME_MS };
   const body = membership.exchange.firstMessage(state.entries);
   step.effects.push({ type: "send", to: from, body });
 }
 
-/** Answers hashes: with finer ones of groups that differ, then with entries. */
+/** Answers the hashes of a replica comparison: group hashes with the bucket
+ * hashes of differing groups, bucket hashes with the entries. */
 export function answerHashes(
   step: states.Step,
   from: string,
   message: schema.RegistryCompare,
 ): void {
   const { exchange } = membership;
-  for (const body of exchange.answer(step.state.entries, message, ORDER)) {
-    if (body.type === "entries") body.news = aged(step, body.news);
+  for (
+    const body of exchange.answer(step.state.entries, message, SYNC_OPTIONS)
+  ) {
+    if (body.type === "entries") body.news = withAges(step, body.news);
     step.effects.push({ type: "send", to: from, body });
   }
 }
 
-/** Takes entries of some buckets; sends back what is newer here. */
+/** Merges the entries of some buckets; sends back those that are newer here. */
 export function receiveEntries(
   step: states.Step,
   from: string,
   message: schema.RegistryEntries,
 ): void {
   const { exchange } = membership;
-  const newer = exchange.newerEntries(step.state.entries, message, ORDER);
+  const newer = exchange.newerEntries(
+    step.state.entries,
+    message,
+    SYNC_OPTIONS,
+  );
   merges.mergeAll(step, message.news, from);
   if (!message.reply) return;
   for (const part of exchange.chunk(newer, states.MAX_UPDATES_PER_MESSAGE)) {
@@ -117,7 +124,7 @@
   }
 }
 
-/** Answers a host that lacks entries. */
+/** Sends the requested entries to a host. */
 export function sendEntries(
   step: states.Step,
   to: string,
@@ -128,12 +135,15 @@
 }
 
 function send(step: states.Step, to: string, list: entries.Entry[]): void {
-  const body: schema.RegistryNews = { type: "news", news: aged(step, list) };
+  const body: schema.RegistryNews = {
+    type: "news",
+    news: withAges(step, list),
+  };
   step.effects.push({ type: "send", to, body });
 }
 
-/** Entries as they are sent: what is gone has an age and no content. */
-function aged(
+/** Returns entries as they are sent: tombstones have an age and no content. */
+function withAges(
   { state, now }: states.Step,
   list: readonly entries.Entry[],
 ): entries.Entry[] {
@@ -145,21 +155,21 @@
   });
 }
 
-function forget(step: states.Step): void {
+function discardTombstones(step: states.Step): void {
   const { state, now } = step;
-  const gone = [...state.notReadySince].filter(([id]) => {
+  const tombstones = [...state.notReadySince].filter(([id]) => {
     return !entries.isServing(state.entries.get(id)!);
   });
-  const excess = gone.length - states.MAX_TOMBSTONES;
-  const old = gone.filter(([, at], pos) =>
+  const excess = tombstones.length - states.MAX_TOMBSTONES;
+  const discarded = tombstones.filter(([, at], pos) =>
     pos < excess || now - at >= states.TOMBSTONE_RETENTION_MS
   );
-  if (old.length === 0) return;
-  const turned = new Map(state.notReadySince);
-  let kept = state.entries;
-  for (const [id] of old) {
-    turned.delete(id);
-    kept = kept.delete(id);
+  if (discarded.length === 0) return;
+  const notReadySince = new Map(state.notReadySince);
+  let remaining = state.entries;
+  for (const [id] of discarded) {
+    notReadySince.delete(id);
+    remaining = remaining.delete(id);
   }
-  step.state = { ...state, notReadySince: turned, entries: kept };
+  step.state = { ...state, notReadySince, entries: remaining };
 }
--- a/src/endpoints/incarnation.ts
+++ b/src/endpoints/incarnation.ts
@@ -1,17 +1,18 @@
-/** Incarnations of endpoints: each start is one, also under a known id. What is
- * known of one says nothing of another.
+/** Incarnations of endpoints. Each start of an endpoint is a new incarnation,
+ * even under the same id; what is known about one does not apply to another.
  * @module */
 
-/** Who an endpoint is. */
+/** Identity of one run of an endpoint. */
 export interface Incarnation {
-  /** Its name for itself. */
+  /** Id that the endpoint chose; stable across restarts. */
   readonly id: string;
-  /** Unix milliseconds of its start; absent where it does not say. */
+  /** Start time in Unix milliseconds; absent if the endpoint does not state
+   * it. */
   readonly born?: number;
 }
 
-/** Above 0 when `one` started after `other`, below 0 when before. One that does
- * not say counts as before any that does. */
+/** Above 0 if `one` started after `other`, below 0 if before. An incarnation
+ * without a start time sorts before those with one. */
 export function compare(
   one: Pick<Incarnation, "born">,
   other: Pick<Incarnation, "born">,
@@ -19,13 +20,13 @@
   return (one.born ?? -1) - (other.born ?? -1);
 }
 
-/** Text that no other incarnation has: the key of all that a host believes of
- * an endpoint from its own calls. */
+/** Returns a unique key of an incarnation, under which a host stores its
+ * observations of the endpoint. */
 export function keyOf({ id, born }: Incarnation): string {
   return born === undefined ? id : `${id}~${born}`;
 }
 
-/** Id in a key that has a start. */
+/** Extracts the id from a key that contains a start time. */
 export function idOf(key: string): string {
   return key.slice(0, key.lastIndexOf("~"));
 }
--- a/src/endpoints/lease.ts
+++ b/src/endpoints/lease.ts
@@ -1,13 +1,14 @@
-/** Leases of endpoints: renewed through any host, ended by their holder.
+/** Leases of endpoints. Any host accepts a renewal and forwards it to the lease
+ * holder; only the holder lets a lease expire.
  * @module */
 
 import type * as schema from "../schema/registry_types.ts";
 import * as entries from "./entry.ts";
-import * as holders from "./lease_holder.ts";
+import * as leaseHolder from "./lease_holder.ts";
 import * as merges from "./merge.ts";
 import * as states from "./state.ts";
 
-/** Renews the lease here, or at its holder. */
+/** Renews a lease held here, or queues the renewal for the lease holder. */
 export function renew(
   step: states.Step,
   { id, generation, endpoint }: entries.Entry,
@@ -24,20 +25,20 @@
   };
 }
 
-/** Takes renewals that another host heard. */
+/** Processes renewals that another host forwards. */
 export function receiveRenewals(
   step: states.Step,
   from: string,
   { renewals, forwarded }: schema.Renew,
 ): void {
   const unknown: string[] = [];
-  const newer: entries.Entry[] = [];
+  const superseding: entries.Entry[] = [];
   for (const renewal of renewals) {
     const known = step.state.entries.get(renewal.id);
     if (known === undefined || known.generation < renewal.generation) {
       unknown.push(renewal.id);
-    } else if (isOver(known, renewal)) newer.push(known);
-    else revive(step, known, forwarded ?? false);
+    } else if (isSuperseded(known, renewal)) superseding.push(known);
+    else renewKnown(step, known, forwarded ?? false);
   }
   const { effects } = step;
   if (unknown.length > 0) {
@@ -47,16 +48,16 @@
       body: { type: "want", ids: unknown },
     });
   }
-  if (newer.length > 0) {
+  if (superseding.length > 0) {
     effects.push({
       type: "send",
       to: from,
-      body: { type: "news", news: newer },
+      body: { type: "news", news: superseding },
     });
   }
 }
 
-/** Sends renewals on to the holders. */
+/** Forwards queued renewals to the lease holders. */
 export function sendRenewals(step: states.Step): void {
   const { state } = step;
   step.state = { ...state, renewals: new Map(), nextRenewal: Infinity };
@@ -69,7 +70,7 @@
   }
 }
 
-/** Ends the leases that have run out. */
+/** Expires the leases that are due. */
 export function expire(step: states.Step): void {
   const { leases, options } = step.state;
   for (const [id, end] of leases) {
@@ -83,23 +84,23 @@
       options.host,
     );
   }
-  const rest = [...step.state.leases.values()];
-  const nextExpiry = rest.reduce(
-    (least, end) => Math.min(least, end),
+  const remaining = [...step.state.leases.values()];
+  const nextExpiry = remaining.reduce(
+    (earliest, end) => Math.min(earliest, end),
     Infinity,
   );
   step.state = { ...step.state, nextExpiry };
 }
 
-/** Takes over the leases that fall to this host, and gives up others. */
+/** Replaces the set of hosts, and takes or releases leases accordingly. */
 export function updateHosts(
   step: states.Step,
-  hosts: readonly holders.Host[],
+  hosts: readonly leaseHolder.Host[],
   neighbours: readonly string[],
 ): void {
   step.state = {
     ...step.state,
-    leaseHolders: holders.LeaseHolders.create(hosts),
+    leaseHolders: leaseHolder.LeaseHolders.create(hosts),
     neighbours,
   };
   for (const entry of step.state.entries.values()) {
@@ -107,12 +108,13 @@
   }
 }
 
-function isOver(known: entries.Entry, renewal: schema.Renewal): boolean {
+function isSuperseded(known: entries.Entry, renewal: schema.Renewal): boolean {
   return known.phase === "left" || known.generation > renewal.generation;
 }
 
-/** Extends the lease of a known endpoint, and wakes up one that expired. */
-function revive(
+/** Extends the lease of a known endpoint and revokes its expiry if it has
+ * expired; forwards the renewal if another host holds the lease. */
+function renewKnown(
   step: states.Step,
   known: entries.Entry,
   forwarded: boolean,
@@ -120,7 +122,8 @@
   const { state } = step;
   const holder = merges.holderOf(state, known);
   if (holder !== state.options.host) {
-    // Views of the hosts differ for now: one more hop, never a loop.
+    // The sender has a different view of the members. The renewal is forwarded
+    // once only, which prevents loops.
     if (!forwarded && holder !== undefined) forward(step, holder, known);
     return;
   }
--- a/src/endpoints/lease_holder.ts
+++ b/src/endpoints/lease_holder.ts
@@ -1,15 +1,15 @@
-/** Which host holds the lease of an endpoint: rendezvous hashing over the
- * hosts of its data centre, so that a cut between data centres does not part
- * an endpoint from its holder.
+/** Assignment of lease holders to endpoints: rendezvous hashing over the hosts
+ * of the endpoint's data centre, so that a partition between data centres does
+ * not separate an endpoint from its lease holder.
  * @module */
 
 import * as membership from "../membership/mod.ts";
 
-/** A host as far as holding leases goes. */
+/** A host that can hold leases. */
 export interface Host {
   id: string;
   dataCentre: string;
-  /** Takes no new leases while other hosts can. */
+  /** A draining host gets no leases as long as another host is available. */
   draining: boolean;
 }
 
@@ -18,43 +18,45 @@
   hash: number;
 }
 
-/** The hosts that can hold leases; equal wherever views of hosts agree. */
+/** The set of possible lease holders; immutable. Hosts with the same view of
+ * the members compute the same assignment. */
 export class LeaseHolders {
   readonly size: number;
   readonly #all: readonly Candidate[];
-  readonly #dataCentres: ReadonlyMap<string, readonly Candidate[]>;
+  readonly #byDataCentre: ReadonlyMap<string, readonly Candidate[]>;
 
   private constructor(hosts: readonly Host[]) {
     this.size = hosts.length;
     const ready = hosts.filter((host) => !host.draining);
-    const able = ready.length > 0 ? ready : hosts;
+    const eligible = ready.length > 0 ? ready : hosts;
     const dataCentres = new Map<string, Candidate[]>();
-    for (const { id, dataCentre } of able) {
+    for (const { id, dataCentre } of eligible) {
       const list = dataCentres.get(dataCentre) ?? [];
       list.push({ id, hash: membership.hash.text(id) });
       dataCentres.set(dataCentre, list);
     }
-    this.#dataCentres = dataCentres;
+    this.#byDataCentre = dataCentres;
     this.#all = [...dataCentres.values()].flat();
   }
 
+  /** Creates the set of lease holders from the live hosts. */
   static create(hosts: readonly Host[]): LeaseHolders {
     return new LeaseHolders(hosts);
   }
 
-  /** The holder of an endpoint's lease; undefined when there is no host. */
+  /** Returns the lease holder of an endpoint; undefined if there is no host. */
   of(id: string, dataCentre: string): string | undefined {
-    const candidates = this.#dataCentres.get(dataCentre) ?? this.#all;
-    const own = membership.hash.text(id);
+    const candidates = this.#byDataCentre.get(dataCentre) ?? this.#all;
+    const idHash = membership.hash.text(id);
     let best: Candidate | undefined;
-    let most = -1;
+    let highest = -1;
     for (const candidate of candidates) {
-      const weight = membership.hash.mix(candidate.hash, own);
-      const wins = weight > most ||
-        (weight === most && candidate.id > best!.id);
+      const weight = membership.hash.mix(candidate.hash, idHash);
+      const wins = weight > highest ||
+        (weight === highest && candidate.id > best!.id);
       if (!wins) continue;
       best = candidate;
-      most = weight;
+      highest = weight;
     }
     return best?.id;
   }
--- a/src/endpoints/merge.ts
+++ b/src/endpoints/merge.ts
@@ -1,59 +1,63 @@
-/** Takes statements about endpoints into the state.
+/** Merges received entries into the state of the registry.
  * @module */
 
 import * as membership from "../membership/mod.ts";
 import * as entries from "./entry.ts";
-import * as expiries from "./compact_expiry.ts";
+import * as compactExpiry from "./compact_expiry.ts";
 import * as states from "./state.ts";
 
-/** Takes in what `from` says about endpoints. */
+/** Merges entries received from host `from`. */
 export function mergeAll(
   step: states.Step,
-  news: readonly entries.Entry[],
+  received: readonly entries.Entry[],
   from: string,
 ): void {
-  for (const entry of news) merge(step, entry, from);
+  for (const entry of received) merge(step, entry, from);
 }
 
-/** Takes in expiries in short form; copies are compared later if one is about
- * what is not known here. */
+/** Merges compactly encoded expiries received from host `from`. One for an
+ * unknown version is skipped and picked up by a later replica comparison. */
 export function mergeExpiries(
   step: states.Step,
   texts: readonly string[],
   from: string,
 ): void {
   for (const text of texts) {
-    const entry = expiries.decode(step.state.entries, text);
+    const entry = compactExpiry.decode(step.state.entries, text);
     if (entry !== undefined) merge(step, entry, from);
   }
 }
 
 function merge(step: states.Step, entry: entries.Entry, from: string): void {
   const known = step.state.entries.get(entry.id);
-  if (known === undefined && !isWorthLearning(step, entry)) return;
+  if (known === undefined && !shouldStore(step, entry)) return;
   const newer = known && entries.compare(entry, known);
-  if (newer === 0) hear(step, entry.id, from);
+  if (newer === 0) markKnown(step, entry.id, from);
   if (newer !== undefined && newer <= 0) return;
   if (entry.expired === undefined) return replace(step, entry, from);
   if (known === undefined) return;
   mergeExpiry(step, { known, entry, from });
 }
 
-function hear(step: states.Step, id: string, from: string): void {
-  const outbox = membership.outbox.markKnown(step.state.gossipQueue, id, from);
-  step.state = { ...step.state, gossipQueue: outbox };
+function markKnown(step: states.Step, id: string, from: string): void {
+  const gossipQueue = membership.outbox.markKnown(
+    step.state.gossipQueue,
+    id,
+    from,
+  );
+  step.state = { ...step.state, gossipQueue };
 }
 
-/** What left long ago is not learnt anew, or hosts would remind each other of
- * it for ever. */
-function isWorthLearning(step: states.Step, entry: entries.Entry): boolean {
+/** Whether an entry for an unknown endpoint is stored. Old tombstones are not,
+ * or hosts would pass them back to each other for ever. */
+function shouldStore(step: states.Step, entry: entries.Entry): boolean {
   if (entry.phase !== "left") return entry.expired === undefined;
   return (entry.age ?? 0) < states.TOMBSTONE_RETENTION_MS &&
     step.state.notReadySince.size < states.MAX_TOMBSTONES;
 }
 
-/** Only the host that holds the lease can tell that it ran out: one that was
- * cut off from the endpoint and its holder cannot. */
+/** Merges an expiry. Only the lease holder may declare one: a host on the other
+ * side of a network partition does not see the renewals. */
 function mergeExpiry(
   step: states.Step,
   { known, entry, from }: {
@@ -71,12 +75,12 @@
     const sequence = entry.sequence + 1;
     return replace(step, { ...known, sequence }, state.options.host);
   }
-  if (holder !== undefined) askHolder(step, holder, entry);
+  if (holder !== undefined) confirmExpiry(step, holder, entry);
 }
 
-/** Lets the holder refute an expiry that another host declared, or confirm
- * it. */
-function askHolder(
+/** Makes the lease holder confirm or refute an expiry that another host
+ * declared. */
+function confirmExpiry(
   { effects }: states.Step,
   to: string,
   entry: entries.Entry,
@@ -87,16 +91,17 @@
   );
 }
 
-/** Host that holds the lease of the endpoint, as this host sees it. */
+/** Returns the lease holder of an endpoint according to this host's view of
+ * the members. */
 export function holderOf(
-  { leaseHolders: holders }: states.State,
+  { leaseHolders }: states.State,
   { id, endpoint }: entries.Entry,
 ): string | undefined {
-  return endpoint && holders.of(id, endpoint.dataCentre);
+  return endpoint && leaseHolders.of(id, endpoint.dataCentre);
 }
 
-/** Replaces what is known of an endpoint, tells the other parts and spreads
- * it. */
+/** Replaces the entry of an endpoint, reports the change and queues it for
+ * gossip. */
 export function replace(
   step: states.Step,
   entry: entries.Entry,
@@ -104,39 +109,44 @@
 ): void {
   const { state, now } = step;
   const known = state.entries.get(entry.id);
-  const { age, ...kept } = entry;
-  const turned = new Map(state.notReadySince);
-  turned.delete(entry.id);
+  const { age, ...stored } = entry;
+  const notReadySince = new Map(state.notReadySince);
+  notReadySince.delete(entry.id);
   if (entry.phase !== "ready" || entry.expired !== undefined) {
-    turned.set(entry.id, now - (age ?? 0));
+    notReadySince.set(entry.id, now - (age ?? 0));
   }
-  const news = { id: entry.id, entry: kept };
-  const outbox = membership.outbox.enqueue(state.gossipQueue, news, from);
+  const update = { id: entry.id, entry: stored };
+  const gossipQueue = membership.outbox.enqueue(
+    state.gossipQueue,
+    update,
+    from,
+  );
   step.state = {
     ...state,
-    entries: state.entries.set(kept),
-    notReadySince: turned,
-    gossipQueue: outbox,
+    entries: state.entries.set(stored),
+    notReadySince,
+    gossipQueue,
     nextGossip: Math.min(state.nextGossip, now + states.UPDATE_DELAY_MS),
     changedAt: now,
   };
-  updateLease(step, kept);
-  notify(step, known, kept);
+  updateLease(step, stored);
+  notify(step, known, stored);
 }
 
-/** Holds a lease while this host should, with grace for a new holder. */
+/** Takes or releases the lease of an endpoint, depending on whether this host
+ * is the holder. A lease taken over gets a grace period. */
 export function updateLease(step: states.Step, entry: entries.Entry): void {
   const { state } = step;
-  const own = entries.isServing(entry) &&
+  const isHolder = entries.isServing(entry) &&
     holderOf(state, entry) === state.options.host;
-  if (own === state.leases.has(entry.id)) return;
-  if (own) return startLease(step, entry.id, states.TAKEOVER_GRACE_MS);
+  if (isHolder === state.leases.has(entry.id)) return;
+  if (isHolder) return startLease(step, entry.id, states.TAKEOVER_GRACE_MS);
   const leases = new Map(state.leases);
   leases.delete(entry.id);
   step.state = { ...state, leases };
 }
 
-/** Starts the lease of an endpoint anew. */
+/** Starts or renews the lease of an endpoint. */
 export function startLease(step: states.Step, id: string, grace = 0): void {
   const { state, now } = step;
   const end = now + states.leaseDuration(state) + states.FORWARD_SLACK_MS +
@@ -159,10 +169,10 @@
   known: entries.Entry | undefined,
   entry: entries.Entry,
 ): states.Change | undefined {
-  const served = known !== undefined && entries.isServing(known);
+  const wasServing = known !== undefined && entries.isServing(known);
   if (entries.isServing(entry)) {
-    return { type: served ? "changed" : "joined", entry };
+    return { type: wasServing ? "changed" : "joined", entry };
   }
-  if (!served) return undefined;
+  if (!wasServing) return undefined;
   return { type: entry.phase === "left" ? "left" : "expired", id: entry.id };
 }
--- a/src/endpoints/mod.ts
+++ b/src/endpoints/mod.ts
@@ -1,4 +1,5 @@
-/** Endpoints that announce themselves: leases, drains, departures.
+/** Discovery of endpoints. `Registry` is a gossiped registry of endpoints that
+ * announce themselves and hold leases; `Roster` merges endpoint heartbeats.
  * @module */
 
 export type { Entry, ServingEntry as Serving } from "./entry.ts";
--- a/src/endpoints/registry.ts
+++ b/src/endpoints/registry.ts
@@ -1,17 +1,18 @@
-/** The endpoints that serve, as one host knows them.
+/** State machine of the endpoint registry: a replica, on each host, of the
+ * endpoints that serve, kept in sync by gossip.
  * @module */
 
 import * as membership from "../membership/mod.ts";
 import type * as schema from "../schema/registry_types.ts";
 import * as announces from "./announce.ts";
 import * as entries from "./entry.ts";
-import * as holders from "./lease_holder.ts";
+import * as leaseHolder from "./lease_holder.ts";
 import * as leases from "./lease.ts";
 import * as merges from "./merge.ts";
-import * as spreads from "./gossip.ts";
+import * as gossip from "./gossip.ts";
 import * as states from "./state.ts";
 
-/** Outcome of a step. */
+/** Next state and effects of a step. */
 export interface Result {
   state: Registry;
   effects: states.Effect[];
@@ -27,7 +28,7 @@
 
 type Handler = (step: states.Step, event: unknown, from: string) => void;
 
-/** An immutable view of the endpoints; `step` gives the next one. */
+/** An immutable replica of the registry; `step` returns the next one. */
 export class Registry {
   readonly #state: states.State;
 
@@ -35,12 +36,13 @@
     this.#state = state;
   }
 
-  /** The view of a host that has just started; wake it at once. */
+  /** Creates the registry of a host that has just started; it expects a `wake`
+   * event at once. */
   static create(options: states.Options): Registry {
     return new Registry({
       options,
       entries: entries.createMap(),
-      leaseHolders: holders.LeaseHolders.create([]),
+      leaseHolders: leaseHolder.LeaseHolders.create([]),
       neighbours: [],
       leases: new Map(),
       nextExpiry: Infinity,
@@ -57,12 +59,12 @@
     });
   }
 
-  /** Takes one event at `now`, milliseconds of a monotonic clock. */
+  /** Processes one event at `now`, milliseconds of a monotonic clock. */
   step(event: states.Event, now: number): Result {
     const step: states.Step = { state: this.#state, effects: [], now };
     const handler = handlers[event.type] as Handler;
     handler(step, event, "");
-    const wakeAt = Math.max(now, due(step.state));
+    const wakeAt = Math.max(now, nextWake(step.state));
     if (wakeAt !== this.#state.wakeAt || event.type === "wake") {
       step.effects.push({ type: "wake", at: wakeAt });
     }
@@ -70,22 +72,22 @@
     return { state, effects: step.effects };
   }
 
-  /** What is known of an endpoint, gone or not. */
+  /** Returns the entry of an endpoint, which may be a tombstone. */
   get(id: string): entries.Entry | undefined {
     return this.#state.entries.get(id);
   }
 
-  /** Endpoints that serve, draining ones included. */
+  /** Entries of serving endpoints, including draining ones. */
   get serving(): entries.ServingEntry[] {
     return [...this.#state.entries.values()].filter(entries.isServing);
   }
 
-  /** Whether this copy has once equalled that of another host. */
+  /** Whether this replica has been equal to that of another host once. */
   get hasSynced(): boolean {
     return this.#state.hasSynced;
   }
 
-  /** Hash of the serving endpoints; equal where views agree. */
+  /** Hash of the serving endpoints; equal for equal replicas. */
   get rootHash(): string {
     return this.#state.entries.rootHash();
   }
@@ -95,28 +97,22 @@
     return [...this.#state.leases.keys()];
   }
 
-  /** For the state dump. */
+  /** Serializes the registry for the state dump. */
   toJSON(): object {
-    const { entries, leases, gossipQueue: outbox, hasSynced: agreed } =
-      this.#state;
+    const { entries, leases, gossipQueue, hasSynced: agreed } = this.#state;
     return {
       entries: [...entries.values()],
       leases: Object.fromEntries(leases),
       lease: states.leaseDuration(this.#state),
-      pendingNews: outbox.items.size,
+      pendingNews: gossipQueue.items.size,
       agreed,
     };
   }
 }
 
-function due(state: states.State): number {
-  const {
-    nextExpiry,
-    nextRenewal: nextRenew,
-    nextGossip: nextNews,
-    nextRootHash: nextRoot,
-  } = state;
-  return Math.min(nextExpiry, nextRenew, nextNews, nextRoot);
+function nextWake(state: states.State): number {
+  const { nextExpiry, nextRenewal, nextGossip, nextRootHash } = state;
+  return Math.min(nextExpiry, nextRenewal, nextGossip, nextRootHash);
 }
 
 const handlers: Handlers<states.Event> = {
@@ -124,11 +120,11 @@
     const { now } = step;
     if (now >= step.state.nextExpiry) leases.expire(step);
     if (now >= step.state.nextRenewal) leases.sendRenewals(step);
-    if (now >= step.state.nextGossip) spreads.sendUpdates(step);
-    if (now >= step.state.nextRootHash) spreads.sendRootHash(step);
+    if (now >= step.state.nextGossip) gossip.sendUpdates(step);
+    if (now >= step.state.nextRootHash) gossip.sendRootHash(step);
   },
   message: (step, { from, body }) => {
-    const handler = messages[body.type] as Handler;
+    const handler = messageHandlers[body.type] as Handler;
     handler(step, body, from);
   },
   hosts: (step, { hosts, neighbours }) => {
@@ -142,14 +138,14 @@
   },
 };
 
-const messages: Handlers<schema.RegistryMessage> = {
+const messageHandlers: Handlers<schema.RegistryMessage> = {
   renew: (step, body, from) => leases.receiveRenewals(step, from, body),
-  want: (step, { ids }, from) => spreads.sendEntries(step, from, ids),
-  root: (step, { root }, from) => spreads.compareRootHash(step, from, root),
+  want: (step, { ids }, from) => gossip.sendEntries(step, from, ids),
+  root: (step, { root }, from) => gossip.compareRootHash(step, from, root),
   news: (step, { news, expired = [] }, from) => {
     merges.mergeAll(step, news, from);
     merges.mergeExpiries(step, expired, from);
   },
-  compare: (step, body, from) => spreads.answerHashes(step, from, body),
-  entries: (step, body, from) => spreads.receiveEntries(step, from, body),
+  compare: (step, body, from) => gossip.answerHashes(step, from, body),
+  entries: (step, body, from) => gossip.receiveEntries(step, from, body),
 };
--- a/src/endpoints/roster.ts
+++ b/src/endpoints/roster.ts
@@ -1,190 +1,208 @@
-/** Endpoints as their heartbeats tell of them, merged from several hosts.
+/** Endpoints known from heartbeats, merged from the reports of several hosts.
  *
- * An endpoint may start again under its id: of two incarnations the later one
- * replaces the earlier whole, and nothing said of the earlier one counts any
- * more. Of two reports about one incarnation the higher sequence is the later;
- * `gone` is final. So hosts that have heard the same words hold the same,
- * whatever the order. An endpoint that is silent is only marked: a cut between
- * it and this host says nothing about its calls.
+ * Merging is commutative, so that hosts which have received the same reports in
+ * any order have the same roster. Of two incarnations of an id the later one
+ * replaces the earlier one entirely, and further reports about the earlier one
+ * are ignored. Within an incarnation the report with the higher sequence number
+ * wins, and `gone` is final. An endpoint without heartbeats is marked silent,
+ * not removed: a partition between it and this host does not mean that calls
+ * to it fail.
  * @module */
 
 import * as incarnations from "./incarnation.ts";
 
-/** What an endpoint says of itself; `gone` once it has left. */
+/** State that an endpoint reports; `gone` once it has left. */
 export type EndpointState = "ready" | "draining" | "gone";
 
-/** One report about an endpoint. */
+/** Status that an endpoint reports about itself. */
 export interface EndpointStatus extends incarnations.Incarnation {
   readonly service: string;
-  /** IP number and port. */
+  /** IP address and port. */
   readonly address: string;
   readonly dataCentre: string;
-  /** Version of its software. */
+  /** Version of the endpoint's software. */
   readonly version: string;
   readonly slots: number;
   readonly state: EndpointState;
-  /** Grows with each report of the endpoint; -1 where it is not known. */
+  /** Grows with each report of the endpoint; -1 if it is not known. */
   readonly sequence: number;
 }
 
-/** An endpoint as a roster holds it. */
+/** An endpoint in a roster. */
 export interface RosterEntry extends EndpointStatus {
-  /** When it was last heard, by the clock of this host. */
+  /** Time of the last heartbeat, by the clock of this host. */
   readonly heardAt: number;
-  /** Until when it is cold: slow, and able to bear few requests. */
+  /** End of the cold start, during which the endpoint is slow and can take few
+   * requests. */
   readonly coldUntil: number;
-  /** Revision of the roster at which others should hear of it again. */
+  /** Roster revision of the last change that other hosts should learn of. */
   readonly revision: number;
+  /** Whether heartbeats have stopped for the silence timeout. */
   readonly isSilent: boolean;
-  /** When this host first heard of this incarnation. */
+  /** When this host first learned of this incarnation. */
   readonly firstHeardAt: number;
 }
 
-/** Times in milliseconds. */
+/** Timeouts of a roster. */
 export interface RosterOptions {
-  /** Without a heartbeat for so long, an endpoint counts as silent. */
+  /** Time without a heartbeat after which an endpoint is marked silent. */
   readonly silenceTimeoutMs: number;
-  /** A silent endpoint is forgotten after so long, one that is gone too. */
+  /** Time without a heartbeat after which an endpoint that is silent or gone is
+   * removed. */
   readonly retentionMs: number;
 }
 
-/** A report that has come to this host. */
+/** A status report as received by this host. */
 export interface StatusReport {
   readonly status: EndpointStatus;
-  /** When the endpoint was heard, by the clock of this host. */
+  /** Time of the heartbeat, by the clock of this host. */
   readonly heardAt: number;
   readonly coldUntil?: number;
-  /** Whether a host that hears all heartbeats holds it for silent; absent when
-   * the report is a heartbeat itself. */
+  /** Whether a host that receives heartbeats considers the endpoint silent;
+   * absent if this host decides that itself. */
   readonly isSilent?: boolean;
 }
 
-/** Endpoints by id; changed in place. */
+/** Endpoints by id; mutable. */
 export class Roster {
-  readonly #times: RosterOptions;
+  readonly #options: RosterOptions;
   readonly #entries = new Map<string, RosterEntry>();
   #revision = 0;
 
-  private constructor(times: RosterOptions) {
-    this.#times = times;
+  private constructor(options: RosterOptions) {
+    this.#options = options;
   }
 
-  /** An empty roster. */
-  static create(times: RosterOptions): Roster {
-    return new Roster(times);
+  /** Creates an empty roster. */
+  static create(options: RosterOptions): Roster {
+    return new Roster(options);
   }
 
-  /** Grows with each change that others should hear of. */
+  /** Grows with each change that other hosts should learn of. */
   get revision(): number {
     return this.#revision;
   }
 
-  /** All that is known, also what is gone. */
+  /** All entries, including those that are silent or gone. */
   get entries(): Iterable<RosterEntry> {
     return this.#entries.values();
   }
 
+  /** Returns the entry of an endpoint. */
   get(id: string): RosterEntry | undefined {
     return this.#entries.get(id);
   }
 
-  /** The entry of an incarnation, by its key; undefined where another one of
-   * its id is known. */
+  /** Returns the entry of an incarnation by its key; undefined if a different
+   * incarnation of the id is known. */
   find(key: string): RosterEntry | undefined {
     const known = this.get(key) ?? this.get(incarnations.idOf(key));
     const isSame = known !== undefined && incarnations.keyOf(known) === key;
     return isSame ? known : undefined;
   }
 
-  /** Takes a report; returns whether others should hear of it at once. */
+  /** Merges a report; returns whether other hosts should learn of it at
+   * once. */
   merge(
-    { status: sighting, heardAt: heard, coldUntil = 0, isSilent }: StatusReport,
+    { status, heardAt, coldUntil = 0, isSilent }: StatusReport,
   ): boolean {
-    const known = this.#entries.get(sighting.id);
-    const order = known === undefined ? 1 : orderOf(sighting, known, heard);
+    const known = this.#entries.get(status.id);
+    const order = known === undefined
+      ? 1
+      : compareIncarnation(status, known, heardAt);
     if (known === undefined || order > 0) {
-      const told = { coldUntil, isSilent: isSilent ?? false };
-      this.#put({ ...sighting, ...told, heardAt: heard, firstHeardAt: heard });
+      const reported = { coldUntil, isSilent: isSilent ?? false };
+      this.#store({
+        ...status,
+        ...reported,
+        heardAt,
+        firstHeardAt: heardAt,
+      });
       return true;
     }
     if (order < 0 || known.state === "gone") return false;
-    const isOlder = isOlderWord(sighting, known);
-    if (isOlder && sighting.state !== "gone") return false;
+    const isOlder = isOlderReport(status, known);
+    if (isOlder && status.state !== "gone") return false;
     const next: RosterEntry = {
       ...known,
-      ...(isOlder ? {} : { ...sighting, born: known.born }),
-      state: sighting.state,
-      heardAt: Math.max(heard, known.heardAt),
+      ...(isOlder ? {} : { ...status, born: known.born }),
+      state: status.state,
+      heardAt: Math.max(heardAt, known.heardAt),
       coldUntil: isOlder ? known.coldUntil : coldUntil,
-      isSilent: isSilent ?? (known.isSilent && heard <= known.heardAt),
+      isSilent: isSilent ?? (known.isSilent && heardAt <= known.heardAt),
     };
-    const isNews = isDifferent(known, next);
-    if (isNews) this.#put(next);
+    const isChanged = hasChanged(known, next);
+    if (isChanged) this.#store(next);
     else this.#entries.set(next.id, next);
-    return isNews;
+    return isChanged;
   }
 
-  /** Notes that an endpoint has left, also one that was never heard. Without a
-   * `born` it is the incarnation that is known. */
+  /** Records that an endpoint has left, even if it is unknown. Without a start
+   * time this applies to the known incarnation. */
   recordLeave(left: incarnations.Incarnation, now: number): boolean {
-    return this.merge({ status: departureOf(left), heardAt: now });
+    return this.merge({ status: leftStatus(left), heardAt: now });
   }
 
-  /** Marks what is silent and forgets what has been so for long. */
+  /** Marks silent endpoints, and removes those that have been silent or gone
+   * for the retention time. */
   expire(now: number): void {
-    const { silenceTimeoutMs: silence, retentionMs: memory } = this.#times;
+    const { silenceTimeoutMs, retentionMs } = this.#options;
     for (const entry of [...this.#entries.values()]) {
       const age = now - entry.heardAt;
-      const isOver = entry.isSilent || entry.state === "gone";
-      if (isOver && age > memory) this.#entries.delete(entry.id);
-      else if (!isOver && age > silence) {
-        this.#put({ ...entry, isSilent: true });
+      const isInactive = entry.isSilent || entry.state === "gone";
+      if (isInactive && age > retentionMs) this.#entries.delete(entry.id);
+      else if (!isInactive && age > silenceTimeoutMs) {
+        this.#store({ ...entry, isSilent: true });
       }
     }
   }
 
-  /** What has changed after a revision. */
+  /** Returns the entries that have changed since a revision. */
   changedSince(revision: number): RosterEntry[] {
     return [...this.#entries.values()].filter((entry) =>
       entry.revision > revision
     );
   }
 
-  #put(entry: Omit<RosterEntry, "revision">): void {
+  #store(entry: Omit<RosterEntry, "revision">): void {
     this.#entries.set(entry.id, { ...entry, revision: ++this.#revision });
   }
 }
 
-/** Whether a word is of a later incarnation than the known one (above 0), of an
- * earlier one (below 0), or of the same. */
-function orderOf(
-  word: EndpointStatus,
+/** Above 0 if a report is about a later incarnation than the known one, below 0
+ * if about an earlier one. */
+function compareIncarnation(
+  status: EndpointStatus,
   known: RosterEntry,
-  heard: number,
+  heardAt: number,
 ): number {
-  const order = incarnations.compare(word, known);
-  const isVague = word.state === "gone" && word.born === undefined;
-  if (order >= 0 || !isVague) return order;
-  // A leave may come without its incarnation: it is of the one known then, and
-  // of none that was heard of since.
-  return heard >= known.firstHeardAt ? 0 : order;
+  const order = incarnations.compare(status, known);
+  const lacksStart = status.state === "gone" && status.born === undefined;
+  if (order >= 0 || !lacksStart) return order;
+  // A leave without a start time applies to the incarnation known at the time
+  // of the leave, not to one that was first heard of later.
+  return heardAt >= known.firstHeardAt ? 0 : order;
 }
 
-/** Whether a word of the same incarnation is the older one. Of different words
- * with one sequence, which another writer may send, all hosts take the same. */
-function isOlderWord(word: EndpointStatus, known: RosterEntry): boolean {
-  if (word.sequence !== known.sequence) return word.sequence < known.sequence;
-  return textOf(word) < textOf(known);
+/** Whether a report about the known incarnation is older than the known one.
+ * Another implementation may send different reports with the same sequence
+ * number; all hosts then keep the same one. */
+function isOlderReport(status: EndpointStatus, known: RosterEntry): boolean {
+  if (status.sequence !== known.sequence) {
+    return status.sequence < known.sequence;
+  }
+  return sortKey(status) < sortKey(known);
 }
 
-/** Text that orders words of one sequence: a drain goes before readiness. */
-function textOf(word: EndpointStatus): string {
-  const { state, service, address, dataCentre, version, slots } = word;
-  const first = state === "ready" ? 0 : 1;
-  return JSON.stringify([first, service, address, dataCentre, version, slots]);
+/** Returns the sort key of reports with equal sequence numbers; any other state
+ * wins over ready. */
+function sortKey(status: EndpointStatus): string {
+  const { state, service, address, dataCentre, version, slots } = status;
+  const rank = state === "ready" ? 0 : 1;
+  return JSON.stringify([rank, service, address, dataCentre, version, slots]);
 }
 
-function departureOf({ id, born }: incarnations.Incarnation): EndpointStatus {
+function leftStatus({ id, born }: incarnations.Incarnation): EndpointStatus {
   return {
     id,
     born,
@@ -198,7 +216,7 @@
   };
 }
 
-const COMPARED = [
+const COMPARED_FIELDS = [
   "born",
   "service",
   "address",
@@ -207,17 +225,17 @@
   "isSilent",
 ] as const;
 
-function isDifferent(one: RosterEntry, other: RosterEntry): boolean {
-  return COMPARED.some((key) => one[key] !== other[key]) ||
-    isColdAnew(one, other);
+function hasChanged(one: RosterEntry, other: RosterEntry): boolean {
+  return COMPARED_FIELDS.some((key) => one[key] !== other[key]) ||
+    isColdLonger(one, other);
 }
 
-/** Whether an endpoint is cold for longer than was known. */
-function isColdAnew(one: RosterEntry, other: RosterEntry): boolean {
+/** Whether the end of an endpoint's cold start has moved later. */
+function isColdLonger(one: RosterEntry, other: RosterEntry): boolean {
   const known = Math.max(one.coldUntil, other.heardAt);
-  return other.coldUntil > known + COLD_TOLERANCE;
+  return other.coldUntil > known + COLD_TOLERANCE_MS;
 }
 
-/** Milliseconds by which the end of a cold time may differ from word to word:
- * ages grow by the way of each message. */
-const COLD_TOLERANCE = 250;
+/** Tolerated difference between reported ends of a cold start; message latency
+ * shifts each of them. */
+const COLD_TOLERANCE_MS = 250;
--- a/src/endpoints/roster_fuzz_test.ts
+++ b/src/endpoints/roster_fuzz_test.ts
@@ -5,13 +5,13 @@
 
 const SCHEDULES = 400;
 
-test("hosts that hear the same words in other orders hold the same", (t) => {
+test("hosts that receive the same reports in different orders have equal rosters", (t) => {
   for (let seed = 1; seed <= SCHEDULES; seed++) {
     t.notThrows(() => fuzz.runSchedule({ seed }), `seed ${seed}`);
   }
 });
 
-test("a departure that is final for an id is noticed", (t) => {
+test("the fuzzer detects a leave that is final for all incarnations", (t) => {
   const run = () => {
     for (let seed = 1; seed <= SCHEDULES; seed++) {
       fuzz.runSchedule({ seed, breakage: "gone-is-final" });
--- a/src/endpoints/roster_test.ts
+++ b/src/endpoints/roster_test.ts
@@ -14,7 +14,7 @@
   return roster;
 }
 
-test("of two reports the higher sequence counts, whichever comes last", (t) => {
+test("the report with the higher sequence number is kept in either order", (t) => {
   const late = rosterOf(
     { sequence: 5, state: "draining" },
     { sequence: 4, state: "ready" },
@@ -34,7 +34,7 @@
   t.is(roster.get("i-1")?.state, "gone");
 });
 
-test("an endpoint that leaves before it was heard is not taken later", (t) => {
+test("an endpoint that leaves before its first heartbeat stays gone", (t) => {
   const roster = rosterOf();
   roster.recordLeave({ id: "i-1" }, 10);
   roster.merge({
@@ -44,7 +44,7 @@
   t.is(roster.get("i-1")?.state, "gone");
 });
 
-test("a departure told by another host counts whatever its sequence", (t) => {
+test("a leave reported by another host applies whatever its sequence number", (t) => {
   const roster = rosterOf({ sequence: 8 });
   roster.merge({
     status: fixture.endpointStatus({ sequence: -1, state: "gone" }),
@@ -54,7 +54,7 @@
   t.is(roster.get("i-1")?.service, "desk");
 });
 
-test("a silent endpoint is marked, and heard again with a heartbeat", (t) => {
+test("an endpoint is marked silent until the next heartbeat", (t) => {
   const roster = rosterOf({});
   roster.expire(4001);
   t.true(roster.get("i-1")?.isSilent);
@@ -66,7 +66,7 @@
   t.false(roster.get("i-1")?.isSilent);
 });
 
-test("only changes raise the revision", (t) => {
+test("only changes increase the revision", (t) => {
   const roster = rosterOf({});
   const { revision } = roster;
   roster.merge({
@@ -81,7 +81,7 @@
   t.deepEqual(roster.changedSince(revision).map(({ id }) => id), ["i-1"]);
 });
 
-test("what is silent or gone is forgotten, nothing else", (t) => {
+test("only silent and gone endpoints are removed", (t) => {
   const roster = rosterOf({ id: "i-1" }, { id: "i-2" });
   roster.recordLeave({ id: "i-1" }, 0);
   roster.expire(5000);
@@ -93,7 +93,7 @@
   t.deepEqual([...roster.entries].map(({ id }) => id), ["i-2"]);
 });
 
-test("a host that hears no heartbeats believes what it is told", (t) => {
+test("a host that receives no heartbeats takes silence from reports", (t) => {
   const roster = rosterOf({});
   roster.merge({
     status: fixture.endpointStatus({}),
@@ -109,18 +109,18 @@
   t.false(roster.get("i-1")?.isSilent);
 });
 
-test("others hear of an endpoint that has become cold, once", (t) => {
+test("the start of a cold period is reported to other hosts once", (t) => {
   const roster = rosterOf({});
   const { revision } = roster;
-  const beat = (sequence: number, heard: number, coldUntil: number) =>
+  const heartbeat = (sequence: number, heardAt: number, coldUntil: number) =>
     roster.merge({
       status: fixture.endpointStatus({ sequence }),
-      heardAt: heard,
+      heardAt,
       coldUntil,
     });
-  t.true(beat(2, 1000, 4000));
+  t.true(heartbeat(2, 1000, 4000));
   t.is(roster.changedSince(revision).length, 1);
-  t.false(beat(3, 2000, 4010), "what was known");
-  t.false(beat(4, 5000, 0));
-  t.true(beat(5, 6000, 9000), "cold again");
+  t.false(heartbeat(3, 2000, 4010), "already known");
+  t.false(heartbeat(4, 5000, 0));
+  t.true(heartbeat(5, 6000, 9000), "cold again");
 });
--- a/src/endpoints/state.ts
+++ b/src/endpoints/state.ts
@@ -1,4 +1,4 @@
-/** State of the registry at one host, its events, effects and intervals.
+/** State, events, effects and time constants of the registry of one host.
  * @module */
 
 import type * as membership from "../membership/mod.ts";
@@ -6,102 +6,109 @@
 import type * as announcements from "../schema/endpoint_types.ts";
 import type * as schema from "../schema/registry_types.ts";
 import type * as entries from "./entry.ts";
-import type * as holders from "./lease_holder.ts";
+import type * as leaseHolder from "./lease_holder.ts";
 
-/** News waits so long for more news before it is sent on. */
+/** Delay before updates are sent, so that several share a message. */
 export const UPDATE_DELAY_MS = 100;
-/** Most entries in one message. */
+/** Maximum number of entries in one message. */
 export const MAX_UPDATES_PER_MESSAGE = 32;
-/** Renewals for one holder are gathered for so long. */
+/** Delay before renewals are forwarded, so that those for the same lease holder
+ * share a message. */
 export const RENEWAL_DELAY_MS = 100;
-/** Time that a renewal may take on its way to the holder. */
+/** Added to each lease for the time a renewal takes to reach the holder. */
 export const FORWARD_SLACK_MS = 2 * RENEWAL_DELAY_MS;
-/** Between two comparisons of roots with a neighbour. */
+/** Mean interval at which the root hash is sent to a neighbour. */
 export const ROOT_HASH_INTERVAL_MS = 2000;
-/** A copy that has not changed for so long should equal that of others. */
+/** Time without changes after which replicas are expected to be equal. */
 export const SETTLE_TIME_MS = 1000;
-/** Copies are compared after so long even while they change. */
+/** Interval after which replicas are compared even while they change. */
 export const SYNC_INTERVAL_MS = 10_000;
-/** Renewals that a host forwards in a second, at most; leases of a fleet with
- * more endpoints per host are longer. */
+/** Maximum rate of renewals that a host forwards. Leases are lengthened when a
+ * fleet has too many endpoints per host to stay below it. */
 export const MAX_FORWARDS_PER_SECOND = 6;
-/** Renewals that an endpoint sends within one lease. */
+/** Number of renewals that an endpoint sends per lease. */
 export const RENEWALS_PER_LEASE = 3;
-/** Added to the first lease of a new holder: others may not know it yet. */
+/** Added to the first lease granted by a new holder, since other hosts may
+ * still send renewals to the previous one. */
 export const TAKEOVER_GRACE_MS = 2000;
-/** An endpoint that gives no incarnation may turn back from draining, or come
- * back after it left, this long after it did. */
+/** Time after which an endpoint that states no incarnation may go back from
+ * draining to ready, or rejoin after it left. */
 export const REVERT_DELAY_MS = 5000;
-/** As above for one that gives its incarnation: longer than any renewal that
- * was sent before it left is under way. */
+/** Time after which an endpoint that left may rejoin with the same incarnation;
+ * longer than a renewal sent before the leave can be in transit. */
 export const REJOIN_DELAY_MS = 30_000;
-/** An endpoint that left or expired is remembered for so long. */
+/** How long the tombstone of an endpoint that left or expired is kept. */
 export const TOMBSTONE_RETENTION_MS = 600_000;
-/** Most of these remembered; the oldest are forgotten first. */
+/** Maximum number of tombstones; the oldest are discarded first. */
 export const MAX_TOMBSTONES = 4096;
 
-/** What the registry of a host needs. */
+/** Options of a registry. */
 export interface Options {
   host: string;
-  /** Shortest lease, milliseconds. */
+  /** Minimum lease in milliseconds. */
   lease: number;
   random: runtime.Random;
 }
 
-/** What happens to the registry at a host. */
+/** Input of the registry's state machine. */
 export type Event =
+  /** The timer has fired. */
   | { type: "wake" }
   | { type: "message"; from: string; body: schema.RegistryMessage }
-  /** The hosts that live, and those to which this one passes news. */
+  /** The live hosts, and the neighbours to which this one sends updates. */
   | {
     type: "hosts";
-    hosts: readonly holders.Host[];
+    hosts: readonly leaseHolder.Host[];
     neighbours: readonly string[];
   }
-  /** An endpoint announces itself or renews. */
+  /** An endpoint registers, changes or renews its lease. */
   | { type: "announce"; id: string; announcement: announcements.Announcement }
-  /** An endpoint says that it leaves. */
+  /** An endpoint leaves. */
   | { type: "depart"; id: string; incarnation?: number };
 
-/** What the shell does for the registry. A `wake` replaces the last one. */
+/** Output of the registry's state machine, carried out by the caller. A `wake`
+ * sets the timer and replaces the previous one. */
 export type Effect =
   | { type: "send"; to: string; body: schema.RegistryMessage }
   | { type: "notify"; change: Change }
-  /** Answer to an announcement; `lease` in milliseconds. */
+  /** An announcement is accepted; `lease` in milliseconds. */
   | { type: "accept"; id: string; lease: number }
-  /** The announcement is from before the endpoint left or started again. */
+  /** An announcement is refused since it was sent before the endpoint left or
+   * restarted. */
   | { type: "refuse"; id: string; reason: Refusal }
   | { type: "wake"; at: number };
 
-/** Why an announcement is not taken. */
+/** Why an announcement is refused: the endpoint has left, or a later
+ * incarnation is known. */
 export type Refusal = "left" | "stale";
 
-/** A change of the endpoints that serve. */
+/** A change of the set of serving endpoints. */
 export type Change =
   | { type: "joined"; entry: entries.ServingEntry }
   | { type: "changed"; entry: entries.ServingEntry }
   | { type: "left"; id: string }
   | { type: "expired"; id: string };
 
-/** A change on its way to the neighbours. */
+/** An update to be sent to the neighbours. */
 export interface Update {
   id: string;
   entry: entries.Entry;
 }
 
-/** The registry at one host; never changed in place. */
+/** State of the registry of one host; immutable. */
 export interface State {
   readonly options: Options;
   readonly entries: entries.Entries;
-  readonly leaseHolders: holders.LeaseHolders;
+  readonly leaseHolders: leaseHolder.LeaseHolders;
   readonly neighbours: readonly string[];
-  /** Ends of the leases that this host holds. */
+  /** When each lease held by this host expires, by endpoint. */
   readonly leases: ReadonlyMap<string, number>;
-  /** No lease ends before. */
+  /** Lower bound on the earliest expiry of a lease. */
   readonly nextExpiry: number;
-  /** When each endpoint that drains, left or expired turned so. */
+  /** When each endpoint that is not ready began to drain, left or expired. */
   readonly notReadySince: ReadonlyMap<string, number>;
-  /** Renewals to be forwarded, by holder, then by endpoint. */
+  /** Generations of endpoints whose renewals are to be forwarded, by lease
+   * holder, then by endpoint. */
   readonly renewals: ReadonlyMap<string, ReadonlyMap<string, number>>;
   readonly nextRenewal: number;
   readonly gossipQueue: membership.outbox.GossipQueue<Update>;
@@ -109,25 +116,25 @@
   readonly nextRootHash: number;
   readonly nextSync: number;
   readonly changedAt: number;
-  /** Whether this copy has once equalled that of another host. */
+  /** Whether this replica has been equal to that of another host once. */
   readonly hasSynced: boolean;
   readonly wakeAt: number;
 }
 
-/** One step under way: the state may be replaced until it is done. */
+/** A step in progress; its functions replace `state` and add effects. */
 export interface Step {
   state: State;
   effects: Effect[];
   now: number;
 }
 
-/** Lease given to endpoints: longer where hosts have many of them, so that
- * the cost of renewals per host stays bounded. */
+/** Returns the lease granted to endpoints. It grows with the number of
+ * endpoints per host, which bounds the rate of renewals per host. */
 export function leaseDuration(
-  { options, entries, leaseHolders: holders }: State,
+  { options, entries, leaseHolders }: State,
 ): number {
-  const perHost = entries.size / Math.max(1, holders.size);
+  const perHost = entries.size / Math.max(1, leaseHolders.size);
   const renewals = RENEWALS_PER_LEASE * perHost;
-  const least = Math.ceil(renewals * 1000 / MAX_FORWARDS_PER_SECOND);
-  return Math.max(options.lease, least);
+  const minimum = Math.ceil(renewals * 1000 / MAX_FORWARDS_PER_SECOND);
+  return Math.max(options.lease, minimum);
 }
