--- a/src/membership/anti_entropy.ts
+++ b/src/membership/anti_entropy.ts
@@ -1,5 +1,6 @@
-/** Comparison of two copies of a digest map: hashes of groups, then of the
- * buckets of those that differ, then the entries of differing buckets.
+/** Anti-entropy between two replicas of a digest map: they exchange the hashes
+ * of all groups, then of the buckets in differing groups, then the entries of
+ * differing buckets.
  * @module */
 
 import * as digestMap from "./digest_map.ts";
@@ -11,7 +12,7 @@
   hashes: string[];
 }
 
-/** All that the sender knows in some buckets. */
+/** All entries that the sender has in some buckets. */
 export interface Entries<T> {
   type: "entries";
   buckets: number[];
@@ -19,28 +20,29 @@
   reply: boolean;
 }
 
-/** How entries are ordered and sent. */
+/** How entries are compared and sent. */
 export interface SyncOptions<T> {
-  /** Above 0 when `left` replaces `right`. */
+  /** Above 0 if `left` supersedes `right`. */
   compare(left: T, right: T): number;
-  /** Whether a host that lacks the entry needs it. */
+  /** Whether a host that does not have the entry needs it. */
   isLive(entry: T): boolean;
-  /** Most entries in one message, unless one bucket holds more. */
+  /** Maximum number of entries in one message, unless one bucket has more. */
   maxEntries: number;
 }
 
 type Map<T extends digestMap.Entry> = digestMap.DigestMap<T>;
 
-/** First message of a comparison. */
+/** Returns the first message of a comparison. */
 export function firstMessage<T extends digestMap.Entry>(map: Map<T>): Compare {
   return { type: "compare", hashes: map.hashes() };
 }
 
-/** Answer to hashes: finer ones of groups that differ, then entries. */
+/** Returns the answer to hashes: bucket hashes of the groups that differ, or
+ * the entries of the buckets that differ. */
 export function answer<T extends digestMap.Entry>(
   map: Map<T>,
   { group, hashes }: Compare,
-  { maxEntries: limit }: SyncOptions<T>,
+  { maxEntries }: SyncOptions<T>,
 ): (Compare | Entries<T>)[] {
   const differing = map.differing(hashes, group);
   if (group === undefined) {
@@ -51,46 +53,46 @@
     }));
   }
   const buckets = differing.map((pos) => group * digestMap.FANOUT + pos);
-  return pack(map, buckets, limit);
+  return pack(map, buckets, maxEntries);
 }
 
-/** What this copy has newer than the entries that were received. */
+/** Returns the entries of this replica that are newer than the received ones. */
 export function newerEntries<T extends digestMap.Entry>(
   map: Map<T>,
   { buckets, news }: Pick<Entries<T>, "buckets" | "news">,
   { compare, isLive }: SyncOptions<T>,
 ): T[] {
-  const theirs = new Map(news.map((entry) => [entry.id, entry]));
+  const received = new Map(news.map((entry) => [entry.id, entry]));
   return buckets.flatMap((pos) => map.bucket(pos)).filter((entry) => {
-    const other = theirs.get(entry.id);
+    const other = received.get(entry.id);
     return other === undefined ? isLive(entry) : compare(entry, other) > 0;
   });
 }
 
-/** Cuts a list into parts of at most `limit`. */
-export function chunk<T>(list: readonly T[], limit: number): T[][] {
-  const cut: T[][] = [];
-  for (let pos = 0; pos < list.length; pos += limit) {
-    cut.push(list.slice(pos, pos + limit));
+/** Splits a list into chunks of at most `maxEntries`. */
+export function chunk<T>(list: readonly T[], maxEntries: number): T[][] {
+  const chunks: T[][] = [];
+  for (let pos = 0; pos < list.length; pos += maxEntries) {
+    chunks.push(list.slice(pos, pos + maxEntries));
   }
-  return cut;
+  return chunks;
 }
 
 function pack<T extends digestMap.Entry>(
   map: Map<T>,
   buckets: readonly number[],
-  limit: number,
+  maxEntries: number,
 ): Entries<T>[] {
-  const packed: Entries<T>[] = [];
+  const messages: Entries<T>[] = [];
   for (const pos of buckets) {
     const news = map.bucket(pos);
-    let last = packed.at(-1);
-    if (last === undefined || last.news.length + news.length > limit) {
+    let last = messages.at(-1);
+    if (last === undefined || last.news.length + news.length > maxEntries) {
       last = { type: "entries", buckets: [], news: [], reply: true };
-      packed.push(last);
+      messages.push(last);
     }
     last.buckets.push(pos);
     last.news.push(...news);
   }
-  return packed;
+  return messages;
 }
--- a/src/membership/compact_member_test.ts
+++ b/src/membership/compact_member_test.ts
@@ -1,10 +1,10 @@
 import test from "ava";
-import * as briefs from "./compact_member.ts";
+import * as compactMember from "./compact_member.ts";
 import * as member from "./member.ts";
 
 const KNOWN: member.Member = {
   id: "h1",
-  dataCentre: "hall",
+  dataCentre: "dc1",
   address: "10.0.0.1",
   port: 7000,
   incarnation: 1_764_000_000_000,
@@ -12,28 +12,31 @@
   status: "alive",
 };
 
-test("a short statement says as much as the whole one", (t) => {
+test("a compactly encoded member decodes to the whole member", (t) => {
   const members = member.createMap().set(KNOWN);
   for (const status of ["alive", "suspect"] as const) {
-    const statement = { ...KNOWN, sequence: 4, status };
-    t.true(briefs.canEncode(KNOWN, statement));
-    t.deepEqual(briefs.decode(members, briefs.encode(statement)), statement);
+    const update = { ...KNOWN, sequence: 4, status };
+    t.true(compactMember.canEncode(KNOWN, update));
+    t.deepEqual(
+      compactMember.decode(members, compactMember.encode(update)),
+      update,
+    );
   }
 });
 
-test("a short statement is not taken for another run or content", (t) => {
-  const text = briefs.encode({ ...KNOWN, sequence: 4 });
+test("a compact encoding does not apply to another incarnation or content", (t) => {
+  const text = compactMember.encode({ ...KNOWN, sequence: 4 });
   const others = [
     { ...KNOWN, incarnation: KNOWN.incarnation - 1 },
     { ...KNOWN, drain: "by an operator" },
     { ...KNOWN, id: "h2" },
   ];
   for (const other of others) {
-    t.is(briefs.decode(member.createMap().set(other), text), undefined);
-    t.false(briefs.canEncode(other, { ...KNOWN, status: "dead" }));
+    t.is(compactMember.decode(member.createMap().set(other), text), undefined);
+    t.false(compactMember.canEncode(other, { ...KNOWN, status: "dead" }));
   }
   const members = member.createMap().set(KNOWN);
   for (const bad of ["", "h1", "h1 x", text.replace(" a ", " q ")]) {
-    t.is(briefs.decode(members, bad), undefined);
+    t.is(compactMember.decode(members, bad), undefined);
   }
 });
--- a/src/membership/digest_map.ts
+++ b/src/membership/digest_map.ts
@@ -1,20 +1,21 @@
-/** An immutable map of records with hashes by bucket, so that two hosts find
- * out what differs between their copies without sending all of it.
+/** An immutable map with a two-level hash tree over its buckets, with which two
+ * hosts find the differences between their replicas without sending all entries.
  * @module */
 
 import * as hash from "./hash.ts";
 
-/** Hashes in one comparison: groups of a map, or buckets of a group. */
+/** Number of hashes in one message: groups of a map, or buckets of a group. */
 export const FANOUT = 16;
-/** Buckets of a map. */
+/** Number of buckets of a map. */
 export const BUCKET_COUNT = FANOUT * FANOUT;
 
-/** Something with an identity. */
+/** An entry of a map. */
 export interface Entry {
   readonly id: string;
 }
 
-/** Hash of what two copies must agree on; 0 for an entry that is not counted. */
+/** Hashes what replicas have to agree on; 0 for an entry that is left out of
+ * comparisons. */
 export type Digest<T> = (entry: T) => number;
 
 interface Bucket<T> {
@@ -22,7 +23,7 @@
   readonly hash: number;
 }
 
-/** Records by id; `set` and `delete` copy one bucket of 256. */
+/** Entries by id; `set` and `delete` copy one bucket of 256. */
 export class DigestMap<T extends Entry> {
   readonly size: number;
   readonly #buckets: readonly (Bucket<T> | undefined)[];
@@ -38,15 +39,18 @@
     this.#digest = digest;
   }
 
+  /** Creates an empty map. */
   static create<T extends Entry>(digest: Digest<T>): DigestMap<T> {
     return new DigestMap<T>(new Array(BUCKET_COUNT).fill(undefined), 0, digest);
   }
 
+  /** Returns the entry with an id. */
   get(id: string): T | undefined {
     return this.#buckets[bucketOf(id)]?.entries.get(id);
   }
 
-  /** A map with all of `entries` put in; the last of an id counts. */
+  /** Returns a map with `entries` added or replaced; the last one of an id
+   * wins. */
   set(...entries: readonly T[]): DigestMap<T> {
     const buckets = this.#buckets.slice();
     let size = this.size;
@@ -63,6 +67,7 @@
     return new DigestMap(buckets, size, this.#digest);
   }
 
+  /** Returns a map without the entry with an id. */
   delete(id: string): DigestMap<T> {
     const pos = bucketOf(id);
     const old = this.#buckets[pos];
@@ -75,23 +80,24 @@
     return new DigestMap(buckets, this.size - 1, this.#digest);
   }
 
+  /** Iterates over all entries. */
   *values(): IterableIterator<T> {
     for (const bucket of this.#buckets) {
       if (bucket !== undefined) yield* bucket.entries.values();
     }
   }
 
-  /** Entries of one bucket. */
+  /** Returns the entries of one bucket. */
   bucket(pos: number): readonly T[] {
     return [...this.#buckets[pos]?.entries.values() ?? []];
   }
 
-  /** One hash of the whole map. */
+  /** Returns the hash of the whole map. */
   rootHash(): string {
     return encode(this.#fold(0, BUCKET_COUNT));
   }
 
-  /** Hashes of all groups, or of the buckets of one. */
+  /** Returns the hashes of all groups, or of the buckets of one group. */
   hashes(group?: number): string[] {
     const hashes: string[] = [];
     for (let pos = 0; pos < FANOUT; pos++) {
@@ -103,7 +109,7 @@
     return hashes;
   }
 
-  /** Places where the hashes of another copy differ from those of this one. */
+  /** Returns the positions at which the hashes of another replica differ. */
   differing(hashes: readonly string[], group?: number): number[] {
     const own = this.hashes(group);
     return own.flatMap((hash, pos) => hash === hashes[pos] ? [] : [pos]);
@@ -125,7 +131,7 @@
   }
 }
 
-/** Bucket that holds the entry with this id. */
+/** Returns the bucket of an id. */
 export function bucketOf(id: string): number {
   return hash.text(id) % BUCKET_COUNT;
 }
--- a/src/membership/fake_fleet.ts
+++ b/src/membership/fake_fleet.ts
@@ -1,131 +1,139 @@
-/** Hosts in one process on virtual time, with the faults of a network, for
- * tests and benches. A run repeats from its seed.
+/** Simulated hosts and network in one process, with virtual time and injected
+ * faults, for tests and benchmarks. A run is reproducible from its seed.
  * @module */
 
 import * as runtime from "../runtime/mod.ts";
 
-/** What a program wants sent. */
+/** A message that a program sends. */
 export interface OutgoingMessage {
   to: string;
   channel: runtime.Channel;
   body: unknown;
 }
 
-/** What runs on one host. `now` is the clock of that host. */
+/** Program that runs on a host. `now` is the time on the clock of that host. */
 export interface Program {
-  /** Takes a message. */
+  /** Processes a message. */
   receive(envelope: runtime.Envelope, now: number): OutgoingMessage[];
   /** Does what is due. */
   wake(now: number): OutgoingMessage[];
-  /** When it next wants to be woken; Infinity for never. */
+  /** When `wake` is to be called next; Infinity for never. */
   readonly wakeAt: number;
 }
 
-/** Faults of every link. */
+/** Faults injected on every link. */
 export interface Faults {
-  /** Share of messages lost, 0 to 1. */
+  /** Probability that a message is lost, 0 to 1. */
   drop: number;
-  /** Share of messages that arrive twice, 0 to 1. */
+  /** Probability that a message arrives twice, 0 to 1. */
   duplicate: number;
-  /** Shortest and longest milliseconds on the way; a spread reorders. */
+  /** Minimum and maximum latency in milliseconds; if they differ, messages are
+   * reordered. */
   delay: readonly [number, number];
 }
 
-/** What one host has sent. */
+/** Messages and bytes that one host has sent. */
 export interface Traffic {
   messages: number;
   bytes: number;
 }
 
-interface Slot<P> {
+interface HostState<P> {
   program: P;
   cancel: runtime.Cancel;
   timerAt: number;
-  /** How far the clock of the host is behind that of the fleet. */
-  behind: number;
-  /** Speed of its clock; 1 is right. */
-  rate: number;
+  /** By how much the clock of the host is behind that of the fleet. */
+  clockLag: number;
+  /** Rate of the clock of the host; 1 is exact. */
+  clockRate: number;
   pausedAt: number | undefined;
-  held: runtime.Envelope[];
+  heldMessages: runtime.Envelope[];
 }
 
-/** Hosts and the network between them. */
+/** Simulated hosts and the network between them. */
 export class FakeFleet<P extends Program> {
   readonly clock = new runtime.FakeClock();
   readonly traffic = new Map<string, Traffic>();
   faults: Faults = { drop: 0, duplicate: 0, delay: [1, 1] };
-  /** Whether a message can pass; replaced to cut links. */
+  /** Whether a message can pass between two hosts; replaced to partition the
+   * network. */
   reaches: (from: string, to: string) => boolean = () => true;
-  /** Whether a message is lost, whatever the other faults; for sabotage. */
+  /** Whether a particular message is lost, in addition to random faults. */
   loses: (envelope: runtime.Envelope) => boolean = () => false;
   readonly #random: runtime.Random;
-  readonly #slots = new Map<string, Slot<P>>();
+  readonly #hosts = new Map<string, HostState<P>>();
   readonly #copy: boolean;
 
-  /** With `copy`, each message goes through JSON as on a wire. */
+  /** With `copy`, each message is serialized to JSON and parsed again, as on a
+   * real network. */
   constructor(random: runtime.Random, copy = true) {
     this.#random = random;
     this.#copy = copy;
   }
 
+  /** Ids of the running and paused hosts. */
   get ids(): string[] {
-    return [...this.#slots.keys()];
+    return [...this.#hosts.keys()];
   }
 
+  /** Programs of all hosts. */
   get programs(): P[] {
-    return [...this.#slots.values()].map((slot) => slot.program);
+    return [...this.#hosts.values()].map((host) => host.program);
   }
 
+  /** Returns the program of a host. */
   get(id: string): P {
-    return this.#slots.get(id)!.program;
+    return this.#hosts.get(id)!.program;
   }
 
+  /** Whether a host exists. */
   has(id: string): boolean {
-    return this.#slots.has(id);
+    return this.#hosts.has(id);
   }
 
-  /** Starts a host, or starts it again with nothing of the last run. */
-  start(id: string, program: P, rate = 1): void {
+  /** Starts a host, or restarts it without its former state. */
+  start(id: string, program: P, clockRate = 1): void {
     this.crash(id);
-    this.#slots.set(id, {
+    this.#hosts.set(id, {
       program,
       cancel: () => {},
       timerAt: Infinity,
-      behind: 0,
-      rate,
+      clockLag: 0,
+      clockRate,
       pausedAt: undefined,
-      held: [],
+      heldMessages: [],
     });
-    this.#arm(id);
+    this.#scheduleWake(id);
   }
 
-  /** Ends a host at once. */
+  /** Stops a host at once. */
   crash(id: string): void {
-    this.#slots.get(id)?.cancel();
-    this.#slots.delete(id);
+    this.#hosts.get(id)?.cancel();
+    this.#hosts.delete(id);
   }
 
-  /** Stops a host; messages to it wait. */
+  /** Pauses a host; messages to it are held back. */
   pause(id: string): void {
-    const slot = this.#slots.get(id);
-    if (slot === undefined || slot.pausedAt !== undefined) return;
-    slot.pausedAt = this.clock.now();
-    slot.cancel();
-    slot.timerAt = Infinity;
+    const host = this.#hosts.get(id);
+    if (host === undefined || host.pausedAt !== undefined) return;
+    host.pausedAt = this.clock.now();
+    host.cancel();
+    host.timerAt = Infinity;
   }
 
-  /** Lets a host go on; its clock has stood still if `clockStopped`. */
+  /** Resumes a host; with `clockStopped` its clock did not advance during the
+   * pause. */
   resume(id: string, clockStopped: boolean): void {
-    const slot = this.#slots.get(id);
-    if (slot?.pausedAt === undefined) return;
+    const host = this.#hosts.get(id);
+    if (host?.pausedAt === undefined) return;
     if (clockStopped) {
-      slot.behind += (this.clock.now() - slot.pausedAt) * slot.rate;
+      host.clockLag += (this.clock.now() - host.pausedAt) * host.clockRate;
     }
-    slot.pausedAt = undefined;
-    const held = slot.held;
-    slot.held = [];
-    this.#arm(id);
-    for (const envelope of held) this.#deliver(envelope);
+    host.pausedAt = undefined;
+    const heldMessages = host.heldMessages;
+    host.heldMessages = [];
+    this.#scheduleWake(id);
+    for (const envelope of heldMessages) this.#deliver(envelope);
   }
 
   /** Runs `action` on a host and sends what it returns. */
@@ -133,49 +141,53 @@
     id: string,
     action: (program: P, now: number) => OutgoingMessage[],
   ): void {
-    const slot = this.#slots.get(id);
-    if (slot === undefined || slot.pausedAt !== undefined) return;
-    this.#act(id, slot, action);
+    const host = this.#hosts.get(id);
+    if (host === undefined || host.pausedAt !== undefined) return;
+    this.#runProgram(id, host, action);
   }
 
-  /** Lets `ms` pass. */
+  /** Advances time by `ms`. */
   run(ms: number): void {
     this.clock.advance(ms);
   }
 
-  #nowAt({ rate, behind }: Slot<P>): number {
+  #nowAt({ clockRate: rate, clockLag: behind }: HostState<P>): number {
     return this.clock.now() * rate - behind;
   }
 
-  #arm(id: string): void {
-    const slot = this.#slots.get(id);
-    if (slot === undefined || slot.pausedAt !== undefined) return;
-    const at = slot.program.wakeAt;
-    if (at === slot.timerAt) return;
-    slot.cancel();
-    slot.timerAt = at;
+  #scheduleWake(id: string): void {
+    const host = this.#hosts.get(id);
+    if (host === undefined || host.pausedAt !== undefined) return;
+    const at = host.program.wakeAt;
+    if (at === host.timerAt) return;
+    host.cancel();
+    host.timerAt = at;
     if (at === Infinity) return;
-    const wait = (at - this.#nowAt(slot)) / slot.rate;
-    slot.cancel = this.clock.after(wait, () => {
-      slot.timerAt = Infinity;
-      // Rounding must not make a timer fire before it is due.
-      this.#act(id, slot, (program, now) => program.wake(Math.max(now, at)));
+    const wait = (at - this.#nowAt(host)) / host.clockRate;
+    host.cancel = this.clock.after(wait, () => {
+      host.timerAt = Infinity;
+      // Rounding could otherwise make a timer fire before it is due.
+      this.#runProgram(
+        id,
+        host,
+        (program, now) => program.wake(Math.max(now, at)),
+      );
     });
   }
 
-  #act(
+  #runProgram(
     id: string,
-    slot: Slot<P>,
+    host: HostState<P>,
     action: (program: P, now: number) => OutgoingMessage[],
   ): void {
-    const outgoing = action(slot.program, this.#nowAt(slot));
+    const outgoing = action(host.program, this.#nowAt(host));
     for (const message of outgoing) this.#send({ from: id, ...message });
-    this.#arm(id);
+    this.#scheduleWake(id);
   }
 
   #send(envelope: runtime.Envelope): void {
     const text = JSON.stringify(envelope);
-    this.#count(envelope.from, text.length);
+    this.#countTraffic(envelope.from, text.length);
     if (this.loses(envelope)) return;
     const { drop, duplicate } = this.faults;
     const copies = this.#random.next() < duplicate ? 2 : 1;
@@ -192,14 +204,14 @@
   }
 
   #deliver(envelope: runtime.Envelope): void {
-    const slot = this.#slots.get(envelope.to);
-    if (slot === undefined || !this.reaches(envelope.from, envelope.to)) return;
-    if (slot.pausedAt !== undefined) slot.held.push(envelope);
+    const host = this.#hosts.get(envelope.to);
+    if (host === undefined || !this.reaches(envelope.from, envelope.to)) return;
+    if (host.pausedAt !== undefined) host.heldMessages.push(envelope);
     else {this.call(envelope.to, (program, now) =>
         program.receive(envelope, now));}
   }
 
-  #count(id: string, bytes: number): void {
+  #countTraffic(id: string, bytes: number): void {
     const traffic = this.traffic.get(id) ?? { messages: 0, bytes: 0 };
     traffic.messages++;
     traffic.bytes += bytes;
--- a/src/membership/gossip.ts
+++ b/src/membership/gossip.ts
@@ -1,103 +1,120 @@
-/** Passes news on, compares copies, and looks for hosts that were lost.
+/** Gossips updates, compares replicas, and tries to reach lost hosts.
  * @module */
 
 import type * as schema from "../schema/membership_types.ts";
-import * as briefs from "./compact_member.ts";
-import * as exchange from "./anti_entropy.ts";
+import * as compactMember from "./compact_member.ts";
+import * as antiEntropy from "./anti_entropy.ts";
 import * as member from "./member.ts";
 import * as merges from "./merge.ts";
-import * as outboxes from "./gossip_queue.ts";
+import * as gossipQueues from "./gossip_queue.ts";
 import * as probes from "./probe.ts";
 import * as states from "./state.ts";
 
-/** Bytes of a statement in a message, about. */
+/** Approximate size of a member in a message. */
 const MEMBER_BYTES = 150;
-const BRIEF_BYTES = 40;
+const COMPACT_BYTES = 40;
 
-const ORDER: exchange.SyncOptions<member.Member> = {
+const SYNC_OPTIONS: antiEntropy.SyncOptions<member.Member> = {
   compare: member.compare,
   isLive: member.isLive,
   maxEntries: states.MAX_UPDATES_PER_MESSAGE,
 };
 
-const SENDING: Omit<outboxes.SendOptions<states.Update>, "neighbours"> = {
-  sizeOf: ({ isCompact: brief }) => brief ? BRIEF_BYTES : MEMBER_BYTES,
-  // A refutation must come within the time that a suspect has.
+const SEND_OPTIONS: Omit<
+  gossipQueues.SendOptions<states.Update>,
+  "neighbours"
+> = {
+  sizeOf: ({ isCompact }) => isCompact ? COMPACT_BYTES : MEMBER_BYTES,
+  // A refutation has to arrive before the suspicion times out.
   isUrgent: ({ member }) => member.status !== "suspect",
   maxEntries: states.MAX_UPDATES_PER_MESSAGE,
 };
 
-/** Does what is due: sends news, tries lost hosts, forgets old ones. */
+/** Does what is due: sends updates, tries lost hosts, discards old dead
+ * members. */
 export function advance(step: states.Step): void {
   if (step.now >= step.state.nextGossip) sendUpdates(step);
-  if (step.now >= step.state.nextReconnect) heal(step);
+  if (step.now >= step.state.nextReconnect) reconnect(step);
 }
 
-/** When spreading next has something to do. */
+/** Returns when gossip next has something to do. */
 export function due(state: states.State): number {
   return Math.min(state.nextGossip, state.nextReconnect);
 }
 
-/** Sends up to one message of news to each neighbour, as far as the bound on
- * bytes allows; the rest follows. */
+/** Sends at most one message of updates to each neighbour, within the rate
+ * limit; the remaining updates are sent later. */
 export function sendUpdates(step: states.Step): void {
   const { state, now } = step;
   const { neighbours } = state;
-  const sending = { ...SENDING, neighbours };
-  const { outbox, parcels } = outboxes.dequeue(state.gossipQueue, now, sending);
-  const nextNews = outbox.items.size > 0
+  const options = { ...SEND_OPTIONS, neighbours };
+  const { queue: gossipQueue, batches } = gossipQueues.dequeue(
+    state.gossipQueue,
+    now,
+    options,
+  );
+  const nextGossip = gossipQueue.items.size > 0
     ? now + states.UPDATE_DELAY_MS
     : Infinity;
-  step.state = { ...state, gossipQueue: outbox, nextGossip: nextNews };
-  for (const { to, entries } of parcels) {
-    const news = entries.filter(({ isCompact: brief }) => !brief).map(memberOf);
-    const brief = entries.filter(({ isCompact: brief }) => brief).map(memberOf)
-      .map(briefs.encode);
+  step.state = { ...state, gossipQueue, nextGossip };
+  for (const { to, entries } of batches) {
+    const news = entries.filter(({ isCompact }) => !isCompact).map(memberOf);
+    const compact = entries.filter(({ isCompact }) => isCompact).map(
+      memberOf,
+    )
+      .map(compactMember.encode);
     const body: schema.MemberNews = { type: "news", news };
-    if (brief.length > 0) body.brief = brief;
+    if (compact.length > 0) body.brief = compact;
     step.effects.push({ type: "send", to, body });
   }
 }
 
-/** Compares copies with a host whose root differs from this host's. */
+/** Starts a replica comparison with a host whose root hash differs. */
 export function compareRootHash(
   step: states.Step,
   from: string,
-  root: string,
+  rootHash: string,
 ): void {
   const { state, now } = step;
-  if (root === state.members.rootHash()) return;
-  const quiet = now - state.changedAt >= states.SETTLE_TIME_MS &&
+  if (rootHash === state.members.rootHash()) return;
+  const isSettled = now - state.changedAt >= states.SETTLE_TIME_MS &&
     state.gossipQueue.items.size === 0;
-  const recent = now < state.nextSync;
-  const waited = now >= state.nextSync + states.SYNC_INTERVAL_MS;
-  if (recent || (!quiet && !waited)) return;
+  const isTooSoon = now < state.nextSync;
+  const isOverdue = now >= state.nextSync + states.SYNC_INTERVAL_MS;
+  if (isTooSoon || (!isSettled && !isOverdue)) return;
   step.state = { ...state, nextSync: now + states.SETTLE_TIME_MS };
-  const body = exchange.firstMessage(state.members);
+  const body = antiEntropy.firstMessage(state.members);
   step.effects.push({ type: "send", to: from, body });
 }
 
-/** Answers hashes: with finer ones of groups that differ, then with members. */
+/** Answers the hashes of a replica comparison: group hashes with the bucket
+ * hashes of differing groups, bucket hashes with the members. */
 export function answerHashes(
   step: states.Step,
   from: string,
   message: schema.MemberCompare,
 ): void {
-  for (const body of exchange.answer(step.state.members, message, ORDER)) {
+  for (
+    const body of antiEntropy.answer(step.state.members, message, SYNC_OPTIONS)
+  ) {
     step.effects.push({ type: "send", to: from, body });
   }
 }
 
-/** Takes members of some buckets; sends back what is newer here. */
+/** Merges the members of some buckets; sends back those that are newer here. */
 export function receiveEntries(
   step: states.Step,
   from: string,
   message: schema.MemberEntries,
 ): void {
-  const newer = exchange.newerEntries(step.state.members, message, ORDER);
+  const newer = antiEntropy.newerEntries(
+    step.state.members,
+    message,
+    SYNC_OPTIONS,
+  );
   merges.mergeAll(step, message.news, from);
   if (!message.reply) return;
-  for (const part of exchange.chunk(newer, states.MAX_UPDATES_PER_MESSAGE)) {
+  for (const part of antiEntropy.chunk(newer, states.MAX_UPDATES_PER_MESSAGE)) {
     sendMembers(step, from, part);
   }
 }
@@ -114,14 +131,14 @@
   return member;
 }
 
-/** Pings one seed that is not known to live, and one host that counts as dead:
- * after a partition, or at the start, this is the first contact. */
-function heal(step: states.Step): void {
-  forget(step);
+/** Pings one seed that is not known to be alive and one dead host, which makes
+ * the first contact at the start and after a partition. */
+function reconnect(step: states.Step): void {
+  discardDead(step);
   const { state, now } = step;
   const { options, members, live } = state;
-  const alone = live.length < 2;
-  const interval = alone
+  const isAlone = live.length < 2;
+  const interval = isAlone
     ? states.JOIN_INTERVAL_MS
     : states.RECONNECT_INTERVAL_MS;
   step.state = { ...state, nextReconnect: now + interval };
@@ -141,18 +158,18 @@
     (known.status === "left" && options.seeds.includes(id));
 }
 
-function forget(step: states.Step): void {
+function discardDead(step: states.Step): void {
   const { state, now } = step;
   const excess = state.deadSince.size - states.MAX_DEAD_MEMBERS;
-  const old = [...state.deadSince].filter(([, at], pos) =>
+  const discarded = [...state.deadSince].filter(([, at], pos) =>
     pos < excess || now - at >= states.DEAD_RETENTION_MS
   );
-  if (old.length === 0) return;
-  const dead = new Map(state.deadSince);
+  if (discarded.length === 0) return;
+  const deadSince = new Map(state.deadSince);
   let members = state.members;
-  for (const [id] of old) {
-    dead.delete(id);
+  for (const [id] of discarded) {
+    deadSince.delete(id);
     members = members.delete(id);
   }
-  step.state = { ...state, deadSince: dead, members };
+  step.state = { ...state, deadSince, members };
 }
--- a/src/membership/gossip_queue.ts
+++ b/src/membership/gossip_queue.ts
@@ -1,52 +1,54 @@
-/** News on its way to the neighbours. What is not urgent goes at a bounded
- * rate; a neighbour that has told of a change itself gets no copy, so that what
- * waits is sent less often.
+/** Queue of gossip updates to the neighbours. Updates that are not urgent are
+ * rate limited. A neighbour from which an update has been received gets no copy
+ * of it, so an update that waits costs fewer copies.
  * @module */
 
-/** Bytes a second that news may take while little of it waits. */
+/** Send rate while the backlog is small. */
 export const RATE_BYTES_PER_SECOND = 1000;
-/** Bytes that may go at once after a quiet time. */
+/** Bytes that may be sent at once after an idle time. */
 export const BURST_BYTES = 2500;
-/** What waits is to be sent within so long, whatever its size; milliseconds. */
+/** Time within which a backlog of any size is to be sent; the rate rises
+ * accordingly. */
 export const MAX_DRAIN_MS = 8000;
-/** Bytes of a message without its entries. */
-const ENVELOPE = 110;
+/** Size of a message without its entries. */
+const ENVELOPE_BYTES = 110;
 
-/** One change. */
+/** A queued update. */
 export interface Item<T> {
   entry: T;
-  /** Hosts that know of it. */
+  /** Hosts that already know the update. */
   knownBy: ReadonlySet<string>;
 }
 
-/** Changes by the id of what they are about; never changed in place. */
+/** Queued updates by the id of their subject; immutable. */
 export interface GossipQueue<T> {
   readonly items: ReadonlyMap<string, Item<T>>;
-  /** Bytes that may be sent at `creditAt`. */
+  /** Bytes that could be sent at `creditUpdatedAt`; negative after an
+   * overdraft. */
   readonly credit: number;
   readonly creditUpdatedAt: number;
-  /** Messages sent, so that neighbours come first in turn. */
+  /** Index of the neighbour served first, which rotates. */
   readonly firstNeighbour: number;
 }
 
-/** What sending depends on. */
+/** Options of sending. */
 export interface SendOptions<T> {
   neighbours: readonly string[];
-  /** Bytes of an entry in a message. */
+  /** Size of an entry in a message, in bytes. */
   sizeOf(entry: T): number;
-  /** Whether an entry goes before others and waits for no credit. */
+  /** Whether an entry is sent before others and without waiting for credit. */
   isUrgent(entry: T): boolean;
-  /** Most entries in one message. */
+  /** Maximum number of entries in one message. */
   maxEntries: number;
 }
 
-/** Entries for one neighbour. */
+/** Entries to be sent to one neighbour. */
 export interface Batch<T> {
   to: string;
   entries: T[];
 }
 
-/** An outbox in which nothing waits. */
+/** Creates an empty queue. */
 export function create<T>(): GossipQueue<T> {
   return {
     items: new Map(),
@@ -56,104 +58,116 @@
   };
 }
 
-/** Takes in a change that `from` told of. */
+/** Adds an update received from `from`; it replaces an older update of the same
+ * subject. */
 export function enqueue<T extends { id: string }>(
-  outbox: GossipQueue<T>,
+  queue: GossipQueue<T>,
   entry: T,
   from: string,
 ): GossipQueue<T> {
   const item = { entry, knownBy: new Set([from]) };
-  return { ...outbox, items: new Map(outbox.items).set(entry.id, item) };
+  return { ...queue, items: new Map(queue.items).set(entry.id, item) };
 }
 
-/** Notes that `from` knows of a change that waits. */
+/** Records that `from` already knows a queued update. */
 export function markKnown<T>(
-  outbox: GossipQueue<T>,
+  queue: GossipQueue<T>,
   id: string,
   from: string,
 ): GossipQueue<T> {
-  const item = outbox.items.get(id);
-  if (item === undefined || item.knownBy.has(from)) return outbox;
-  const heard = new Set(item.knownBy).add(from);
-  const items = new Map(outbox.items).set(id, { ...item, knownBy: heard });
-  return { ...outbox, items };
+  const item = queue.items.get(id);
+  if (item === undefined || item.knownBy.has(from)) return queue;
+  const knownBy = new Set(item.knownBy).add(from);
+  const items = new Map(queue.items).set(id, { ...item, knownBy });
+  return { ...queue, items };
 }
 
-/** Lets a full burst go, for a host that has no later time to send. */
-export function refillCredit<T>(outbox: GossipQueue<T>): GossipQueue<T> {
-  return { ...outbox, credit: BURST_BYTES };
+/** Restores the credit to a full burst, for a host that is about to stop. */
+export function refillCredit<T>(queue: GossipQueue<T>): GossipQueue<T> {
+  return { ...queue, credit: BURST_BYTES };
 }
 
-/** Takes out what may be sent at `now`; what is left waits for credit. */
+/** Removes the updates that may be sent at `now`; the others wait for
+ * credit. */
 export function dequeue<T extends { id: string }>(
-  outbox: GossipQueue<T>,
+  queue: GossipQueue<T>,
   now: number,
-  sending: SendOptions<T>,
-): { outbox: GossipQueue<T>; parcels: Batch<T>[] } {
-  const { neighbours } = sending;
-  const ready = [...outbox.items.values()].sort((left, right) => {
-    return Number(sending.isUrgent(right.entry)) -
-      Number(sending.isUrgent(left.entry));
+  options: SendOptions<T>,
+): { queue: GossipQueue<T>; batches: Batch<T>[] } {
+  const { neighbours } = options;
+  const ready = [...queue.items.values()].sort((left, right) => {
+    return Number(options.isUrgent(right.entry)) -
+      Number(options.isUrgent(left.entry));
   });
-  const waiting = new Map(neighbours.map((to): [string, T[]] => {
-    const lacking = ready.filter(({ knownBy: heard }) => !heard.has(to));
+  const pending = new Map(neighbours.map((to): [string, T[]] => {
+    const lacking = ready.filter(({ knownBy }) => !knownBy.has(to));
     return [to, lacking.map(({ entry }) => entry)];
   }));
-  let credit = creditOf(outbox, now, sumOf([...waiting.values()], sending));
-  const parcels: Batch<T>[] = [];
+  let credit = creditAt(queue, now, totalSize([...pending.values()], options));
+  const batches: Batch<T>[] = [];
   for (let pos = 0; pos < neighbours.length; pos++) {
-    const to = neighbours[(outbox.firstNeighbour + pos) % neighbours.length];
+    const to = neighbours[(queue.firstNeighbour + pos) % neighbours.length];
     const entries: T[] = [];
-    for (const entry of waiting.get(to)!.slice(0, sending.maxEntries)) {
-      // A message that is begun goes full: its envelope costs like 3 entries.
-      const waits = entries.length === 0 && credit <= 0;
-      if (waits && !sending.isUrgent(entry)) break;
-      if (entries.length === 0) credit -= ENVELOPE;
-      credit -= sending.sizeOf(entry);
+    for (const entry of pending.get(to)!.slice(0, options.maxEntries)) {
+      // A message that is started is filled, since its envelope costs as much
+      // as 3 entries.
+      const mustWait = entries.length === 0 && credit <= 0;
+      if (mustWait && !options.isUrgent(entry)) break;
+      if (entries.length === 0) credit -= ENVELOPE_BYTES;
+      credit -= options.sizeOf(entry);
       entries.push(entry);
     }
-    if (entries.length > 0) parcels.push({ to, entries });
+    if (entries.length > 0) batches.push({ to, entries });
   }
-  const items = without(outbox.items, parcels, neighbours);
-  const turn = (outbox.firstNeighbour + parcels.length) %
+  const items = remainingItems(queue.items, batches, neighbours);
+  const firstNeighbour = (queue.firstNeighbour + batches.length) %
     (neighbours.length || 1);
-  const left = Math.max(-BURST_BYTES, credit);
+  const remainingCredit = Math.max(-BURST_BYTES, credit);
   return {
-    outbox: { items, credit: left, creditUpdatedAt: now, firstNeighbour: turn },
-    parcels,
+    queue: {
+      items,
+      credit: remainingCredit,
+      creditUpdatedAt: now,
+      firstNeighbour,
+    },
+    batches,
   };
 }
 
-function sumOf<T>(waiting: T[][], { sizeOf: cost }: SendOptions<T>): number {
-  return waiting.flat().reduce((sum, entry) => sum + cost(entry), 0);
+function totalSize<T>(
+  pending: T[][],
+  { sizeOf }: SendOptions<T>,
+): number {
+  return pending.flat().reduce((sum, entry) => sum + sizeOf(entry), 0);
 }
 
-/** Credit is earned at the usual rate, or faster while much waits. */
-function creditOf<T>(
-  { credit, creditUpdatedAt: creditAt }: GossipQueue<T>,
+/** Returns the credit at `now`, which grows at the base rate or, with a large
+ * backlog, faster. */
+function creditAt<T>(
+  { credit, creditUpdatedAt }: GossipQueue<T>,
   now: number,
   backlog: number,
 ): number {
   const rate = Math.max(RATE_BYTES_PER_SECOND, backlog * 1000 / MAX_DRAIN_MS);
-  const earned = Math.max(0, now - creditAt) / 1000 * rate;
+  const earned = Math.max(0, now - creditUpdatedAt) / 1000 * rate;
   return Math.min(BURST_BYTES, credit + earned);
 }
 
-/** The items less those that all neighbours know now. */
-function without<T extends { id: string }>(
+/** Returns the items that some neighbour still lacks after sending. */
+function remainingItems<T extends { id: string }>(
   items: GossipQueue<T>["items"],
-  parcels: readonly Batch<T>[],
+  batches: readonly Batch<T>[],
   neighbours: readonly string[],
 ): GossipQueue<T>["items"] {
-  const rest = new Map(items);
-  for (const { to, entries } of parcels) {
+  const remaining = new Map(items);
+  for (const { to, entries } of batches) {
     for (const { id } of entries) {
-      const item = rest.get(id)!;
-      rest.set(id, { ...item, knownBy: new Set(item.knownBy).add(to) });
+      const item = remaining.get(id)!;
+      remaining.set(id, { ...item, knownBy: new Set(item.knownBy).add(to) });
     }
   }
-  for (const [id, { knownBy: heard }] of rest) {
-    if (neighbours.every((to) => heard.has(to))) rest.delete(id);
+  for (const [id, { knownBy }] of remaining) {
+    if (neighbours.every((to) => knownBy.has(to))) remaining.delete(id);
   }
-  return rest;
+  return remaining;
 }
--- a/src/membership/member.ts
+++ b/src/membership/member.ts
@@ -1,13 +1,14 @@
-/** What one host knows of another, and which of two statements is newer.
+/** Members, and the order in which one version of a member supersedes another.
  * @module */
 
 import type * as schema from "../schema/membership_types.ts";
 import * as digestMap from "./digest_map.ts";
 import * as hash from "./hash.ts";
 
+/** One version of what is known about a host. */
 export type Member = schema.Member;
 
-/** All hosts that one host knows of, dead ones included. */
+/** The members known to one host, including dead ones. */
 export type Members = digestMap.DigestMap<Member>;
 
 const RANK: Record<schema.MemberStatus, number> = {
@@ -17,21 +18,22 @@
   left: 3,
 };
 
-/** Whether the host counts as alive: a suspect does until it is dead. */
+/** Whether the member counts as alive; a suspect does until it is declared
+ * dead. */
 export function isLive(member: Member): boolean {
   return RANK[member.status] <= RANK.suspect;
 }
 
-/** Above 0 when `left` replaces `right`: a host's own later statement wins,
- * then the worse status under the same statement. */
+/** Above 0 if `left` supersedes `right`: the later version published by the
+ * host itself wins, then, within a version, the worse status. */
 export function compare(left: Member, right: Member): number {
   return left.incarnation - right.incarnation ||
     left.sequence - right.sequence ||
     RANK[left.status] - RANK[right.status];
 }
 
-/** An empty map whose hashes cover the live members only, so that hosts which
- * forgot a dead one at different times still agree. */
+/** Returns an empty map. Its hashes cover live members only, so that hosts
+ * which discarded a dead member at different times still have equal hashes. */
 export function createMap(): Members {
   return digestMap.DigestMap.create<Member>((member) => {
     if (!isLive(member)) return 0;
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -1,15 +1,16 @@
-/** Which hosts of the system are alive, as one host sees it.
+/** State machine of membership, similar to SWIM: probes detect failures, gossip
+ * spreads updates, and replica comparisons repair what gossip missed.
  * @module */
 
 import type * as schema from "../schema/membership_types.ts";
 import * as member from "./member.ts";
 import * as merges from "./merge.ts";
-import * as outboxes from "./gossip_queue.ts";
+import * as gossipQueues from "./gossip_queue.ts";
 import * as probes from "./probe.ts";
-import * as spreads from "./gossip.ts";
+import * as gossip from "./gossip.ts";
 import type * as states from "./state.ts";
 
-/** Outcome of a step. */
+/** Next state and effects of a step. */
 export interface Result {
   state: Membership;
   effects: states.Effect[];
@@ -23,7 +24,7 @@
   ) => void;
 };
 
-/** An immutable view of the hosts; `step` gives the next one. */
+/** An immutable view of the members; `step` returns the next one. */
 export class Membership {
   readonly #state: states.State;
 
@@ -31,7 +32,8 @@
     this.#state = state;
   }
 
-  /** The view of a host that has just started; wake it at once. */
+  /** Creates the view of a host that has just started; it expects a `wake`
+   * event at once. */
   static create(options: states.Options): Membership {
     const self: member.Member = {
       ...options.self,
@@ -53,20 +55,20 @@
       changedAt: -Infinity,
       suspicionEnds: new Map(),
       deadSince: new Map(),
-      gossipQueue: outboxes.create(),
+      gossipQueue: gossipQueues.create(),
       nextGossip: Infinity,
       wakeAt: Infinity,
     });
   }
 
-  /** Takes one event at `now`, milliseconds of a monotonic clock. */
+  /** Processes one event at `now`, milliseconds of a monotonic clock. */
   step(event: states.Event, now: number): Result {
     const step: states.Step = { state: this.#state, effects: [], now };
     const handler = handlers[event.type] as Handler;
     handler(step, event, undefined);
     const wakeAt = Math.max(
       now,
-      Math.min(probes.due(step.state), spreads.due(step.state)),
+      Math.min(probes.due(step.state), gossip.due(step.state)),
     );
     if (wakeAt !== this.#state.wakeAt || event.type === "wake") {
       step.effects.push({ type: "wake", at: wakeAt });
@@ -75,23 +77,23 @@
     return { state, effects: step.effects };
   }
 
-  /** What is known of a host, alive or not. */
+  /** Returns a member, which may be dead or have left. */
   get(id: string): member.Member | undefined {
     return this.#state.members.get(id);
   }
 
-  /** What this host says of itself. */
+  /** This host as a member. */
   get self(): member.Member {
     return this.#state.members.get(this.#state.options.self.id)!;
   }
 
-  /** Hosts that count as alive, this one and suspects included. */
+  /** Live members, including this host and suspects. */
   get live(): readonly member.Member[] {
     return this.#state.live.map((id) => this.#state.members.get(id)!);
   }
 
-  /** Number of hosts that may be running: all but those that said they
-   * leave, the seeds included. */
+  /** Number of hosts that may be running: all known members and seeds except
+   * those that left. */
   get size(): number {
     const { members, options } = this.#state;
     const known = [...members.values()].filter(({ status }) =>
@@ -101,31 +103,31 @@
     return known.length + seeds.length;
   }
 
-  /** Hosts that this one passes news to. */
+  /** Hosts that this one sends updates to. */
   get neighbours(): readonly string[] {
     return this.#state.neighbours;
   }
 
-  /** Hash of the live hosts and their statements; equal where views agree. */
+  /** Hash of the live members and their versions; equal for equal views. */
   get rootHash(): string {
     return this.#state.members.rootHash();
   }
 
-  /** For the state dump. */
+  /** Serializes the view for the state dump. */
   toJSON(): object {
     const {
       members,
-      suspicionEnds: suspects,
-      deadSince: dead,
+      suspicionEnds,
+      deadSince,
       neighbours,
-      gossipQueue: outbox,
+      gossipQueue,
     } = this.#state;
     return {
       members: [...members.values()],
-      suspects: [...suspects.keys()],
-      dead: [...dead.keys()],
+      suspects: [...suspicionEnds.keys()],
+      dead: [...deadSince.keys()],
       neighbours,
-      pendingNews: outbox.items.size,
+      pendingNews: gossipQueue.items.size,
     };
   }
 }
@@ -135,23 +137,23 @@
 const handlers: Handlers<states.Event, undefined> = {
   wake: (step) => {
     probes.advance(step);
-    spreads.advance(step);
+    gossip.advance(step);
   },
   message: (step, { from, body }) => {
-    const handler = messages[body.type] as Handler;
+    const handler = messageHandlers[body.type] as Handler;
     handler(step, body, from);
   },
   drain: (step, { reason }) => merges.updateSelf(step, { drain: reason }),
   resume: (step) => merges.updateSelf(step, { drain: undefined }),
   leave: (step) => {
     merges.updateSelf(step, { status: "left" });
-    const outbox = outboxes.refillCredit(step.state.gossipQueue);
-    step.state = { ...step.state, gossipQueue: outbox };
-    spreads.sendUpdates(step);
+    const gossipQueue = gossipQueues.refillCredit(step.state.gossipQueue);
+    step.state = { ...step.state, gossipQueue };
+    gossip.sendUpdates(step);
   },
 };
 
-const messages: Handlers<schema.MembershipMessage, string> = {
+const messageHandlers: Handlers<schema.MembershipMessage, string> = {
   ping: (step, body, from) => {
     merges.mergeAll(step, body.news ?? [], from);
     probes.answerPing(step, from, body);
@@ -159,7 +161,7 @@
   ack: (step, body, from) => {
     probes.receiveAck(step, body.probe);
     merges.mergeAll(step, body.news ?? [], from);
-    spreads.compareRootHash(step, from, body.root);
+    gossip.compareRootHash(step, from, body.root);
   },
   relay: (step, body, from) => probes.relayPing(step, from, body),
   vouch: (step, body) => probes.receiveAck(step, body.probe),
@@ -167,6 +169,6 @@
     merges.mergeAll(step, news, from);
     merges.mergeCompact(step, brief, from);
   },
-  compare: (step, body, from) => spreads.answerHashes(step, from, body),
-  entries: (step, body, from) => spreads.receiveEntries(step, from, body),
+  compare: (step, body, from) => gossip.answerHashes(step, from, body),
+  entries: (step, body, from) => gossip.receiveEntries(step, from, body),
 };
--- a/src/membership/membership_test.ts
+++ b/src/membership/membership_test.ts
@@ -5,12 +5,12 @@
 import * as membership from "./mod.ts";
 
 class Host implements fakeFleet.Program {
-  view: membership.Membership;
+  membership: membership.Membership;
   wakeAt = 0;
   readonly changes: membership.Change[] = [];
 
   constructor(options: membership.Options) {
-    this.view = membership.Membership.create(options);
+    this.membership = membership.Membership.create(options);
   }
 
   receive({ from, body }: runtime.Envelope, now: number) {
@@ -23,8 +23,8 @@
   }
 
   step(event: membership.Event, now: number): fakeFleet.OutgoingMessage[] {
-    const { state, effects } = this.view.step(event, now);
-    this.view = state;
+    const { state, effects } = this.membership.step(event, now);
+    this.membership = state;
     return effects.flatMap((effect) => {
       if (effect.type === "wake") this.wakeAt = effect.at;
       if (effect.type === "notify") this.changes.push(effect.change);
@@ -63,12 +63,14 @@
 }
 
 function liveAt(fleet: Fleet, id: string): string[] {
-  return fleet.get(id).view.live.map((member) => member.id);
+  return fleet.get(id).membership.live.map((member) => member.id);
 }
 
-function agree(fleet: Fleet): boolean {
+function isConverged(fleet: Fleet): boolean {
   const running = fleet.ids.sort().join();
-  const roots = new Set(fleet.programs.map(({ view }) => view.rootHash));
+  const roots = new Set(
+    fleet.programs.map(({ membership }) => membership.rootHash),
+  );
   return roots.size === 1 &&
     fleet.ids.every((id) => liveAt(fleet, id).join() === running);
 }
@@ -77,21 +79,21 @@
   return fleet.programs.flatMap((host) => host.died);
 }
 
-test("hosts find each other from two seeds", (t) => {
+test("hosts discover each other from two seeds", (t) => {
   const fleet = fleetOf(1);
   fleet.run(5000);
-  t.true(agree(fleet));
+  t.true(isConverged(fleet));
   t.deepEqual(deaths(fleet), []);
 });
 
-test("a crashed host is suspected, then dead at all others", (t) => {
+test("a crashed host is suspected, then declared dead by all others", (t) => {
   const fleet = fleetOf(2);
   fleet.run(5000);
   fleet.crash("h3");
   fleet.run(2000);
   t.true(liveAt(fleet, "h1").includes("h3"));
   fleet.run(10_000);
-  t.true(agree(fleet));
+  t.true(isConverged(fleet));
 });
 
 test("a host that restarts is known by its higher incarnation", (t) => {
@@ -99,24 +101,24 @@
   fleet.run(5000);
   start(fleet, "h4", { incarnation: 2 });
   fleet.run(5000);
-  t.true(agree(fleet));
-  t.is(fleet.get("h1").view.get("h4")?.incarnation, 2);
+  t.true(isConverged(fleet));
+  t.is(fleet.get("h1").membership.get("h4")?.incarnation, 2);
   t.deepEqual(deaths(fleet), []);
 });
 
-test("a host whose clock went back still gets a higher incarnation", (t) => {
+test("a host restarted with a lower incarnation still gets a higher one", (t) => {
   const fleet = fleetOf(4);
   fleet.run(5000);
   start(fleet, "h4", { incarnation: 9 });
   fleet.run(5000);
   start(fleet, "h4", { incarnation: 3 });
   fleet.run(20_000);
-  t.true(agree(fleet));
-  t.true(fleet.get("h1").view.get("h4")!.incarnation > 9);
+  t.true(isConverged(fleet));
+  t.true(fleet.get("h1").membership.get("h4")!.incarnation > 9);
 });
 
 for (const end of ["leave", "crash"] as const) {
-  test(`a clock set back an hour after a ${end} is made up for`, (t) => {
+  test(`a host rejoins with its clock set back an hour after a ${end}`, (t) => {
     const fleet = fleetOf(4);
     fleet.run(5000);
     start(fleet, "h4", { incarnation: 2 * HOUR });
@@ -129,8 +131,8 @@
     fleet.run(20_000);
     start(fleet, "h4", { incarnation: HOUR });
     fleet.run(2000);
-    t.true(agree(fleet));
-    t.is(fleet.get("h1").view.get("h4")!.incarnation, 2 * HOUR + 1);
+    t.true(isConverged(fleet));
+    t.is(fleet.get("h1").membership.get("h4")!.incarnation, 2 * HOUR + 1);
   });
 }
 
@@ -142,17 +144,19 @@
   });
   fleet.run(2000);
   t.true(
-    fleet.programs.every(({ view }) => view.get("h6")?.drain === "update"),
+    fleet.programs.every(({ membership: view }) =>
+      view.get("h6")?.drain === "update"
+    ),
   );
   fleet.call("h6", (host, now) => host.step({ type: "leave" }, now));
   fleet.run(100);
   fleet.crash("h6");
   fleet.run(1900);
-  t.true(agree(fleet));
+  t.true(isConverged(fleet));
   t.deepEqual(deaths(fleet), []);
 });
 
-test("a host that loses one link is vouched for by the others", (t) => {
+test("indirect probes keep a host alive that lost one link", (t) => {
   const fleet = fleetOf(6);
   fleet.run(5000);
   fleet.reaches = (from, to) => ![from, to].every((id) => /h[12]/.test(id));
@@ -162,7 +166,7 @@
 
 for (const clockStopped of [true, false]) {
   const clock = clockStopped ? "stopped" : "running";
-  test(`a host paused with its clock ${clock} buries no other`, (t) => {
+  test(`a host paused with its clock ${clock} declares no other host dead`, (t) => {
     const fleet = fleetOf(7);
     fleet.run(5000);
     fleet.pause("h2");
@@ -170,12 +174,12 @@
     t.false(liveAt(fleet, "h1").includes("h2"));
     fleet.resume("h2", clockStopped);
     fleet.run(30_000);
-    t.true(agree(fleet));
+    t.true(isConverged(fleet));
     t.deepEqual(fleet.get("h2").died, []);
   });
 }
 
-test("regions that lost each other for an hour come back and stay", (t) => {
+test("regions rejoin after a partition of an hour without further deaths", (t) => {
   const fleet = fleetOf(8);
   fleet.run(5000);
   const east = (id: string) => /h[123]/.test(id);
@@ -186,16 +190,16 @@
   const before = deaths(fleet).length;
   fleet.reaches = () => true;
   fleet.run(60_000);
-  t.true(agree(fleet));
+  t.true(isConverged(fleet));
   t.is(deaths(fleet).length, before);
 });
 
-test("a dead host is not forgotten as long as regions may be apart", (t) => {
+test("a dead host is kept for two hours, longer than a partition may last", (t) => {
   const fleet = fleetOf(9);
   fleet.run(5000);
   fleet.crash("h5");
   fleet.run(3_600_000);
-  t.is(fleet.get("h1").view.get("h5")?.status, "dead");
+  t.is(fleet.get("h1").membership.get("h5")?.status, "dead");
   fleet.run(2 * 3_600_000);
-  t.is(fleet.get("h1").view.get("h5"), undefined);
+  t.is(fleet.get("h1").membership.get("h5"), undefined);
 });
--- a/src/membership/merge.ts
+++ b/src/membership/merge.ts
@@ -1,109 +1,109 @@
-/** Takes statements about members into the state.
+/** Merges received members into the state.
  * @module */
 
-import * as briefs from "./compact_member.ts";
+import * as compactMember from "./compact_member.ts";
 import * as member from "./member.ts";
-import * as outboxes from "./gossip_queue.ts";
+import * as gossipQueues from "./gossip_queue.ts";
 import * as rings from "./rings.ts";
 import * as states from "./state.ts";
 
-/** Takes in what `from` says about members. */
+/** Merges members received from host `from`. */
 export function mergeAll(
   step: states.Step,
-  news: readonly member.Member[],
+  received: readonly member.Member[],
   from: string,
 ): void {
-  for (const statement of news) merge(step, statement, from);
+  for (const update of received) merge(step, update, from);
 }
 
-/** Takes in short statements; copies are compared later if one is about what
- * is not known here. */
+/** Merges compactly encoded members received from host `from`. One that can't
+ * be decoded here is skipped and picked up by a later replica comparison. */
 export function mergeCompact(
   step: states.Step,
   texts: readonly string[],
   from: string,
 ): void {
   for (const text of texts) {
-    const statement = briefs.decode(step.state.members, text);
-    if (statement !== undefined) merge(step, statement, from);
+    const update = compactMember.decode(step.state.members, text);
+    if (update !== undefined) merge(step, update, from);
   }
 }
 
-/** Takes in one statement if it is newer than what is known. */
+/** Merges one member if it is newer than the known version. */
 export function merge(
   step: states.Step,
-  statement: member.Member,
+  update: member.Member,
   from: string,
 ): void {
-  if (statement.id === step.state.options.self.id) {
-    return refute(step, statement);
+  if (update.id === step.state.options.self.id) {
+    return refute(step, update);
   }
-  const known = step.state.members.get(statement.id);
-  if (known === undefined && !member.isLive(statement)) return;
-  const newer = known && member.compare(statement, known);
-  if (newer === 0) hear(step, statement.id, from);
+  const known = step.state.members.get(update.id);
+  if (known === undefined && !member.isLive(update)) return;
+  const newer = known && member.compare(update, known);
+  if (newer === 0) markKnown(step, update.id, from);
   if (newer !== undefined && newer <= 0) return;
-  // The death that another host declares may be news from before a partition
-  // healed: here, too, the member gets its time to refute.
-  if (statement.status === "dead" && known !== undefined) {
+  // Another host may have declared the death during a partition that has since
+  // healed, so the member gets its time to refute it here as well.
+  if (update.status === "dead" && known !== undefined) {
     if (member.isLive(known)) {
-      return merge(step, { ...statement, status: "suspect" }, from);
+      return merge(step, { ...update, status: "suspect" }, from);
     }
   }
-  replace(step, statement, from);
+  replace(step, update, from);
 }
 
-/** Declares a suspect dead that has not refuted in time. */
+/** Declares a suspect dead that has not refuted the suspicion in time. */
 export function declareDead(step: states.Step, id: string): void {
   const known = step.state.members.get(id)!;
   replace(step, { ...known, status: "dead" }, "");
 }
 
-/** Replaces what is known of a member, tells the other parts and spreads it. */
+/** Replaces a member, reports the change and queues it for gossip. */
 export function replace(
   step: states.Step,
-  statement: member.Member,
+  update: member.Member,
   from: string,
 ): void {
   const { state, now } = step;
-  const known = state.members.get(statement.id);
-  const suspects = new Map(state.suspicionEnds);
-  const dead = new Map(state.deadSince);
-  suspects.delete(statement.id);
-  dead.delete(statement.id);
-  if (statement.status === "suspect") {
-    suspects.set(statement.id, now + states.SUSPICION_TIMEOUT_MS);
+  const known = state.members.get(update.id);
+  const suspicionEnds = new Map(state.suspicionEnds);
+  const deadSince = new Map(state.deadSince);
+  suspicionEnds.delete(update.id);
+  deadSince.delete(update.id);
+  if (update.status === "suspect") {
+    suspicionEnds.set(update.id, now + states.SUSPICION_TIMEOUT_MS);
   }
-  if (!member.isLive(statement)) dead.set(statement.id, now);
-  // Each host declares a death by its own clock, so that only the suspicion
-  // needs to spread.
-  const { id } = statement;
-  const isCompact = briefs.canEncode(known, statement);
-  const outbox = statement.status === "dead"
+  if (!member.isLive(update)) deadSince.set(update.id, now);
+  // Each host declares a death by its own timer, so only the suspicion has to
+  // be gossiped.
+  const { id } = update;
+  const isCompact = compactMember.canEncode(known, update);
+  const gossipQueue = update.status === "dead"
     ? state.gossipQueue
-    : outboxes.enqueue(state.gossipQueue, {
+    : gossipQueues.enqueue(state.gossipQueue, {
       id,
-      member: statement,
-      isCompact: isCompact,
+      member: update,
+      isCompact,
     }, from);
   step.state = {
     ...state,
-    members: state.members.set(statement),
-    suspicionEnds: suspects,
-    deadSince: dead,
-    gossipQueue: outbox,
+    members: state.members.set(update),
+    suspicionEnds,
+    deadSince,
+    gossipQueue,
     nextGossip: Math.min(state.nextGossip, now + states.UPDATE_DELAY_MS),
   };
-  relink(step, known, statement);
-  notify(step, known, statement);
+  updateOverlay(step, known, update);
+  notify(step, known, update);
 }
 
-function hear(step: states.Step, id: string, from: string): void {
-  const outbox = outboxes.markKnown(step.state.gossipQueue, id, from);
-  step.state = { ...step.state, gossipQueue: outbox };
+function markKnown(step: states.Step, id: string, from: string): void {
+  const gossipQueue = gossipQueues.markKnown(step.state.gossipQueue, id, from);
+  step.state = { ...step.state, gossipQueue };
 }
 
-/** Changes what this host says of itself, and spreads it. */
+/** Publishes a new version of this host's own member. */
 export function updateSelf(
   step: states.Step,
   change: Partial<member.Member>,
@@ -113,66 +113,66 @@
   replace(step, { ...self, sequence: self.sequence + 1, ...change }, self.id);
 }
 
-function refute(step: states.Step, statement: member.Member): void {
+function refute(step: states.Step, update: member.Member): void {
   const { options, members } = step.state;
   const self = members.get(options.self.id)!;
-  if (self.status === "left" || member.compare(statement, self) <= 0) return;
-  // A statement of an earlier run of this host may carry a higher number than
-  // the clock gave to this run.
-  const incarnation = statement.incarnation > self.incarnation
-    ? statement.incarnation + 1
+  if (self.status === "left" || member.compare(update, self) <= 0) return;
+  // An earlier run of this host may have had a higher incarnation, if the clock
+  // was set back since.
+  const incarnation = update.incarnation > self.incarnation
+    ? update.incarnation + 1
     : self.incarnation;
-  updateSelf(step, { incarnation, sequence: statement.sequence + 1 });
+  updateSelf(step, { incarnation, sequence: update.sequence + 1 });
 }
 
-function relink(
+function updateOverlay(
   step: states.Step,
   known: member.Member | undefined,
-  statement: member.Member,
+  update: member.Member,
 ): void {
-  const live = member.isLive(statement);
+  const live = member.isLive(update);
   const wasLive = known !== undefined && member.isLive(known);
   const changed = live !== wasLive ||
-    (live && (known?.sequence !== statement.sequence ||
-      known.incarnation !== statement.incarnation));
+    (live && (known?.sequence !== update.sequence ||
+      known.incarnation !== update.incarnation));
   if (changed) step.state = { ...step.state, changedAt: step.now };
   if (live === wasLive) return;
-  const others = step.state.live.filter((id) => id !== statement.id);
-  const ids = live ? [...others, statement.id].sort() : others;
-  const own = step.state.options.self.id;
+  const others = step.state.live.filter((id) => id !== update.id);
+  const ids = live ? [...others, update.id].sort() : others;
+  const self = step.state.options.self.id;
   step.state = {
     ...step.state,
     live: ids,
-    subjects: rings.subjects(own, ids),
-    neighbours: rings.neighbours(own, ids),
+    subjects: rings.subjects(self, ids),
+    neighbours: rings.neighbours(self, ids),
   };
 }
 
 function notify(
   step: states.Step,
   known: member.Member | undefined,
-  statement: member.Member,
+  update: member.Member,
 ): void {
-  const change = changeOf(known, statement);
+  const change = changeOf(known, update);
   if (change === undefined) return;
   step.effects.push({
     type: "notify",
-    change: { type: change, member: statement },
+    change: { type: change, member: update },
   });
 }
 
 function changeOf(
   known: member.Member | undefined,
-  statement: member.Member,
+  update: member.Member,
 ): states.Change["type"] | undefined {
   const wasLive = known !== undefined && member.isLive(known);
-  if (!member.isLive(statement)) {
+  if (!member.isLive(update)) {
     if (!wasLive) return undefined;
-    return statement.status === "left" ? "left" : "died";
+    return update.status === "left" ? "left" : "died";
   }
   if (!wasLive) return "joined";
-  const same = known.incarnation === statement.incarnation &&
-    known.drain === statement.drain && known.address === statement.address &&
-    known.port === statement.port;
-  return same ? undefined : "changed";
+  const isUnchanged = known.incarnation === update.incarnation &&
+    known.drain === update.drain && known.address === update.address &&
+    known.port === update.port;
+  return isUnchanged ? undefined : "changed";
 }
--- a/src/membership/mod.ts
+++ b/src/membership/mod.ts
@@ -1,4 +1,6 @@
-/** Hosts of the system: who is alive, who drains, who left.
+/** Membership of the fleet: which hosts are alive, draining, dead or have left,
+ * found out by failure detection and gossip. Also the replicated map and gossip
+ * queue that other protocols share.
  * @module */
 
 export * from "./digest_map.ts";
--- a/src/membership/probe.ts
+++ b/src/membership/probe.ts
@@ -1,5 +1,5 @@
-/** Finds hosts that stay silent: a ping, then pings through other hosts, then
- * suspicion, then death.
+/** Failure detection: a ping, then indirect pings through other hosts, then a
+ * suspicion, then a declaration of death.
  * @module */
 
 import type * as schema from "../schema/membership_types.ts";
@@ -8,7 +8,7 @@
 import * as rings from "./rings.ts";
 import * as states from "./state.ts";
 
-/** Sends a ping that `relay`, if given, waits for. */
+/** Sends a ping, optionally on behalf of another host; returns its number. */
 export function ping(
   step: states.Step,
   to: string,
@@ -26,7 +26,9 @@
   return number;
 }
 
-/** Answers a ping; corrects a sender that this host knows otherwise. */
+/** Answers a ping. The ack includes the sender's own member if it is not known
+ * as alive here, so that the sender can refute, or this host's member if the
+ * sender is unknown. */
 export function answerPing(
   step: states.Step,
   from: string,
@@ -41,7 +43,7 @@
   step.effects.push({ type: "send", to: from, body: ack });
 }
 
-/** Takes an ack of this host's probe, or of one that it relays. */
+/** Processes an ack of this host's probe or of a ping that it relays. */
 export function receiveAck(step: states.Step, number: number): void {
   const { probe, relays } = step.state;
   if (probe?.number === number) {
@@ -56,7 +58,7 @@
   step.effects.push({ type: "send", to: relay.origin, body });
 }
 
-/** Pings `subject` for another host. */
+/** Pings a subject on behalf of another host. */
 export function relayPing(
   step: states.Step,
   from: string,
@@ -66,49 +68,51 @@
   ping(step, body.subject, { relay });
 }
 
-/** Does what is due: starts, relays or gives up a probe; buries suspects. */
+/** Does what is due: starts, relays or gives up a probe; declares suspects
+ * dead. */
 export function advance(step: states.Step): void {
-  forgive(step);
-  follow(step);
-  bury(step);
-  start(step);
+  handlePause(step);
+  checkProbe(step);
+  declareDead(step);
+  startProbe(step);
 }
 
-/** When probing next has something to do. */
+/** Returns when probing next has something to do. */
 export function due(state: states.State): number {
-  const { probe, nextProbe, suspicionEnds: suspects } = state;
+  const { probe, nextProbe, suspicionEnds } = state;
   const wait = probe?.relayed ? states.PROBE_TIMEOUT_MS : states.ACK_TIMEOUT_MS;
-  const follow = probe === undefined ? Infinity : probe.sentAt + wait;
-  return Math.min(nextProbe, follow, ...suspects.values());
+  const probeTimeout = probe === undefined ? Infinity : probe.sentAt + wait;
+  return Math.min(nextProbe, probeTimeout, ...suspicionEnds.values());
 }
 
-/** After a pause of this process, silence and suspicion prove nothing. */
-function forgive(step: states.Step): void {
+/** After a pause of this process, cancels the probe and restarts suspicion
+ * timeouts: acks and refutations may be waiting to be read. */
+function handlePause(step: states.Step): void {
   const { state, now } = step;
-  const late = now - state.wakeAt;
-  if (late < states.PAUSE_THRESHOLD_MS) return;
-  const suspects = new Map(state.suspicionEnds);
-  for (const id of suspects.keys()) {
-    suspects.set(id, now + states.SUSPICION_TIMEOUT_MS);
+  const lateness = now - state.wakeAt;
+  if (lateness < states.PAUSE_THRESHOLD_MS) return;
+  const suspicionEnds = new Map(state.suspicionEnds);
+  for (const id of suspicionEnds.keys()) {
+    suspicionEnds.set(id, now + states.SUSPICION_TIMEOUT_MS);
   }
-  step.state = { ...state, suspicionEnds: suspects, probe: undefined };
+  step.state = { ...state, suspicionEnds, probe: undefined };
 }
 
-function follow(step: states.Step): void {
+function checkProbe(step: states.Step): void {
   const { probe } = step.state;
   if (probe === undefined) return;
   const silence = step.now - probe.sentAt;
   if (silence >= states.PROBE_TIMEOUT_MS) return suspect(step, probe.subject);
   if (silence >= states.ACK_TIMEOUT_MS && !probe.relayed) {
-    askOthers(step, probe);
+    sendIndirectPings(step, probe);
   }
 }
 
-function askOthers(step: states.Step, probe: states.Probe): void {
+function sendIndirectPings(step: states.Step, probe: states.Probe): void {
   const { state } = step;
-  const own = state.options.self.id;
+  const self = state.options.self.id;
   const helpers = rings.observers(probe.subject, state.live)
-    .filter((id) => id !== own)
+    .filter((id) => id !== self)
     .slice(0, states.INDIRECT_PROBE_COUNT);
   const { number, subject } = probe;
   for (const to of helpers) {
@@ -125,19 +129,19 @@
   merges.merge(step, { ...known, status: "suspect" }, "");
 }
 
-function bury(step: states.Step): void {
+function declareDead(step: states.Step): void {
   for (const [id, at] of step.state.suspicionEnds) {
     if (step.now >= at) merges.declareDead(step, id);
   }
 }
 
-function start(step: states.Step): void {
+function startProbe(step: states.Step): void {
   const { state, now } = step;
   if (now < state.nextProbe) return;
   const { subjects } = state;
   const relays = new Map(
-    [...state.relays].filter(([, { sentAt: at }]) =>
-      now - at < states.PROBE_TIMEOUT_MS
+    [...state.relays].filter(([, { sentAt }]) =>
+      now - sentAt < states.PROBE_TIMEOUT_MS
     ),
   );
   step.state = { ...state, relays, nextProbe: now + states.PROBE_INTERVAL_MS };
--- a/src/membership/rings.ts
+++ b/src/membership/rings.ts
@@ -1,54 +1,68 @@
-/** Overlay of hosts: each host watches its successor in several rings, whose
- * orders are unrelated. The number of links per host grows with the logarithm
- * of the number of hosts; a host that comes or goes moves one link per ring.
+/** Overlay network of the hosts: each host monitors its successor in several
+ * rings, each a different pseudo-random order of the hosts. The number of links
+ * per host grows with the logarithm of the number of hosts; a host that joins
+ * or leaves changes one link per ring.
  * @module */
 
 import * as hash from "./hash.ts";
 
-/** Rings used for `hosts` hosts. */
+/** Returns the number of rings for a number of hosts. */
 export function count(hosts: number): number {
   return Math.max(2, Math.ceil(Math.log2(Math.max(2, hosts)) / 2));
 }
 
-/** Hosts that `id` watches: its successor in each ring. */
+/** Returns the hosts that `id` monitors: its successor in each ring. */
 export function subjects(id: string, ids: readonly string[]): string[] {
-  return unique(ends(id, ids).map((end) => end.after));
+  return unique(linksOf(id, ids).map((link) => link.successor));
 }
 
-/** Hosts that watch `id`: its predecessor in each ring. */
+/** Returns the hosts that monitor `id`: its predecessor in each ring. */
 export function observers(id: string, ids: readonly string[]): string[] {
-  return unique(ends(id, ids).map((end) => end.before));
+  return unique(linksOf(id, ids).map((link) => link.predecessor));
 }
 
-/** Hosts that `id` passes news to: both of the above. */
+/** Returns the hosts that `id` sends updates to: its subjects and observers. */
 export function neighbours(id: string, ids: readonly string[]): string[] {
-  return unique(ends(id, ids).flatMap((end) => [end.after, end.before]));
+  return unique(
+    linksOf(id, ids).flatMap((link) => [link.successor, link.predecessor]),
+  );
 }
 
-interface Ends {
-  after: string;
-  before: string;
+interface RingLinks {
+  successor: string;
+  predecessor: string;
 }
 
-function ends(id: string, ids: readonly string[]): Ends[] {
+function linksOf(id: string, ids: readonly string[]): RingLinks[] {
   const others = ids.filter((other) => other !== id);
   if (others.length === 0) return [];
-  const own = hash.text(id);
+  const idHash = hash.text(id);
   const hashes = others.map(hash.text);
   const rings = count(ids.length);
   return Array.from({ length: rings }, (_, ring) => {
-    const base = hash.mix(own, ring);
-    const gaps = hashes.map((other) => (hash.mix(other, ring) - base) >>> 0);
-    return { after: others[lowest(gaps)], before: others[highest(gaps)] };
+    const base = hash.mix(idHash, ring);
+    const distances = hashes.map((other) =>
+      (hash.mix(other, ring) - base) >>> 0
+    );
+    return {
+      successor: others[indexOfLowest(distances)],
+      predecessor: others[indexOfHighest(distances)],
+    };
   });
 }
 
-function lowest(gaps: readonly number[]): number {
-  return gaps.reduce((best, gap, pos) => gap < gaps[best] ? pos : best, 0);
+function indexOfLowest(distances: readonly number[]): number {
+  return distances.reduce(
+    (best, distance, pos) => distance < distances[best] ? pos : best,
+    0,
+  );
 }
 
-function highest(gaps: readonly number[]): number {
-  return gaps.reduce((best, gap, pos) => gap > gaps[best] ? pos : best, 0);
+function indexOfHighest(distances: readonly number[]): number {
+  return distances.reduce(
+    (best, distance, pos) => distance > distances[best] ? pos : best,
+    0,
+  );
 }
 
 function unique(ids: readonly string[]): string[] {
