--- a/src/peers/connection.ts
+++ b/src/peers/connection.ts
@@ -1,41 +1,42 @@
-/** A connection to one other host, which is dialled again whenever it ends.
+/** A connection to one other host, which reconnects with back-off when it ends.
  * @module */
 
 import * as ws from "ws";
 import type * as telemetry from "../telemetry/mod.ts";
 import * as frames from "./frame.ts";
 
-/** Milliseconds in which a connection opens. */
-const HANDSHAKE_TIMEOUT = 2000;
-const FIRST_RETRY = 100;
-const LAST_RETRY = 1000;
-/** Bytes of the largest answer. */
-const MOST_ANSWER = 64;
+/** Time within which a connection has to open. */
+const HANDSHAKE_TIMEOUT_MS = 2000;
+const MIN_RETRY_DELAY_MS = 100;
+const MAX_RETRY_DELAY_MS = 1000;
+/** Maximum size of an acknowledgement. */
+const MAX_ACK_BYTES = 64;
 
-/** Where a connection leads. */
+/** Destination of a connection. */
 export interface Destination {
-  /** Host that is dialled. */
+  /** Id of the host. */
   readonly host: string;
   readonly url: string;
   readonly headers: Record<string, string>;
   readonly logger: telemetry.Logger;
 }
 
-/** Hears what becomes of a connection. */
+/** Callbacks of a connection. */
 export interface ConnectionListener {
+  /** The connection has opened. */
   open(): void;
-  /** It has ended; what was under way is lost. */
+  /** The connection has ended; unacknowledged frames may be lost. */
   close(): void;
-  /** The other host has taken a frame. */
+  /** The other host has received a frame. */
   acknowledged(id: number): void;
 }
 
-/** A lasting connection. */
+/** A connection that is re-established until it is closed. */
 export class Connection {
   readonly #destination: Destination;
   readonly #listener: ConnectionListener;
   #socket!: ws.WebSocket;
-  #retry?: NodeJS.Timeout;
+  #retryTimer?: NodeJS.Timeout;
   #failures = 0;
   #isClosed = false;
 
@@ -44,7 +45,7 @@
     this.#listener = listener;
   }
 
-  /** Dials, until it is closed. */
+  /** Dials, and dials again after each failure, until `close` is called. */
   static dial(
     destination: Destination,
     listener: ConnectionListener,
@@ -54,15 +55,16 @@
     return connection;
   }
 
-  /** Sends a frame; the connection is open. */
+  /** Sends a frame; the connection must be open. */
   send(frame: string): void {
     this.#socket.send(frame);
   }
 
-  /** Ends it at once: one that is silent would not answer a close. */
+  /** Terminates the connection without a closing handshake, which a silent host
+   * would not answer. */
   close(): void {
     this.#isClosed = true;
-    clearTimeout(this.#retry);
+    clearTimeout(this.#retryTimer);
     this.#socket.terminate();
   }
 
@@ -70,8 +72,8 @@
     const { url, headers, host, logger } = this.#destination;
     const socket = new ws.WebSocket(url, {
       headers,
-      handshakeTimeout: HANDSHAKE_TIMEOUT,
-      maxPayload: MOST_ANSWER,
+      handshakeTimeout: HANDSHAKE_TIMEOUT_MS,
+      maxPayload: MAX_ACK_BYTES,
       perMessageDeflate: false,
     });
     this.#socket = socket;
@@ -82,14 +84,20 @@
     socket.on("message", (data) => {
       this.#listener.acknowledged(frames.decodeAck(`${data}`));
     });
-    socket.on("error", (err) => logger.debug({ peer: host, err }, "Lost"));
-    socket.on("close", () => this.#ended());
+    socket.on(
+      "error",
+      (err) => logger.debug({ peer: host, err }, "Connection failed"),
+    );
+    socket.on("close", () => this.#scheduleRetry());
   }
 
-  #ended(): void {
+  #scheduleRetry(): void {
     if (this.#isClosed) return;
     this.#listener.close();
-    const wait = Math.min(LAST_RETRY, FIRST_RETRY * 2 ** this.#failures++);
-    this.#retry = setTimeout(() => this.#dial(), wait);
+    const wait = Math.min(
+      MAX_RETRY_DELAY_MS,
+      MIN_RETRY_DELAY_MS * 2 ** this.#failures++,
+    );
+    this.#retryTimer = setTimeout(() => this.#dial(), wait);
   }
 }
--- a/src/peers/errors.ts
+++ b/src/peers/errors.ts
@@ -1,7 +1,7 @@
 /** Errors of the transport between hosts.
  * @module */
 
-/** The transport could not start. */
+/** The transport could not start, or a request to another host failed. */
 export class PeerError extends Error {
   override readonly name = "PeerError";
 }
--- a/src/peers/frame.ts
+++ b/src/peers/frame.ts
@@ -1,35 +1,36 @@
-/** Frames of the connections between hosts: batches of messages one way, their
- * numbers back. Text of JSON, put together from the messages' own texts, so that
- * each is written once.
+/** Wire format of the connections between hosts: batches of messages in one
+ * direction, acknowledgements with the batch numbers in the other. A frame is
+ * concatenated from messages that are encoded as JSON once.
  * @module */
 
 import * as check from "../schema/check.ts";
 import type * as schema from "../schema/peers_types.ts";
 import * as validators from "../schema/peers_validators.ts";
 
-/** The text of a message in a frame. */
+/** Encodes a message for use in a frame. */
 export function encodeMessage({ channel, body }: schema.Parcel): string {
   return `{"channel":${JSON.stringify(channel)},"body":${
     JSON.stringify(body)
   }}`;
 }
 
-/** A frame of messages that are text already. */
-export function encode(id: number, parcels: readonly string[]): string {
-  return `{"id":${id},"batch":[${parcels.join(",")}]}`;
+/** Encodes a frame from encoded messages. */
+export function encode(id: number, messages: readonly string[]): string {
+  return `{"id":${id},"batch":[${messages.join(",")}]}`;
 }
 
-/** Reads a frame. Throws `SyntaxError` or `SchemaError`. */
+/** Decodes a frame. Throws `SyntaxError` or `SchemaError`. */
 export function decode(text: string): schema.Frame {
   return check.check<schema.Frame>(validators.validate, JSON.parse(text));
 }
 
-/** The number that a frame is acknowledged with. */
+/** Encodes the acknowledgement of a frame. */
 export function encodeAck(id: number): string {
   return `${id}`;
 }
 
-/** The number of the frame that is acknowledged; NaN for anything else. */
+/** Returns the number of the acknowledged frame; NaN if the text is not an
+ * acknowledgement. */
 export function decodeAck(text: string): number {
   return Number(text);
 }
--- a/src/peers/handshake.ts
+++ b/src/peers/handshake.ts
@@ -1,25 +1,26 @@
-/** Shows that a host of the fleet opens a connection, without sending the
- * fleet key itself. The proof holds for one pair of hosts and one direction.
+/** Authenticates the host that opens a connection without sending the fleet
+ * key: the proof is an HMAC that is valid for one pair of hosts and one
+ * direction.
  * @module */
 
 import * as crypto from "node:crypto";
 import type * as http from "node:http";
 
-/** Headers of a request to connect. */
+/** Headers of an upgrade request. */
 export type Headers = http.IncomingHttpHeaders;
 
 /** Header that names the dialling host. */
 export const HOST_HEADER = "chicoryloft-host";
-/** Header that carries its proof. */
+/** Header with the proof of the dialling host. */
 export const PROOF_HEADER = "chicoryloft-proof";
 
-/** The two ends of a connection. */
+/** Dialling and dialled host of a connection. */
 export interface Ends {
   from: string;
   to: string;
 }
 
-/** Headers with which `from` dials `to`. */
+/** Returns the headers with which `from` dials `to`. */
 export function headersFor(
   ends: Ends,
   key: string | undefined,
@@ -29,7 +30,8 @@
   return headers;
 }
 
-/** The host that dials `to` if it is in `hosts` and has the key. */
+/** Returns the host that dials `to` if it is in `hosts` and proves that it has
+ * the key. */
 export function verify(
   headers: Headers,
   { to, key, hosts }: {
@@ -41,9 +43,11 @@
   const from = headers[HOST_HEADER];
   const given = headers[PROOF_HEADER] ?? "";
   if (typeof from !== "string" || typeof given !== "string") return undefined;
-  // The proof is checked first, so that only the fleet learns who is in it.
-  const proven = key === undefined || equal(given, proofOf({ from, to }, key));
-  return proven && hosts.has(from) ? from : undefined;
+  // The proof is checked first, so that the response does not reveal to
+  // outsiders which hosts are in the fleet.
+  const isProven = key === undefined ||
+    isEqual(given, proofOf({ from, to }, key));
+  return isProven && hosts.has(from) ? from : undefined;
 }
 
 function proofOf({ from, to }: Ends, key: string): string {
@@ -51,8 +55,8 @@
     .digest("base64url");
 }
 
-/** Compares in a time that does not depend on where they differ. */
-function equal(given: string, expected: string): boolean {
+/** Compares in constant time. */
+function isEqual(given: string, expected: string): boolean {
   const [one, other] = [given, expected].map((text) =>
     crypto.createHash("sha256").update(text).digest()
   );
--- a/src/peers/lenient_decode.ts
+++ b/src/peers/lenient_decode.ts
@@ -1,40 +1,44 @@
-/** What can be read of a message that can't be read whole: entries of its lists
- * that are wrong are left out, so that one of them, which another writer may
- * have made, does not cost the others.
+/** Validation that tolerates invalid list entries: they are removed from the
+ * message, so that one bad entry, possibly written by another implementation,
+ * does not invalidate the rest of the message.
  * @module */
 
 import type * as check from "../schema/check.ts";
 
-/** Entries left out of one message at the most: each costs a reading of it. */
-const MOST = 64;
+/** Maximum number of entries removed from one message, since the message is
+ * validated again after each. */
+const MAX_REMOVED_ENTRIES = 64;
 
-/** How messages of a channel are read. */
+/** How messages of a channel are validated. */
 export interface DecodeOptions {
   readonly validate: check.Validator;
-  /** Names of lists whose entries stand by themselves. */
+  /** Names of lists whose entries are independent of each other. */
   readonly lists?: readonly string[];
 }
 
-/** Takes wrong entries out of `body`, in place. Returns the lists that they
- * stood in, one name for each; undefined when it can't be read at all. */
+/** Removes invalid entries from `body` in place. Returns the name of the list
+ * for each removed entry; undefined if the message is invalid otherwise. */
 export function decode(
   body: unknown,
   { validate, lists = [] }: DecodeOptions,
 ): string[] | undefined {
-  const leftOut: string[] = [];
+  const removed: string[] = [];
   while (!validate(body)) {
-    const place = entryOf(validate.errors?.[0]?.instancePath ?? "", lists);
-    const list = place && listAt(body, place.path);
-    if (place === undefined || list === undefined) return undefined;
-    if (leftOut.length === MOST) return undefined;
-    list.splice(place.pos, 1);
-    leftOut.push(place.path.at(-1)!);
+    const location = locateEntry(
+      validate.errors?.[0]?.instancePath ?? "",
+      lists,
+    );
+    const list = location && listAt(body, location.path);
+    if (location === undefined || list === undefined) return undefined;
+    if (removed.length === MAX_REMOVED_ENTRIES) return undefined;
+    list.splice(location.pos, 1);
+    removed.push(location.path.at(-1)!);
   }
-  return leftOut;
+  return removed;
 }
 
-/** The entry of one of some lists that a JSON pointer leads into. */
-function entryOf(
+/** Locates the list entry that a JSON pointer leads into. */
+function locateEntry(
   pointer: string,
   lists: readonly string[],
 ): { path: string[]; pos: number } | undefined {
--- a/src/peers/link.ts
+++ b/src/peers/link.ts
@@ -1,6 +1,6 @@
-/** The connection over which this host sends to one other host. Each batch is
- * answered; a connection that does not answer in time is taken for silent and
- * exchanged for a new one, and what was under way is lost.
+/** The connection over which this host sends messages to one other host. The
+ * receiver acknowledges each batch. A connection without a timely
+ * acknowledgement is replaced, and its unacknowledged messages are lost.
  * @module */
 
 import type * as runtime from "../runtime/mod.ts";
@@ -8,130 +8,134 @@
 import type * as telemetry from "../telemetry/mod.ts";
 import * as connections from "./connection.ts";
 import * as frames from "./frame.ts";
-import * as queue from "./send_queue.ts";
+import * as sendQueue from "./send_queue.ts";
 
-/** Milliseconds in which a batch is answered, or the connection is silent. */
+/** Time without an acknowledgement after which a connection is replaced. */
 export const ACK_TIMEOUT_MS = 1000;
-/** Milliseconds of rest after which an empty batch probes the connection. */
-const PROBE = 5000;
-/** Milliseconds without messages after which the connection is closed. */
-const IDLE = 60_000;
-/** Batches under way at once. */
-const WINDOW = 8;
-/** Milliseconds within which a dial is let go on: some round trips. */
-const WAKE_LEAST = 60;
-
-const BOUNDS: queue.Bounds = {
+/** Time without a batch after which an empty one probes the connection. */
+const PROBE_INTERVAL_MS = 5000;
+/** Time without messages after which the connection is closed. */
+const IDLE_TIMEOUT_MS = 60_000;
+/** Maximum number of unacknowledged batches. */
+const MAX_BATCHES_IN_FLIGHT = 8;
+/** Minimum time that a dial is given before it is replaced; allows some round
+ * trips. */
+const MIN_DIAL_MS = 60;
+
+const QUEUE_BOUNDS: sendQueue.Bounds = {
   // A snapshot of the largest table takes about 5 MB.
-  bytes: 8 * 1024 * 1024,
-  message: 4 * 1024 * 1024,
-  batch: 256 * 1024,
-  age: 3000,
+  maxBytes: 8 * 1024 * 1024,
+  maxMessageBytes: 4 * 1024 * 1024,
+  maxBatchBytes: 256 * 1024,
+  maxAgeMs: 3000,
 };
 
-/** What a link needs. */
+/** Options of a link. */
 export interface LinkOptions extends connections.Destination {
   readonly clock: runtime.Clock;
   readonly metrics: telemetry.Metrics;
 }
 
-/** Messages that are not acknowledged yet. */
-interface UnderWay {
+/** A batch that is not acknowledged yet. */
+interface InFlight {
   readonly sentAt: number;
-  readonly messages: number;
+  readonly messageCount: number;
 }
 
 /** Sends messages to one host. */
 export class Link {
   readonly #options: LinkOptions;
-  readonly #queue: queue.SendQueue;
-  readonly #underWay = new Map<number, UnderWay>();
+  readonly #queue: sendQueue.SendQueue;
+  readonly #inFlight = new Map<number, InFlight>();
   #connection: connections.Connection;
-  #open = false;
-  #closed = false;
-  #flushing = false;
-  #batches = 0;
-  #lastMessage: number;
-  #lastBatch: number;
+  #isOpen = false;
+  #isClosed = false;
+  #isFlushScheduled = false;
+  #batchCount = 0;
+  #lastMessageAt: number;
+  #lastBatchAt: number;
   #dialledAt = 0;
 
   private constructor(options: LinkOptions) {
     const { clock, metrics } = options;
     this.#options = options;
-    this.#queue = queue.SendQueue.create(
-      BOUNDS,
+    this.#queue = sendQueue.SendQueue.create(
+      QUEUE_BOUNDS,
       (reason) => metrics.count("peer.dropped", 1, { reason }),
     );
-    this.#lastMessage = this.#lastBatch = clock.now();
+    this.#lastMessageAt = this.#lastBatchAt = clock.now();
     this.#connection = this.#dial();
   }
 
-  /** Dials; messages wait until the connection is open. */
+  /** Dials; messages are queued until the connection is open. */
   static create(options: LinkOptions): Link {
     return new Link(options);
   }
 
-  /** Sends a message with others of the same step. */
-  send(parcel: schema.Parcel): void {
-    this.#lastMessage = this.#options.clock.now();
-    this.#queue.push(parcel, this.#lastMessage);
-    if (this.#flushing) return;
-    this.#flushing = true;
+  /** Queues a message; all messages of the same step are sent together. */
+  send(message: schema.Parcel): void {
+    this.#lastMessageAt = this.#options.clock.now();
+    this.#queue.push(message, this.#lastMessageAt);
+    if (this.#isFlushScheduled) return;
+    this.#isFlushScheduled = true;
     queueMicrotask(() => {
-      this.#flushing = false;
+      this.#isFlushScheduled = false;
       this.#flush();
     });
   }
 
-  /** Looks for silence, unless this look is `late`: then this host itself has
-   * paused, and answers may wait to be read. False once the link is idle and
-   * may be closed. */
-  tick(late: boolean): boolean {
+  /** Replaces a silent connection and probes one at rest. If the check is
+   * late (`isLate`), this host itself was paused and acknowledgements may be
+   * waiting to be read, so silence is ignored. Returns false once the link is
+   * idle and may be closed. */
+  tick(isLate: boolean): boolean {
     const now = this.#options.clock.now();
-    const [oldest] = this.#underWay.values();
-    const silent = oldest !== undefined &&
+    const [oldest] = this.#inFlight.values();
+    const isSilent = oldest !== undefined &&
       now - oldest.sentAt >= ACK_TIMEOUT_MS;
-    if (silent && !late) {
+    if (isSilent && !isLate) {
       this.#options.metrics.count("peer.silent");
       this.reconnect("silent");
-    } else if (this.#open && now - this.#lastBatch >= PROBE) {
-      this.#deliver({ messages: [], bytes: 0 });
+    } else if (this.#isOpen && now - this.#lastBatchAt >= PROBE_INTERVAL_MS) {
+      this.#sendBatch({ messages: [], bytes: 0 });
     }
-    return now - this.#lastMessage < IDLE;
+    return now - this.#lastMessageAt < IDLE_TIMEOUT_MS;
   }
 
-  /** Exchanges the connection for a new one. */
+  /** Replaces the connection with a new one. */
   reconnect(reason: string): void {
     const { logger, host } = this.#options;
     logger.info({ peer: host, reason }, "Connection replaced");
     this.#connection.close();
-    this.#lose(reason);
+    this.#dropInFlight(reason);
     this.#connection = this.#dial();
   }
 
-  /** Dials at once where it would wait for its next try: the other host has
-   * just shown that it is there. */
+  /** Dials at once instead of waiting for the next attempt, since the other
+   * host has just connected to this one. */
   reconnectNow(): void {
     const now = this.#options.clock.now();
-    const isDialling = now - this.#dialledAt < WAKE_LEAST;
-    if (!this.#open && !this.#closed && !isDialling) this.reconnect("awake");
+    const isDialling = now - this.#dialledAt < MIN_DIAL_MS;
+    if (!this.#isOpen && !this.#isClosed && !isDialling) {
+      this.reconnect("awake");
+    }
   }
 
-  /** Closes the connection and drops what waits. */
+  /** Closes the connection and drops queued messages. */
   close(): void {
-    this.#closed = true;
-    this.#open = false;
+    this.#isClosed = true;
+    this.#isOpen = false;
     this.#connection.close();
   }
 
-  /** State for people. */
+  /** Returns the state for diagnostics. */
   dump(): unknown {
     return {
-      open: this.#open,
+      open: this.#isOpen,
       waiting: this.#queue.length,
       waitingBytes: this.#queue.bytes,
-      underWay: this.#underWay.size,
-      batches: this.#batches,
+      underWay: this.#inFlight.size,
+      batches: this.#batchCount,
     };
   }
 
@@ -139,42 +143,43 @@
     this.#dialledAt = this.#options.clock.now();
     return connections.Connection.dial(this.#options, {
       open: () => {
-        this.#open = true;
+        this.#isOpen = true;
         this.#options.metrics.count("peer.connected");
         this.#flush();
       },
-      close: () => this.#lose("connection"),
+      close: () => this.#dropInFlight("connection"),
       acknowledged: (id) => {
-        this.#underWay.delete(id);
+        this.#inFlight.delete(id);
         this.#flush();
       },
     });
   }
 
-  /** Nobody can tell whether what was under way has arrived. */
-  #lose(reason: string): void {
-    this.#open = false;
-    const lost = [...this.#underWay.values()]
-      .reduce((sum, { messages }) => sum + messages, 0);
-    this.#underWay.clear();
+  /** Counts unacknowledged messages as dropped; whether they arrived is
+   * unknown. */
+  #dropInFlight(reason: string): void {
+    this.#isOpen = false;
+    const lost = [...this.#inFlight.values()]
+      .reduce((sum, { messageCount }) => sum + messageCount, 0);
+    this.#inFlight.clear();
     if (lost > 0) this.#options.metrics.count("peer.dropped", lost, { reason });
   }
 
   #flush(): void {
-    while (this.#open && this.#underWay.size < WINDOW) {
-      const load = this.#queue.take(this.#options.clock.now());
-      if (load.messages.length === 0) return;
-      this.#deliver(load);
+    while (this.#isOpen && this.#inFlight.size < MAX_BATCHES_IN_FLIGHT) {
+      const batch = this.#queue.take(this.#options.clock.now());
+      if (batch.messages.length === 0) return;
+      this.#sendBatch(batch);
     }
   }
 
-  #deliver({ messages: parcels, bytes }: queue.Batch): void {
+  #sendBatch({ messages, bytes }: sendQueue.Batch): void {
     const { clock, metrics } = this.#options;
-    const id = this.#batches++;
-    this.#lastBatch = clock.now();
-    const messages = parcels.length;
-    this.#underWay.set(id, { sentAt: this.#lastBatch, messages });
+    const id = this.#batchCount++;
+    this.#lastBatchAt = clock.now();
+    const messageCount = messages.length;
+    this.#inFlight.set(id, { sentAt: this.#lastBatchAt, messageCount });
     metrics.count("peer.bytes_sent", bytes);
-    this.#connection.send(frames.encode(id, parcels));
+    this.#connection.send(frames.encode(id, messages));
   }
 }
--- a/src/peers/listener.ts
+++ b/src/peers/listener.ts
@@ -1,4 +1,4 @@
-/** Takes connections from the other hosts of the fleet and refuses others.
+/** Accepts connections from the other hosts of the fleet and refuses others.
  * @module */
 
 import type * as http from "node:http";
@@ -10,22 +10,23 @@
 import * as frames from "./frame.ts";
 import * as handshake from "./handshake.ts";
 
-/** Bytes of the largest frame: one message of the largest size, or a batch,
- * with what surrounds it. */
-const MOST_FRAME = 5 * 1024 * 1024;
-/** Milliseconds without a frame after which a connection is closed: who dialled
- * it probes it at rest more often. */
-const SILENCE = 15_000;
+/** Maximum size of a frame: a message of the largest size, or a batch, and the
+ * enclosing JSON. */
+const MAX_FRAME_BYTES = 5 * 1024 * 1024;
+/** Time without a frame after which a connection is closed; the dialling host
+ * probes an idle connection more often. */
+const SILENCE_TIMEOUT_MS = 15_000;
 
-/** What a listener needs. */
+/** Options of a listener. */
 export interface ListenerOptions {
   address: string;
-  /** 0 lets the system choose. */
+  /** 0 lets the operating system choose. */
   port: number;
   logger: telemetry.Logger;
-  /** The host in the headers of a request to connect, if it is admitted. */
+  /** Returns the host that the headers of an upgrade request authenticate;
+   * undefined if it is refused. */
   admit(headers: handshake.Headers): string | undefined;
-  /** Takes the messages of a host. */
+  /** Processes a batch of messages from a host. */
   receive(host: string, batch: schema.Batch): void;
 }
 
@@ -35,13 +36,13 @@
   close(): Promise<void>;
 }
 
-/** Listens; resolves once connections are taken. */
+/** Starts listening; resolves once connections are accepted. */
 export async function listen(options: ListenerOptions): Promise<Listener> {
   const { address, port, admit } = options;
   const server = new ws.WebSocketServer({
     host: address,
     port,
-    maxPayload: MOST_FRAME,
+    maxPayload: MAX_FRAME_BYTES,
     perMessageDeflate: false,
     verifyClient: ({ req }: Upgrade) => admit(req.headers) !== undefined,
   });
@@ -52,12 +53,16 @@
       reject(new errors.PeerError(message, { cause }));
     });
   });
-  const heard = new Map<ws.WebSocket, number>();
+  const lastFrameAt = new Map<ws.WebSocket, number>();
   server.on("error", (err) => options.logger.warn({ err }, "Listener failed"));
   server.on("connection", (socket, request) => {
-    take(socket, { ...options, host: hostOf(request), heard });
+    receiveFrames(socket, {
+      ...options,
+      host: hostOf(request),
+      lastFrameAt,
+    });
   });
-  const sweep = setInterval(() => closeSilent(heard), SILENCE);
+  const sweep = setInterval(() => closeSilent(lastFrameAt), SILENCE_TIMEOUT_MS);
   return {
     port: (server.address() as net.AddressInfo).port,
     close() {
@@ -72,37 +77,44 @@
   req: { headers: handshake.Headers };
 }
 
-/** Who has dialled a connection, and when each was heard last. */
-interface Dialled extends Pick<ListenerOptions, "logger" | "receive"> {
+/** An accepted connection; `lastFrameAt` is shared by all connections. */
+interface AcceptedConnection
+  extends Pick<ListenerOptions, "logger" | "receive"> {
   readonly host: string;
-  readonly heard: Map<ws.WebSocket, number>;
+  readonly lastFrameAt: Map<ws.WebSocket, number>;
 }
 
-/** Takes frames from a connection and acknowledges each. */
-function take(
+/** Receives frames from a connection and acknowledges each. */
+function receiveFrames(
   socket: ws.WebSocket,
-  { host, heard, logger, receive }: Dialled,
+  { host, lastFrameAt, logger, receive }: AcceptedConnection,
 ): void {
-  heard.set(socket, performance.now());
+  lastFrameAt.set(socket, performance.now());
   socket.on("message", (data) => {
-    heard.set(socket, performance.now());
+    lastFrameAt.set(socket, performance.now());
     try {
       const { id, batch } = frames.decode(`${data}`);
       socket.send(frames.encodeAck(id));
       receive(host, batch);
     } catch (err) {
-      logger.warn({ peer: host, err }, "Frame could not be read");
+      logger.warn(
+        { peer: host, err },
+        "Frame is invalid; connection terminated",
+      );
       socket.terminate();
     }
   });
-  socket.on("error", (err) => logger.debug({ peer: host, err }, "Lost"));
-  socket.on("close", () => heard.delete(socket));
+  socket.on(
+    "error",
+    (err) => logger.debug({ peer: host, err }, "Connection failed"),
+  );
+  socket.on("close", () => lastFrameAt.delete(socket));
 }
 
-function closeSilent(heard: ReadonlyMap<ws.WebSocket, number>): void {
+function closeSilent(lastFrameAt: ReadonlyMap<ws.WebSocket, number>): void {
   const now = performance.now();
-  for (const [socket, at] of heard) {
-    if (now - at > SILENCE) socket.terminate();
+  for (const [socket, at] of lastFrameAt) {
+    if (now - at > SILENCE_TIMEOUT_MS) socket.terminate();
   }
 }
 
--- a/src/peers/mod.ts
+++ b/src/peers/mod.ts
@@ -1,4 +1,4 @@
-/** The transport between the system's hosts.
+/** Transport between the hosts of the fleet, and request-reply calls over it.
  * @module */
 
 export * from "./rpc.ts";
--- a/src/peers/peers.ts
+++ b/src/peers/peers.ts
@@ -1,5 +1,6 @@
-/** The transport between the system's hosts: messages go out in batches over
- * lasting connections, one for each direction of each pair that talks.
+/** Transport between the hosts of the fleet: messages are sent in batches over
+ * persistent connections, one per direction for each pair of hosts that
+ * communicate.
  * @module */
 
 import type * as runtime from "../runtime/mod.ts";
@@ -12,37 +13,37 @@
 import * as handshake from "./handshake.ts";
 import * as lenientDecode from "./lenient_decode.ts";
 
-/** Milliseconds between looks for silent and idle connections. */
-const SWEEP = 250;
+/** Interval between checks for silent and idle connections. */
+const SWEEP_INTERVAL_MS = 250;
 
-/** Where another host is dialled. */
+/** Address of another host. */
 export interface Host {
   id: string;
-  /** IP number. */
+  /** IP address. */
   address: string;
   port: number;
 }
 
-/** Where hosts are found by their ids. */
+/** Looks up hosts by id. */
 export interface Directory {
   get(id: string): Host | undefined;
   has(id: string): boolean;
 }
 
-/** What the transport needs. */
+/** Options of the transport. */
 export interface PeersOptions {
-  /** This host; it is among `hosts`. */
+  /** Id of this host, which is among `hosts`. */
   self: string;
-  /** A list, or a directory where hosts come and go without one. */
+  /** The hosts as a list, or as a directory that follows changes itself. */
   hosts: readonly Host[] | Directory;
-  /** Fleet key; without one any host of the list's names is admitted. */
+  /** Fleet key; without it, any host that states a known id is admitted. */
   key?: string;
-  /** Address to listen on; that of `self` in `hosts` when absent. */
+  /** Address to listen on; defaults to that of `self` in `hosts`. */
   listenAddress?: string;
   /** Validator of each channel; messages of other channels are dropped. */
   validators: Partial<Record<runtime.Channel, check.Validator>>;
-  /** Lists of each channel's messages whose entries stand by themselves: one
-   * that can't be read is left out, the others hold. */
+  /** Names of lists in each channel's messages whose entries are independent:
+   * an invalid entry is removed and the rest of the message is accepted. */
   entryLists?: Partial<Record<runtime.Channel, readonly string[]>>;
   clock: runtime.Clock;
   metrics?: telemetry.Metrics;
@@ -50,7 +51,7 @@
   onEnvelope(envelope: runtime.Envelope): void;
 }
 
-/** Transport over websockets. */
+/** Transport over WebSocket connections. */
 export class Peers implements runtime.Transport {
   readonly #options: PeersOptions;
   readonly #metrics: telemetry.Metrics;
@@ -59,7 +60,7 @@
   #hosts: Directory;
   #listener?: listener.Listener;
   #cancel?: runtime.Cancel;
-  #refused = 0;
+  #refusedCount = 0;
   #sweptAt = 0;
 
   private constructor(options: PeersOptions) {
@@ -67,20 +68,20 @@
     this.#metrics = options.metrics ?? telemetry.noMetrics;
     this.#logger = options.logger ?? telemetry.noLogger;
     const { hosts } = options;
-    this.#hosts = "get" in hosts ? hosts : byId(hosts);
+    this.#hosts = "get" in hosts ? hosts : indexById(hosts);
   }
 
-  /** A transport that neither listens nor dials yet. */
+  /** Creates a transport that neither listens nor dials yet. */
   static create(options: PeersOptions): Peers {
     return new Peers(options);
   }
 
-  /** Port that it listens on; 0 before it does. */
+  /** Port that the transport listens on; 0 before it does. */
   get port(): number {
     return this.#listener?.port ?? 0;
   }
 
-  /** Listens; resolves once other hosts can connect. */
+  /** Starts listening; resolves once other hosts can connect. */
   async start(): Promise<void> {
     const { self, listenAddress } = this.#options;
     const own = this.#hosts.get(self);
@@ -107,40 +108,44 @@
     this.#listener = undefined;
   }
 
-  /** Sends, dialling if need be; drops what has nowhere to go. */
+  /** Sends a message, dialling the host if necessary; drops messages to unknown
+   * hosts. */
   send(envelope: runtime.Envelope): void {
     const { to, channel } = envelope;
-    if (to === this.#options.self) return this.#loop(envelope);
+    if (to === this.#options.self) return this.#sendToSelf(envelope);
     const body = envelope.body as object;
     const link = this.#linkTo(to);
-    if (link === undefined) return this.#drop("unknown-host");
+    if (link === undefined) return this.#countDropped("unknown-host");
     this.#metrics.count("peer.sent", 1, { channel });
     link.send({ channel, body });
   }
 
-  /** Exchanges the connection to `host`, which may be dead. */
+  /** Replaces the connection to a host, which may be dead. */
   redial(host: string): void {
     this.#links.get(host)?.reconnect("redial");
   }
 
-  /** Follows a change of the fleet: connections to other addresses end. */
+  /** Replaces the list of hosts; closes connections to hosts that were removed
+   * or changed their address. */
   setHosts(hosts: readonly Host[]): void {
-    const former = this.#hosts;
-    this.#hosts = byId(hosts);
+    const previous = this.#hosts;
+    this.#hosts = indexById(hosts);
     for (const [id, link] of this.#links) {
-      const [was, is] = [former.get(id), this.#hosts.get(id)];
-      if (was?.address === is?.address && was?.port === is?.port) continue;
+      const [before, after] = [previous.get(id), this.#hosts.get(id)];
+      if (before?.address === after?.address && before?.port === after?.port) {
+        continue;
+      }
       link.close();
       this.#links.delete(id);
     }
   }
 
-  /** State for people. */
+  /** Returns the state for diagnostics. */
   dump(): unknown {
     const links = [...this.#links].map(([id, link]) => [id, link.dump()]);
     return {
       port: this.port,
-      refused: this.#refused,
+      refused: this.#refusedCount,
       links: Object.fromEntries(links),
     };
   }
@@ -152,7 +157,7 @@
     const { self, key, clock } = this.#options;
     const opened = link.Link.create({
       host: id,
-      url: `ws://${inUrl(host.address)}:${host.port}`,
+      url: `ws://${urlHost(host.address)}:${host.port}`,
       headers: handshake.headersFor({ from: self, to: id }, key),
       clock,
       metrics: this.#metrics,
@@ -169,7 +174,7 @@
       this.#links.get(host)?.reconnectNow();
       return host;
     }
-    this.#refused++;
+    this.#refusedCount++;
     this.#metrics.count("peer.refused");
     return undefined;
   }
@@ -178,80 +183,87 @@
     const { self: to } = this.#options;
     for (const { channel: name, body } of batch) {
       const channel = name as runtime.Channel;
-      if (!this.#isReadable({ from, channel, body })) {
-        this.#drop("ill-formed");
+      if (!this.#validate({ from, channel, body })) {
+        this.#countDropped("ill-formed");
         continue;
       }
       this.#metrics.count("peer.received", 1, { channel });
-      this.#hand({ from, to, channel, body });
+      this.#deliver({ from, to, channel, body });
     }
   }
 
-  #isReadable(
+  #validate(
     { from, channel, body }: Omit<runtime.Envelope, "to">,
   ): boolean {
     const { validators, entryLists = {} } = this.#options;
     const validate = validators[channel];
     if (validate === undefined) return false;
     const lists = entryLists[channel];
-    const leftOut = lenientDecode.decode(body, { validate, lists });
+    const removed = lenientDecode.decode(body, { validate, lists });
     const reason = validate.errors?.[0];
-    if (leftOut === undefined) {
-      const about = { peer: from, channel, path: reason?.instancePath };
-      this.#logger.warn(about, "Message could not be read");
+    if (removed === undefined) {
+      const fields = { peer: from, channel, path: reason?.instancePath };
+      this.#logger.warn(fields, "Message does not match its schema; dropped");
       return false;
     }
-    if (leftOut.length === 0) return true;
-    for (const list of leftOut) {
+    if (removed.length === 0) return true;
+    for (const list of removed) {
       this.#metrics.count("peer.left_out", 1, { list });
     }
-    const about = { peer: from, channel, lists: [...new Set(leftOut)] };
+    const fields = { peer: from, channel, lists: [...new Set(removed)] };
     this.#logger.warn(
-      { ...about, count: leftOut.length },
-      "Entries of a message could not be read",
+      { ...fields, count: removed.length },
+      "Removed entries of a message that do not match its schema",
     );
     return true;
   }
 
-  /** One message that fails must not lose the others of its batch. */
-  #hand(envelope: runtime.Envelope): void {
+  /** Delivers a message; a handler that throws must not prevent delivery of the
+   * rest of the batch. */
+  #deliver(envelope: runtime.Envelope): void {
     try {
       this.#options.onEnvelope(envelope);
     } catch (error) {
       const { from, channel } = envelope;
-      this.#drop("failed");
-      this.#logger.error({ peer: from, channel, error }, "Message failed");
+      this.#countDropped("failed");
+      this.#logger.error(
+        { peer: from, channel, error },
+        "Handler of a message threw an error",
+      );
     }
   }
 
-  /** Hands a message to this host itself, after the present step. */
-  #loop(envelope: runtime.Envelope): void {
+  /** Delivers a message from this host to itself, after the current step. */
+  #sendToSelf(envelope: runtime.Envelope): void {
     queueMicrotask(() => {
-      if (this.#listener !== undefined) this.#hand(envelope);
+      if (this.#listener !== undefined) this.#deliver(envelope);
     });
   }
 
-  #drop(reason: string): void {
+  #countDropped(reason: string): void {
     this.#metrics.count("peer.dropped", 1, { reason });
   }
 
   #sweep(): void {
     const now = this.#options.clock.now();
-    const late = now - this.#sweptAt > 2 * SWEEP;
+    const isLate = now - this.#sweptAt > 2 * SWEEP_INTERVAL_MS;
     this.#sweptAt = now;
     for (const [id, link] of this.#links) {
-      if (link.tick(late)) continue;
+      if (link.tick(isLate)) continue;
       link.close();
       this.#links.delete(id);
     }
-    this.#cancel = this.#options.clock.after(SWEEP, () => this.#sweep());
+    this.#cancel = this.#options.clock.after(
+      SWEEP_INTERVAL_MS,
+      () => this.#sweep(),
+    );
   }
 }
 
-function byId(hosts: readonly Host[]): ReadonlyMap<string, Host> {
+function indexById(hosts: readonly Host[]): ReadonlyMap<string, Host> {
   return new Map(hosts.map((host) => [host.id, host]));
 }
 
-function inUrl(address: string): string {
+function urlHost(address: string): string {
   return address.includes(":") ? `[${address}]` : address;
 }
--- a/src/peers/peers_test.ts
+++ b/src/peers/peers_test.ts
@@ -5,25 +5,25 @@
 import * as frames from "./frame.ts";
 import * as peers from "./mod.ts";
 import * as handshake from "./handshake.ts";
-import * as queue from "./send_queue.ts";
-import * as relays from "./tcp_proxy.ts";
+import * as sendQueue from "./send_queue.ts";
+import * as tcpProxy from "./tcp_proxy.ts";
 
-const POLL = 5;
+const POLL_INTERVAL_MS = 5;
 
 interface Node {
   peers: peers.Peers;
-  got: runtime.Envelope[];
+  received: runtime.Envelope[];
   tally: telemetry.Tally;
   clock: runtime.FakeClock;
 }
 
-/** A host on a port that the system chooses; dials `others`. */
+/** Starts a host on a free port that knows the hosts `others`. */
 async function createNode(
   self: string,
   others: readonly peers.Host[],
   changes: Partial<peers.PeersOptions> = {},
 ): Promise<Node> {
-  const got: runtime.Envelope[] = [];
+  const received: runtime.Envelope[] = [];
   const tally = new telemetry.Tally();
   const clock = new runtime.FakeClock();
   const own = { id: self, address: "127.0.0.1", port: 0 };
@@ -34,11 +34,11 @@
     validators: { control: (body) => !("bad" in (body as object)) },
     clock,
     metrics: tally,
-    onEnvelope: (envelope) => got.push(envelope),
+    onEnvelope: (envelope) => received.push(envelope),
     ...changes,
   });
   await node.start();
-  return { peers: node, got, tally, clock };
+  return { peers: node, received, tally, clock };
 }
 
 function hostAt(id: string, port: number): peers.Host {
@@ -50,7 +50,9 @@
 }
 
 async function until(condition: () => boolean): Promise<void> {
-  while (!condition()) await new Promise((done) => setTimeout(done, POLL));
+  while (!condition()) {
+    await new Promise((done) => setTimeout(done, POLL_INTERVAL_MS));
+  }
 }
 
 async function createPair(changes: Partial<peers.PeersOptions> = {}) {
@@ -60,55 +62,55 @@
   return { a, b, stop };
 }
 
-test("delivers in order and names the sender by its connection", async (t) => {
+test("delivers in order and takes the sender from the connection", async (t) => {
   const { a, b, stop } = await createPair();
   const bodies = Array.from({ length: 500 }, (_, pos) => ({ pos }));
   for (const body of bodies) {
     a.peers.send({ ...envelopeTo("b", body), from: "forged" });
   }
-  await until(() => b.got.length === bodies.length);
-  t.deepEqual(b.got.map(({ body }) => body), bodies);
-  t.true(b.got.every(({ from, to }) => from === "a" && to === "b"));
+  await until(() => b.received.length === bodies.length);
+  t.deepEqual(b.received.map(({ body }) => body), bodies);
+  t.true(b.received.every(({ from, to }) => from === "a" && to === "b"));
   await stop();
 });
 
-test("drops ill-formed messages, unknown channels and unknown hosts", async (t) => {
+test("drops invalid messages and messages to unknown channels and hosts", async (t) => {
   const { a, b, stop } = await createPair();
   a.peers.send(envelopeTo("b", { bad: 1 }));
   a.peers.send({ ...envelopeTo("b", {}), channel: "log" });
   a.peers.send(envelopeTo("c", {}));
   a.peers.send(envelopeTo("b", { good: 1 }));
-  await until(() => b.got.length === 1);
+  await until(() => b.received.length === 1);
   t.is(b.tally.total("peer.dropped"), 2);
   t.is(a.tally.total("peer.dropped"), 1);
   await stop();
 });
 
-test("hands a host its own messages", async (t) => {
+test("delivers messages of a host to itself", async (t) => {
   const { a, stop } = await createPair();
   a.peers.send(envelopeTo("a", { self: 1 }));
-  t.is(a.got.length, 0);
-  await until(() => a.got.length === 1);
+  t.is(a.received.length, 0);
+  await until(() => a.received.length === 1);
   await stop();
 });
 
-const strangers: [string, Partial<peers.PeersOptions>][] = [
+const UNTRUSTED_HOSTS: [string, Partial<peers.PeersOptions>][] = [
   ["another key", { key: "guess" }],
   ["no key", { key: undefined }],
 ];
 
-for (const [name, changes] of strangers) {
+for (const [name, changes] of UNTRUSTED_HOSTS) {
   test(`refuses a host with ${name}, and counts it`, async (t) => {
     const { a, b, stop } = await createPair(changes);
     a.peers.send(envelopeTo("b", {}));
     await until(() => b.tally.total("peer.refused") > 1);
-    t.is(b.got.length, 0);
+    t.is(b.received.length, 0);
     t.is(a.tally.total("peer.connected"), 0);
     await stop();
   });
 }
 
-test("refuses a host that is not in the list, and a bare client", async (t) => {
+test("refuses a host that is not in the list and a client without headers", async (t) => {
   const b = await createNode("b", []);
   const a = await createNode("a", [hostAt("b", b.peers.port)]);
   a.peers.send(envelopeTo("b", {}));
@@ -116,30 +118,30 @@
   bare.on("error", () => {});
   await until(() => b.tally.total("peer.refused") > 1);
   await until(() => bare.readyState === ws.WebSocket.CLOSED);
-  t.is(b.got.length, 0);
+  t.is(b.received.length, 0);
   await Promise.all([a.peers.stop(), b.peers.stop()]);
 });
 
-test("exchanges a connection that has gone silent", async (t) => {
+test("replaces a connection that has become silent", async (t) => {
   const b = await createNode("b", [hostAt("a", 0)]);
-  const relay = await relays.TcpProxy.create(() => b.peers.port);
+  const relay = await tcpProxy.TcpProxy.create(() => b.peers.port);
   const a = await createNode("a", [hostAt("b", relay.port)]);
   a.peers.send(envelopeTo("b", { pos: 1 }));
-  await until(() => b.got.length === 1);
+  await until(() => b.received.length === 1);
   relay.blackhole();
   a.peers.send(envelopeTo("b", { pos: 2 }));
   await new Promise((done) => setImmediate(done));
   a.clock.advance(1500);
   t.is(a.tally.total("peer.silent"), 1);
   a.peers.send(envelopeTo("b", { pos: 3 }));
-  await until(() => b.got.length === 2);
-  t.deepEqual(b.got.map(({ body }) => body), [{ pos: 1 }, { pos: 3 }]);
+  await until(() => b.received.length === 2);
+  t.deepEqual(b.received.map(({ body }) => body), [{ pos: 1 }, { pos: 3 }]);
   t.is(relay.connections, 2);
   await Promise.all([a.peers.stop(), b.peers.stop()]);
   await relay.close();
 });
 
-test("a pause of its own does not make a host give up a connection", async (t) => {
+test("a host does not replace a connection because it was paused itself", async (t) => {
   const clock = new runtime.FakeClock();
   let paused = 0;
   const skewed: runtime.Clock = {
@@ -149,7 +151,7 @@
   };
   const { a, b, stop } = await createPair({ clock: skewed });
   a.peers.send(envelopeTo("b", {}));
-  await until(() => b.got.length === 1);
+  await until(() => b.received.length === 1);
   a.peers.send(envelopeTo("b", {}));
   await Promise.resolve();
   paused = 1500;
@@ -160,12 +162,12 @@
   await stop();
 });
 
-test("probes a connection at rest and closes it when it stays so", async (t) => {
+test("probes an idle connection and closes it after the idle timeout", async (t) => {
   const { a, b, stop } = await createPair();
   const dump = () => JSON.stringify(a.peers.dump());
   const answered = () => until(() => !/"underWay":[1-9]/.test(dump()));
   a.peers.send(envelopeTo("b", {}));
-  await until(() => b.got.length === 1);
+  await until(() => b.received.length === 1);
   await answered();
   a.clock.advance(4999);
   t.regex(dump(), /"batches":1\D/);
@@ -180,10 +182,10 @@
   await stop();
 });
 
-test("sends again once a host that was down is back", async (t) => {
+test("delivers messages again after a host has restarted", async (t) => {
   const { a, b } = await createPair();
   a.peers.send(envelopeTo("b", { pos: 1 }));
-  await until(() => b.got.length === 1);
+  await until(() => b.received.length === 1);
   const { port } = b.peers;
   await b.peers.stop();
   const back = await createNode("b", [hostAt("a", 0)], {
@@ -191,20 +193,25 @@
   });
   a.peers.send(envelopeTo("b", { pos: 2 }));
   let pos = 2;
-  while (back.got.length === 0) {
+  while (back.received.length === 0) {
     a.peers.send(envelopeTo("b", { pos: ++pos }));
-    await new Promise((done) => setTimeout(done, POLL));
+    await new Promise((done) => setTimeout(done, POLL_INTERVAL_MS));
   }
   t.pass();
   await Promise.all([a.peers.stop(), back.peers.stop()]);
 });
 
-test("a queue is bounded in bytes and age, and drops the oldest", (t) => {
+test("a queue is limited in bytes and age and drops the oldest messages", (t) => {
   const drops: string[] = [];
   const size = frames.encodeMessage({ channel: "control", body: { pos: 0 } })
     .length;
-  const bounds = { bytes: 5 * size, message: 100, batch: 100, age: 1000 };
-  const waiting = queue.SendQueue.create(
+  const bounds = {
+    maxBytes: 5 * size,
+    maxMessageBytes: 100,
+    maxBatchBytes: 100,
+    maxAgeMs: 1000,
+  };
+  const waiting = sendQueue.SendQueue.create(
     bounds,
     (reason) => drops.push(reason),
   );
@@ -217,13 +224,13 @@
   waiting.push({ channel: "control", body: { pos: 5 } }, 500);
   t.is(waiting.bytes, 5 * size);
   t.deepEqual(drops, ["too-large", "queue-full"]);
-  const { messages: parcels } = waiting.take(1150);
-  const bodies = parcels.map((text) => JSON.parse(text).body);
+  const { messages } = waiting.take(1150);
+  const bodies = messages.map((text) => JSON.parse(text).body);
   t.deepEqual(bodies, [{ pos: 2 }, { pos: 3 }]);
   t.is(drops.at(-1), "stale");
 });
 
-test("a frame is read back as it was written", (t) => {
+test("a frame decodes to what was encoded", (t) => {
   const batch = [
     { channel: "control", body: { text: 'quote " and \u2028' } },
     { channel: "log", body: {} },
@@ -233,7 +240,7 @@
   t.deepEqual(frames.decode(frames.encode(8, [])), { id: 8, batch: [] });
 });
 
-test("bytes that are no frame end their connection, not the host", async (t) => {
+test("an invalid frame terminates its connection but not the host", async (t) => {
   const open = await createNode("b", [hostAt("a", 0)], { key: undefined });
   for (const text of ["", "{", "[]", '{"id":-1,"batch":[]}', '{"id":1}']) {
     const url = `ws://127.0.0.1:${open.peers.port}`;
@@ -243,6 +250,6 @@
     socket.on("open", () => socket.send(text));
     await new Promise((resolve) => socket.on("close", resolve));
   }
-  t.is(open.got.length, 0);
+  t.is(open.received.length, 0);
   await open.peers.stop();
 });
--- a/src/peers/rpc.ts
+++ b/src/peers/rpc.ts
@@ -1,99 +1,108 @@
-/** Questions between hosts and their answers, over a transport that promises
- * nothing. The host that was asked says from time to time that it is still at
- * work, so that one that is gone is noticed long before an answer is due.
+/** Remote procedure calls between hosts over an unreliable transport. The host
+ * that processes a request sends keep-alives until it replies, so that a failed
+ * host is detected long before the timeout of the request.
  * @module */
 
 import type * as runtime from "../runtime/mod.ts";
 import type * as schema from "../schema/fleet_types.ts";
 import * as errors from "./errors.ts";
 
-/** Milliseconds between signs that questions are being worked on. */
-const SIGN = 200;
-/** Milliseconds without a sign after which a question counts as lost: two
- * signs may be lost or late, one more ends it. */
-const SILENCE = 700;
+/** Interval between keep-alives for requests in progress. */
+const KEEP_ALIVE_INTERVAL_MS = 200;
+/** Time without a keep-alive after which a request fails. Tolerates two
+ * keep-alives that are lost or late, but not a third. */
+const KEEP_ALIVE_TIMEOUT_MS = 700;
 
-/** Answers one kind of question. */
+/** Handles requests of one type. */
 export type Handler<Q = schema.Question> = (
   question: Q,
   from: string,
 ) => Promise<schema.Reply>;
 
-/** Answers questions by their types; those not listed are not served. */
+/** Handlers by request type; other requests get the reply "not-served". */
 export type Handlers = {
   [T in schema.Question["type"]]?: Handler<
     Extract<schema.Question, { type: T }>
   >;
 };
 
-/** What calls need of their host. */
+/** Options of remote procedure calls. */
 export interface RpcOptions {
   self: string;
   clock: runtime.Clock;
   transport: runtime.Transport;
   handlers: Handlers;
+  /** Handles a one-way message. */
   onNotice?(notice: schema.Notice, from: string): void;
-  /** A handler failed, which is a fault of this program. */
+  /** Reports an error thrown by a handler, which is a bug in this program. */
   onHandlerError(error: unknown, question: schema.Question): void;
 }
 
 interface Pending {
   readonly to: string;
-  heard: number;
-  readonly until: number;
+  lastKeepAliveAt: number;
+  readonly deadline: number;
   resolve(reply: schema.Reply): void;
   reject(error: errors.PeerError): void;
 }
 
-/** Questions of one host and its answers to those of others. */
+/** Client and server side of the remote procedure calls of one host. */
 export class Rpc {
   readonly #options: RpcOptions;
   readonly #pending = new Map<number, Pending>();
-  /** Numbers of the questions being worked on, by the host that asked. */
-  readonly #working = new Map<string, Set<number>>();
-  #last = 0;
-  #ticking = false;
+  /** Ids of the requests in progress, by the host that sent them. */
+  readonly #inProgress = new Map<string, Set<number>>();
+  #lastId = 0;
+  #isTickScheduled = false;
 
   private constructor(options: RpcOptions) {
     this.#options = options;
   }
 
+  /** Creates the client and server of one host. */
   static create(options: RpcOptions): Rpc {
     return new Rpc(options);
   }
 
-  /** Asks a host. Rejects with `PeerError` when no answer comes within
-   * `timeout` milliseconds or the host falls silent; it may have acted. */
+  /** Sends a request to a host. Rejects with `PeerError` if no reply arrives
+   * within `timeout` milliseconds or keep-alives stop; the host may have
+   * processed the request all the same. */
   ask(
     to: string,
     body: schema.Question,
     { timeout }: { timeout: number },
   ): Promise<schema.Reply> {
-    const id = ++this.#last;
+    const id = ++this.#lastId;
     const now = this.#options.clock.now();
     return new Promise((resolve, reject) => {
-      const until = now + timeout;
-      this.#pending.set(id, { to, heard: now, until, resolve, reject });
+      const deadline = now + timeout;
+      this.#pending.set(id, {
+        to,
+        lastKeepAliveAt: now,
+        deadline,
+        resolve,
+        reject,
+      });
       this.#send(to, { type: "ask", id, body });
-      this.#tickSoon();
+      this.#scheduleTick();
     });
   }
 
-  /** Tells a host something that needs no answer. */
+  /** Sends a one-way message to a host. */
   cast(to: string, body: schema.Notice): void {
     this.#send(to, { type: "cast", body });
   }
 
-  /** Takes a checked message of another host. */
+  /** Processes a validated message from another host. */
   receive(from: string, message: schema.FleetMessage): void {
     const receivers: {
       [T in schema.FleetMessage["type"]]: (
         message: Extract<schema.FleetMessage, { type: T }>,
       ) => void;
     } = {
-      ask: ({ id, body }) => void this.#answer(from, { id, body }),
-      answer: ({ id, body }) => this.#settle(id, body),
-      working: ({ ids }) => this.#noteWorking(ids),
+      ask: ({ id, body }) => void this.#serve(from, { id, body }),
+      answer: ({ id, body }) => this.#resolve(id, body),
+      working: ({ ids }) => this.#recordKeepAlives(ids),
       cast: ({ body }) => this.#options.onNotice?.(body, from),
     };
     (receivers[message.type] as (message: schema.FleetMessage) => void)(
@@ -101,24 +110,26 @@
     );
   }
 
-  /** Gives everything up. */
+  /** Fails all pending requests. */
   stop(): void {
-    for (const id of [...this.#pending.keys()]) this.#fail(id, "Stopped");
+    for (const id of [...this.#pending.keys()]) {
+      this.#fail(id, "Stopped before a reply arrived");
+    }
   }
 
-  async #answer(
+  async #serve(
     from: string,
     { id, body }: Pick<schema.Ask, "id" | "body">,
   ): Promise<void> {
-    const working = this.#workingFor(from);
-    working.add(id);
-    this.#tickSoon();
-    const reply = await this.#reply(body, from);
-    working.delete(id);
+    const inProgress = this.#inProgressFor(from);
+    inProgress.add(id);
+    this.#scheduleTick();
+    const reply = await this.#handle(body, from);
+    inProgress.delete(id);
     this.#send(from, { type: "answer", id, body: reply });
   }
 
-  async #reply(body: schema.Question, from: string): Promise<schema.Reply> {
+  async #handle(body: schema.Question, from: string): Promise<schema.Reply> {
     const handler = this.#options.handlers[body.type] as Handler | undefined;
     if (handler === undefined) return { type: "failed", reason: "not-served" };
     try {
@@ -129,48 +140,52 @@
     }
   }
 
-  #settle(id: number, reply: schema.Reply): void {
+  #resolve(id: number, reply: schema.Reply): void {
     const pending = this.#pending.get(id);
     this.#pending.delete(id);
     pending?.resolve(reply);
   }
 
-  #noteWorking(ids: readonly number[]): void {
+  #recordKeepAlives(ids: readonly number[]): void {
     const now = this.#options.clock.now();
     for (const id of ids) {
       const pending = this.#pending.get(id);
-      if (pending !== undefined) pending.heard = now;
+      if (pending !== undefined) pending.lastKeepAliveAt = now;
     }
   }
 
-  #workingFor(host: string): Set<number> {
-    const known = this.#working.get(host);
+  #inProgressFor(host: string): Set<number> {
+    const known = this.#inProgress.get(host);
     if (known !== undefined) return known;
-    const made = new Set<number>();
-    this.#working.set(host, made);
-    return made;
+    const created = new Set<number>();
+    this.#inProgress.set(host, created);
+    return created;
   }
 
-  #tickSoon(): void {
-    if (this.#ticking) return;
-    this.#ticking = true;
-    this.#options.clock.after(SIGN, () => {
-      this.#ticking = false;
+  #scheduleTick(): void {
+    if (this.#isTickScheduled) return;
+    this.#isTickScheduled = true;
+    this.#options.clock.after(KEEP_ALIVE_INTERVAL_MS, () => {
+      this.#isTickScheduled = false;
       this.#tick();
     });
   }
 
   #tick(): void {
     const now = this.#options.clock.now();
-    for (const [host, ids] of this.#working) {
-      if (ids.size === 0) this.#working.delete(host);
+    for (const [host, ids] of this.#inProgress) {
+      if (ids.size === 0) this.#inProgress.delete(host);
       else this.#send(host, { type: "working", ids: [...ids] });
     }
-    for (const [id, { to, heard, until }] of this.#pending) {
-      if (now >= until) this.#fail(id, `Host ${to} did not answer in time`);
-      else if (now - heard > SILENCE) this.#fail(id, `Host ${to} is silent`);
+    for (
+      const [id, { to, lastKeepAliveAt, deadline }] of this.#pending
+    ) {
+      if (now >= deadline) this.#fail(id, `Host ${to} did not reply in time`);
+      else if (now - lastKeepAliveAt > KEEP_ALIVE_TIMEOUT_MS) {
+        this.#fail(id, `Host ${to} stopped sending keep-alives`);
+      }
     }
-    if (this.#pending.size + this.#working.size > 0) this.#tickSoon();
+    if (this.#pending.size + this.#inProgress.size > 0) this.#scheduleTick();
   }
 
   #fail(id: number, message: string): void {
--- a/src/peers/send_queue.ts
+++ b/src/peers/send_queue.ts
@@ -1,40 +1,40 @@
-/** Messages that wait for a connection: bounded in bytes and in age, the
- * oldest going first.
+/** Queue of messages that wait for a connection, limited in size and age; the
+ * oldest messages are dropped first.
  * @module */
 
 import type * as schema from "../schema/peers_types.ts";
 import * as frames from "./frame.ts";
 
-/** Why a message was dropped. */
+/** Why a message is dropped. */
 export type DropReason = "too-large" | "queue-full" | "stale";
 
-/** Bounds of a queue. */
+/** Limits of a queue. */
 export interface Bounds {
-  /** Bytes of all messages that wait. */
-  bytes: number;
-  /** Bytes of one message. */
-  message: number;
-  /** Bytes of a batch, unless one message alone is larger. */
-  batch: number;
-  /** Milliseconds after which a message is of no use any more. */
-  age: number;
+  /** Maximum size of all queued messages, in bytes. */
+  maxBytes: number;
+  /** Maximum size of one message, in bytes. */
+  maxMessageBytes: number;
+  /** Maximum size of a batch in bytes, unless a single message is larger. */
+  maxBatchBytes: number;
+  /** Maximum age of a message, in milliseconds. */
+  maxAgeMs: number;
 }
 
 interface Item {
-  /** Its text in a frame. */
-  parcel: string;
+  /** The encoded message. */
+  message: string;
   bytes: number;
-  at: number;
+  queuedAt: number;
 }
 
-/** Messages to send at once. */
+/** Messages to be sent in one frame. */
 export interface Batch {
-  /** Texts in a frame. */
+  /** The encoded messages. */
   messages: string[];
   bytes: number;
 }
 
-/** Messages that wait, in order; changed in place. */
+/** Queued messages in order; mutable. */
 export class SendQueue {
   readonly #bounds: Bounds;
   readonly #drop: (reason: DropReason) => void;
@@ -46,51 +46,51 @@
     this.#drop = drop;
   }
 
-  /** An empty queue that calls `drop` for each message it gives up. */
+  /** Creates an empty queue that calls `drop` for each dropped message. */
   static create(bounds: Bounds, drop: (reason: DropReason) => void): SendQueue {
     return new SendQueue(bounds, drop);
   }
 
-  /** Number of messages that wait. */
+  /** Number of queued messages. */
   get length(): number {
     return this.#items.length;
   }
 
-  /** Bytes of the messages that wait. */
+  /** Size of the queued messages, in bytes. */
   get bytes(): number {
     return this.#bytes;
   }
 
-  /** Adds a message and drops the oldest past the bound. */
-  push(parcel: schema.Parcel, at: number): void {
-    const text = frames.encodeMessage(parcel);
+  /** Adds a message, and drops the oldest ones if the queue exceeds its limit. */
+  push(message: schema.Parcel, now: number): void {
+    const text = frames.encodeMessage(message);
     const bytes = Buffer.byteLength(text);
-    if (bytes > this.#bounds.message) return this.#drop("too-large");
-    this.#items.push({ parcel: text, bytes, at });
+    if (bytes > this.#bounds.maxMessageBytes) return this.#drop("too-large");
+    this.#items.push({ message: text, bytes, queuedAt: now });
     this.#bytes += bytes;
-    while (this.#bytes > this.#bounds.bytes) {
+    while (this.#bytes > this.#bounds.maxBytes) {
       this.#shift();
       this.#drop("queue-full");
     }
   }
 
-  /** Takes out the next messages, leaving out those that are too old. */
+  /** Removes and returns the next batch; drops messages that are too old. */
   take(now: number): Batch {
-    const load: Batch = { messages: [], bytes: 0 };
+    const batch: Batch = { messages: [], bytes: 0 };
     while (this.#items.length > 0) {
-      const { parcel, bytes, at } = this.#items[0];
-      const stale = now - at > this.#bounds.age;
-      const full = load.bytes + bytes > this.#bounds.batch;
-      if (!stale && full && load.messages.length > 0) break;
+      const { message, bytes, queuedAt } = this.#items[0];
+      const isStale = now - queuedAt > this.#bounds.maxAgeMs;
+      const isFull = batch.bytes + bytes > this.#bounds.maxBatchBytes;
+      if (!isStale && isFull && batch.messages.length > 0) break;
       this.#shift();
-      if (stale) {
+      if (isStale) {
         this.#drop("stale");
         continue;
       }
-      load.messages.push(parcel);
-      load.bytes += bytes;
+      batch.messages.push(message);
+      batch.bytes += bytes;
     }
-    return load;
+    return batch;
   }
 
   #shift(): void {
--- a/src/peers/tcp_proxy.ts
+++ b/src/peers/tcp_proxy.ts
@@ -1,42 +1,43 @@
-/** A TCP relay for tests and benchmarks: counts bytes, and can leave its
- * connections silent without closing them.
+/** A TCP proxy for tests and benchmarks, which counts bytes and can drop all
+ * traffic without closing its connections.
  * @module */
 
 import * as net from "node:net";
 
-/** Relays connections to one port of this machine. */
+/** Forwards connections to a port on this machine. */
 export class TcpProxy {
   readonly #server: net.Server;
   readonly #sockets = new Set<net.Socket>();
-  /** Bytes relayed in both directions. */
+  /** Bytes forwarded in both directions. */
   bytes = 0;
-  /** Connections taken so far. */
+  /** Connections accepted so far. */
   connections = 0;
 
   private constructor(target: () => number) {
-    this.#server = net.createServer((near) => {
+    this.#server = net.createServer((client) => {
       this.connections++;
-      const far = net.connect(target(), "127.0.0.1");
-      this.#join(near, far);
-      this.#join(far, near);
+      const upstream = net.connect(target(), "127.0.0.1");
+      this.#pipe(client, upstream);
+      this.#pipe(upstream, client);
     });
   }
 
-  /** A relay to the port that `target` says when a connection comes. */
+  /** Starts a proxy; `target` returns the port to connect to for each new
+   * connection. */
   static async create(target: () => number): Promise<TcpProxy> {
-    const relay = new TcpProxy(target);
+    const proxy = new TcpProxy(target);
     await new Promise<void>((resolve) =>
-      relay.#server.listen(0, "127.0.0.1", resolve)
+      proxy.#server.listen(0, "127.0.0.1", resolve)
     );
-    return relay;
+    return proxy;
   }
 
-  /** Port that it listens on. */
+  /** Port that the proxy listens on. */
   get port(): number {
     return (this.#server.address() as net.AddressInfo).port;
   }
 
-  /** Leaves all present connections open, but carries nothing any more. */
+  /** Keeps the current connections open but discards their traffic. */
   blackhole(): void {
     for (const socket of this.#sockets) {
       socket.removeAllListeners("data");
@@ -51,7 +52,7 @@
     return new Promise((resolve) => this.#server.close(() => resolve()));
   }
 
-  #join(from: net.Socket, to: net.Socket): void {
+  #pipe(from: net.Socket, to: net.Socket): void {
     this.#sockets.add(from);
     from.on("data", (chunk) => {
       this.bytes += chunk.length;
--- a/src/peers/unresponsive_hosts.ts
+++ b/src/peers/unresponsive_hosts.ts
@@ -1,35 +1,37 @@
-/** Hosts that did not answer lately, and are asked last for a while.
+/** Hosts that did not answer recently and are given lower priority for a time.
  * @module */
 
 import type * as runtime from "../runtime/mod.ts";
 
-/** Milliseconds for which a host that did not answer is left out: about until
- * it is known whether it is there. */
-const LEFT_OUT = 2000;
+/** How long a host counts as unresponsive; about the time that membership needs
+ * to find out whether it has failed. */
+const UNRESPONSIVE_MS = 2000;
 
-/** Hosts that are left out; changed in place. */
+/** The hosts that are unresponsive at present; mutable. */
 export class UnresponsiveHosts {
   readonly #clock: runtime.Clock;
-  readonly #until = new Map<string, number>();
+  readonly #unresponsiveUntil = new Map<string, number>();
 
   private constructor(clock: runtime.Clock) {
     this.#clock = clock;
   }
 
+  /** Creates an empty set. */
   static create(clock: runtime.Clock): UnresponsiveHosts {
     return new UnresponsiveHosts(clock);
   }
 
-  /** Notes that a host did not answer. */
+  /** Records that a host did not answer. */
   add(host: string): void {
-    this.#until.set(host, this.#clock.now() + LEFT_OUT);
+    this.#unresponsiveUntil.set(host, this.#clock.now() + UNRESPONSIVE_MS);
   }
 
+  /** Whether a host counts as unresponsive. */
   has(host: string): boolean {
-    return (this.#until.get(host) ?? 0) > this.#clock.now();
+    return (this.#unresponsiveUntil.get(host) ?? 0) > this.#clock.now();
   }
 
-  /** Hosts in their order, those that are left out last. */
+  /** Returns hosts in the given order, but unresponsive ones last. */
   deprioritize(hosts: readonly string[]): string[] {
     return [
       ...hosts.filter((host) => !this.has(host)),
