--- a/src/runtime/clock.ts
+++ b/src/runtime/clock.ts
@@ -1,20 +1,22 @@
-/** Time as the core sees it: read by shells, passed to the core as `now`.
+/** Interface of the clock. State machines do not read it; their callers pass the
+ * time as `now`.
  * @module */
 
-/** Cancels a timer that has not fired yet; does nothing afterwards. */
+/** Cancels a timer; has no effect once the timer has fired. */
 export type Cancel = () => void;
 
 /** Source of time and of timers. */
 export interface Clock {
-  /** Milliseconds on a clock that never goes back. */
+  /** Returns the milliseconds of a monotonic clock. */
   now(): number;
-  /** Milliseconds since the Unix epoch, for people and for documents. */
+  /** Returns the milliseconds since the Unix epoch, for display and stored
+   * documents. */
   wall(): number;
-  /** Runs `callback` once, `delay` milliseconds from now. */
+  /** Runs `callback` once after `delay` milliseconds. */
   after(delay: number, callback: () => void): Cancel;
 }
 
-/** The clock of the machine. */
+/** The clock of the operating system. */
 export const systemClock: Clock = {
   now: () => performance.now(),
   wall: () => Date.now(),
--- a/src/runtime/decaying_mean.ts
+++ b/src/runtime/decaying_mean.ts
@@ -1,60 +1,66 @@
-/** A running mean that loses its weight while nothing renews it.
+/** An exponentially weighted mean that decays towards a prior while there are
+ * no new samples.
  *
- * What is decided by a mean may forbid what would renew it: a value that never
- * fades would then be believed for good.
+ * A decision based on a mean can prevent further samples, for example when it
+ * stops traffic to a slow endpoint. Without the decay the last value would then
+ * apply for ever.
  * @module */
 
-/** How fast a mean follows new values, and how long it is believed. */
+/** Options of a mean. */
 export interface DecayingMeanOptions {
-  /** Part of a new value in the mean. */
+  /** Weight of a new sample in the mean. */
   readonly gain: number;
-  /** Milliseconds after a value during which the mean keeps its full weight. */
+  /** Time after a sample during which the mean keeps its full weight. */
   readonly freshMs: number;
-  /** Milliseconds over which it then loses half of its weight. */
+  /** Half-life of the weight after that time. */
   readonly halfLifeMs: number;
 }
 
-/** When a mean is looked at, and what is believed without values. */
+/** Time of an access, and the value assumed without samples. */
 export interface Prior {
   readonly now: number;
   readonly prior: number;
 }
 
-/** A mean of values; changed in place. */
+/** A decaying mean; mutable. */
 export class DecayingMean {
   readonly #options: DecayingMeanOptions;
   #mean = 0;
-  #notedAt?: number;
+  #lastSampleAt?: number;
 
   private constructor(options: DecayingMeanOptions) {
     this.#options = options;
   }
 
+  /** Creates a mean without samples. */
   static create(options: DecayingMeanOptions): DecayingMean {
     return new DecayingMean(options);
   }
 
-  /** Milliseconds since the last value; undefined before the first. */
+  /** Returns the milliseconds since the last sample; undefined before the
+   * first. */
   age(now: number): number | undefined {
-    return this.#notedAt === undefined ? undefined : now - this.#notedAt;
+    return this.#lastSampleAt === undefined
+      ? undefined
+      : now - this.#lastSampleAt;
   }
 
-  /** The mean, as far as it still counts, and else the prior. */
+  /** Returns the prior and the mean, weighted by the age of the mean. */
   value({ now, prior }: Prior): number {
     return prior + this.#weight(now) * (this.#mean - prior);
   }
 
-  /** Takes a new value in. */
-  add(value: number, { now, prior }: Prior): void {
-    const known = this.value({ now, prior });
-    this.#mean = known + this.#options.gain * (value - known);
-    this.#notedAt = now;
+  /** Adds a sample. */
+  add(sample: number, { now, prior }: Prior): void {
+    const mean = this.value({ now, prior });
+    this.#mean = mean + this.#options.gain * (sample - mean);
+    this.#lastSampleAt = now;
   }
 
   #weight(now: number): number {
     const age = this.age(now);
     if (age === undefined) return 0;
-    const { freshMs: fresh, halfLifeMs: halfLife } = this.#options;
-    return age <= fresh ? 1 : 0.5 ** ((age - fresh) / halfLife);
+    const { freshMs, halfLifeMs } = this.#options;
+    return age <= freshMs ? 1 : 0.5 ** ((age - freshMs) / halfLifeMs);
   }
 }
--- a/src/runtime/decaying_mean_test.ts
+++ b/src/runtime/decaying_mean_test.ts
@@ -1,12 +1,12 @@
 /** @module */
 
 import test from "ava";
-import * as fadingMeans from "./decaying_mean.ts";
+import * as decayingMean from "./decaying_mean.ts";
 
 const OPTIONS = { gain: 0.5, freshMs: 1000, halfLifeMs: 2000 };
 
-test("a mean follows its values from the prior on", (t) => {
-  const mean = fadingMeans.DecayingMean.create(OPTIONS);
+test("a mean starts at the prior and follows its samples", (t) => {
+  const mean = decayingMean.DecayingMean.create(OPTIONS);
   t.is(mean.value({ now: 0, prior: 4 }), 4);
   mean.add(8, { now: 0, prior: 4 });
   t.is(mean.value({ now: 500, prior: 4 }), 6);
@@ -14,8 +14,8 @@
   t.is(mean.value({ now: 1500, prior: 4 }), 7);
 });
 
-test("a mean that nothing renews gives way to the prior", (t) => {
-  const mean = fadingMeans.DecayingMean.create(OPTIONS);
+test("a mean without new samples decays to the prior", (t) => {
+  const mean = decayingMean.DecayingMean.create(OPTIONS);
   t.is(mean.age(100), undefined);
   mean.add(100, { now: 0, prior: 100 });
   t.is(mean.value({ now: 1000, prior: 0 }), 100);
--- a/src/runtime/fake_clock.ts
+++ b/src/runtime/fake_clock.ts
@@ -1,4 +1,4 @@
-/** A clock that a test or a bench moves by hand.
+/** A clock that a test or a benchmark advances.
  * @module */
 
 import type * as clock from "./clock.ts";
@@ -9,7 +9,7 @@
   callback: () => void;
 }
 
-/** Virtual time: timers fire in order of due time, then of creation. */
+/** A virtual clock; timers fire in order of due time, then of creation. */
 export class FakeClock implements clock.Clock {
   #now = 0;
   #order = 0;
@@ -33,7 +33,7 @@
     };
   }
 
-  /** Moves time on by `ms` and fires what falls due on the way. */
+  /** Advances time by `ms` and fires the timers that become due. */
   advance(ms: number): void {
     const end = this.#now + ms;
     while (this.#timers.length > 0 && this.#timers[0].due <= end) {
@@ -42,7 +42,8 @@
     this.#now = end;
   }
 
-  /** Fires the next timer; returns false when there is none. */
+  /** Advances time to the next timer and fires it; returns false if there is
+   * none. */
   step(): boolean {
     const timer = this.#timers.shift();
     if (timer === undefined) return false;
--- a/src/runtime/memo.ts
+++ b/src/runtime/memo.ts
@@ -1,22 +1,26 @@
-/** Values that are computed once while what they are derived from is the same.
+/** Memoization that is invalidated when the dependencies change.
  * @module */
 
-/** Values by key; changed in place. */
+/** Cached values by key; mutable. */
 export class Memo<T> {
-  #basis: readonly unknown[] = [];
+  #dependencies: readonly unknown[] = [];
   readonly #values = new Map<string, T>();
 
+  /** Creates an empty cache. */
   static create<T>(): Memo<T> {
     return new Memo();
   }
 
-  /** The value of a key. `basis` is what it is derived from beside the key: all
-   * values are forgotten when one of its parts is another one. */
-  get(key: string, basis: readonly unknown[], compute: () => T): T {
-    const isSame = basis.length === this.#basis.length &&
-      basis.every((part, pos) => part === this.#basis[pos]);
+  /** Returns the value of a key. `dependencies` are what the values are derived
+   * from, beside the key: all values are discarded when one of them is not
+   * identical to the previous one. */
+  get(key: string, dependencies: readonly unknown[], compute: () => T): T {
+    const isSame = dependencies.length === this.#dependencies.length &&
+      dependencies.every((dependency, pos) =>
+        dependency === this.#dependencies[pos]
+      );
     if (!isSame) {
-      this.#basis = basis;
+      this.#dependencies = dependencies;
       this.#values.clear();
     }
     if (!this.#values.has(key)) this.#values.set(key, compute());
--- a/src/runtime/mod.ts
+++ b/src/runtime/mod.ts
@@ -1,11 +1,11 @@
-/** The four interfaces through which the core meets the world: clock,
- * random numbers, transport and storage.
+/** The interfaces between the system's logic and its environment: clock, random
+ * numbers, transport and storage. Tests and simulations substitute them.
  * @module */
 
 export * from "./clock.ts";
 export * from "./storage.ts";
 export * from "./transport.ts";
-export { Timer as Timer } from "./timer.ts";
+export { Timer } from "./timer.ts";
 export { FakeClock } from "./fake_clock.ts";
 export {
   create as createRandom,
--- a/src/runtime/random.ts
+++ b/src/runtime/random.ts
@@ -1,4 +1,4 @@
-/** Random numbers as the core sees them: seeded, so that a run repeats.
+/** Seeded random numbers, which make runs reproducible.
  * @module */
 
 import * as uniform from "pure-rand/distribution/uniformFloat64";
@@ -6,22 +6,24 @@
 
 /** Source of random numbers. */
 export interface Random {
-  /** A number from 0 up to, but not including, 1. */
+  /** Returns a number from 0 up to, but not including, 1. */
   next(): number;
-  /** A whole number from 0 up to, but not including, `bound`. */
+  /** Returns an integer from 0 up to, but not including, `bound`. */
   below(bound: number): number;
 }
 
-/** Odd, so that no two seeds become one: about the golden part of 2 ** 32. */
-const SPREAD = 0x9e3779b1;
+/** About 2 ** 32 divided by the golden ratio; odd, so that different seeds stay
+ * different. */
+const SEED_MULTIPLIER = 0x9e3779b1;
 
-/** As `create`, with seeds spread first: those of small seeds begin much alike,
- * so that a run over seeds 1, 2, 3 draws the same first choice each time. */
+/** Like `create`, but mixes the bits of the seed first. Sequences of small seeds
+ * start with similar numbers, so runs with seeds 1, 2, 3 would otherwise make
+ * the same first choice. */
 export function createMixed(seed: number): Random {
-  return create(Math.imul(seed, SPREAD));
+  return create(Math.imul(seed, SEED_MULTIPLIER));
 }
 
-/** Random numbers that depend on `seed` alone. */
+/** Creates a source of random numbers that depends on `seed` only. */
 export function create(seed: number): Random {
   const generator = xoroshiro.xoroshiro128plus(seed);
   const next = () => uniform.uniformFloat64(generator);
--- a/src/runtime/storage.ts
+++ b/src/runtime/storage.ts
@@ -1,18 +1,18 @@
-/** Durable files as the core sees them: nothing counts before it is synced.
+/** Interface of durable storage: a write is complete only once it is synced.
  * @module */
 
-/** Files under one data folder. */
+/** Files in a data directory. */
 export interface Storage {
-  /** Whole content, or undefined when there is no such file. */
+  /** Returns the content of a file; undefined if it does not exist. */
   read(name: string): Promise<Uint8Array | undefined>;
-  /** Appends; resolves once the bytes are synced. */
+  /** Appends to a file; resolves once the bytes are synced. */
   append(name: string, bytes: Uint8Array): Promise<void>;
-  /** Replaces the whole file at once; resolves once it is synced. */
+  /** Replaces a file atomically; resolves once it is synced. */
   replace(name: string, bytes: Uint8Array): Promise<void>;
-  /** Cuts the file to `length` bytes; resolves once it is synced. */
+  /** Truncates a file to `length` bytes; resolves once it is synced. */
   truncate(name: string, length: number): Promise<void>;
-  /** Removes the file if it is there; resolves once that is synced. */
+  /** Removes a file if it exists; resolves once the removal is synced. */
   remove(name: string): Promise<void>;
-  /** Names of all files. */
+  /** Returns the names of all files. */
   list(): Promise<readonly string[]>;
 }
--- a/src/runtime/timer.ts
+++ b/src/runtime/timer.ts
@@ -1,26 +1,28 @@
-/** One timer that a core moves about by its `wake` effects.
+/** A timer that can be rescheduled, driven by the `wake` effects of a state
+ * machine.
  * @module */
 
 import type * as clock from "./clock.ts";
 
-/** Rings once at the time it was last set to. */
+/** Fires once, at the time it was last set to. */
 export class Timer {
   readonly #clock: clock.Clock;
-  readonly #ring: () => void;
+  readonly #callback: () => void;
   #cancel: clock.Cancel | undefined;
   #at = Infinity;
 
-  private constructor(source: clock.Clock, ring: () => void) {
+  private constructor(source: clock.Clock, callback: () => void) {
     this.#clock = source;
-    this.#ring = ring;
+    this.#callback = callback;
   }
 
-  /** An alarm that is not set yet. */
-  static create(source: clock.Clock, ring: () => void): Timer {
-    return new Timer(source, ring);
+  /** Creates a timer that is not set yet. */
+  static create(source: clock.Clock, callback: () => void): Timer {
+    return new Timer(source, callback);
   }
 
-  /** Sets it to `at`, milliseconds of the clock, in place of any other. */
+  /** Sets the timer to `at`, milliseconds of the clock; replaces the previous
+   * time. */
   set(at: number): void {
     if (at === this.#at) return;
     this.cancel();
@@ -28,11 +30,11 @@
     const delay = Math.ceil(Math.max(0, at - this.#clock.now()));
     this.#cancel = this.#clock.after(delay, () => {
       this.#at = Infinity;
-      this.#ring();
+      this.#callback();
     });
   }
 
-  /** Keeps it from ringing. */
+  /** Cancels the timer. */
   cancel(): void {
     this.#cancel?.();
     this.#cancel = undefined;
--- a/src/runtime/transport.ts
+++ b/src/runtime/transport.ts
@@ -1,7 +1,8 @@
-/** Messages between the system's hosts, as the core sees them.
+/** Interface of the message transport between hosts.
  * @module */
 
-/** Parts of a host that exchange messages with their kind on other hosts. */
+/** Protocols between hosts; each exchanges its messages on a channel of its
+ * own. */
 export type Channel =
   | "log"
   | "watch"
@@ -11,7 +12,7 @@
   | "control"
   | "fleet";
 
-/** One message on its way; may be lost, delayed, doubled or overtaken. */
+/** A message in transit, which may be lost, delayed, duplicated or reordered. */
 export interface Envelope {
   from: string;
   to: string;
@@ -19,7 +20,8 @@
   body: unknown;
 }
 
-/** Sends envelopes without waiting and without a promise of delivery. */
+/** Sends messages asynchronously, without guaranteeing delivery. */
 export interface Transport {
+  /** Sends a message. */
   send(envelope: Envelope): void;
 }
