--- a/bench/log_fleet.ts
+++ b/bench/log_fleet.ts
@@ -20,7 +20,11 @@
 
 /** Voters of a fleet. */
 export const HOSTS = ["gisenyi-hall-1", "nyamyumba-hall-1", "town-hall-1"];
-const TIMING = { electionLeast: ELECTION, electionMost: ELECTION, lease: 0.8 };
+const TIMING = {
+  minElectionTimeout: ELECTION,
+  maxElectionTimeout: ELECTION,
+  lease: 0.8,
+};
 const IDLE = 10_000;
 const COMMITS = 100;
 
@@ -33,7 +37,7 @@
 const WALL = 1.8e12;
 
 /** Counts its commands. */
-export const machine: log.Machine<Count, number> = {
+export const machine: log.StateMachine<Count, number> = {
   empty: { count: 0 },
   apply: ({ count }, _command, index) => ({
     state: { count: count + 1 },
--- a/bench/log_fuzz/checker.ts
+++ b/bench/log_fuzz/checker.ts
@@ -77,7 +77,7 @@
 
   /** State machine whose every step is compared with the other replicas';
    * `term` is that of its replica. */
-  machine(term: () => number): log.Machine<Digest, number> {
+  machine(term: () => number): log.StateMachine<Digest, number> {
     return {
       empty: { count: 0, hash: 0 },
       apply: (state, command, index) => {
@@ -142,7 +142,7 @@
       throw new Violation(`${names} hold the lease at once`);
     }
     for (const runner of holders) {
-      const { commit, opened } = runner.replica.state;
+      const { commit, termStart: opened } = runner.replica.state;
       if (commit < opened || runner.index >= this.#lastAcknowledged) continue;
       throw new Violation(`${runner.id} reads without what was acknowledged`);
     }
--- a/bench/log_fuzz/host.ts
+++ b/bench/log_fuzz/host.ts
@@ -82,7 +82,7 @@
   }
 
   /** Kills the process; what was not synced is lost or torn. */
-  crash(tear?: storage.Tear): void {
+  crash(tear?: storage.TornWrite): void {
     if (this.#running % 2 === 0) return;
     this.#running++;
     this.#see();
--- a/bench/log_fuzz/schedule.ts
+++ b/bench/log_fuzz/schedule.ts
@@ -207,7 +207,7 @@
 }
 
 function drainLeader(world: worlds.World): void {
-  leaderOf(world).act((runner) => runner.drain());
+  leaderOf(world).act((runner) => runner.transferLeadership());
 }
 
 function crash(world: worlds.World, host: hosts.Host): void {
@@ -229,7 +229,7 @@
   world.clock.after(world.random.next() * 2500, () => host.resume());
 }
 
-function pickTear({ random }: worlds.World): storage.Tear {
+function pickTear({ random }: worlds.World): storage.TornWrite {
   const bytes = random.below(200);
   if (random.next() < 0.4) return { type: "nothing" };
   return random.next() < 0.6
--- a/bench/log_fuzz/world.ts
+++ b/bench/log_fuzz/world.ts
@@ -37,12 +37,12 @@
 }
 
 const SIZES: Partial<log.Sizes> = {
-  batch: 4,
-  characters: 200,
-  window: 16,
-  snapshot: 25,
-  trailing: 5,
-  chunk: 100,
+  maxBatchEntries: 4,
+  maxBatchCharacters: 200,
+  maxInFlightEntries: 16,
+  snapshotInterval: 25,
+  trailingEntries: 5,
+  chunkCharacters: 100,
 };
 
 /** Milliseconds between greetings. */
@@ -121,7 +121,7 @@
   read(host: hosts.Host): void {
     if (!host.isAwake || host.runner === undefined) return;
     const least = this.checker.newest;
-    host.runner.confirm().then(
+    host.runner.readIndex().then(
       (index) => this.#guard(() => this.checker.read(least, index)),
       (failure: unknown) =>
         this.#guard(() => {
@@ -186,8 +186,8 @@
   #greet(names: readonly string[]): void {
     for (const host of this.hosts) {
       host.act((runner) => {
-        runner.setContacts(names);
-        if (runner.leaseHeld()) runner.setHosts(names);
+        runner.setKnownHosts(names);
+        if (runner.leaseHeld()) runner.setDesiredVoters(names);
       });
     }
     this.clock.after(GREETING, () => this.#greet(names));
--- a/src/control/host/voter.ts
+++ b/src/control/host/voter.ts
@@ -125,7 +125,7 @@
 
   /** Hands leadership over, before a stop. */
   drain(): void {
-    this.#runner.drain();
+    this.#runner.transferLeadership();
   }
 
   /** Takes no further part. */
@@ -150,7 +150,7 @@
   }
 
   /** The machine, which notes what each command writes for watchers. */
-  #machine(): log.Machine<table.State, table.Reply> {
+  #machine(): log.StateMachine<table.State, table.Reply> {
     const machine = table.createMachine();
     return {
       empty: machine.empty,
--- a/src/control/log/draft.ts
+++ b/src/control/log/draft.ts
@@ -15,12 +15,12 @@
   readonly effects: state.Effect[];
   readonly now: number;
   /** Messages to the replica itself, handled at the end of the step. */
-  readonly own: schema.LogMessage[];
+  readonly selfMessages: schema.LogMessage[];
 }
 
 /** Starts a step. */
 export function create(from: state.State, now: number): Draft {
-  return { state: { ...from }, effects: [], now, own: [] };
+  return { state: { ...from }, effects: [], now, selfMessages: [] };
 }
 
 type Unaddressed<T> = T extends unknown ? Omit<T, "from" | "to"> : never;
@@ -47,7 +47,7 @@
 }
 
 /** Sends once all that was asked to be written so far is durable. */
-export function sendDurable(
+export function sendWhenDurable(
   draft: Draft,
   to: string,
   content: Content,
@@ -56,7 +56,7 @@
   const body = address(draft, replicaId.incarnation(to), content);
   const held = { write: state.written, to, body };
   if (state.written === state.synced) release(draft, held);
-  else state.held = [...state.held, held];
+  else state.deferred = [...state.deferred, held];
 }
 
 /** Asks for a record to be made durable. */
@@ -66,11 +66,11 @@
 }
 
 /** Lets go what waited for writes up to `write`. */
-export function synced(draft: Draft, write: number): void {
+export function handleSynced(draft: Draft, write: number): void {
   const { state } = draft;
   state.synced = Math.max(state.synced, write);
-  const ready = state.held.filter((held) => held.write <= state.synced);
-  state.held = state.held.filter((held) => held.write > state.synced);
+  const ready = state.deferred.filter((held) => held.write <= state.synced);
+  state.deferred = state.deferred.filter((held) => held.write > state.synced);
   ready.forEach((held) => release(draft, held));
 }
 
@@ -91,20 +91,20 @@
 }
 
 /** Puts off the next election by a random time. */
-export function deferElection(draft: Draft): void {
+export function resetElectionTimer(draft: Draft): void {
   const { timing, random } = draft.state;
-  const spread = timing.electionMost - timing.electionLeast;
-  const wait = timing.electionLeast + random.next() * spread;
+  const spread = timing.maxElectionTimeout - timing.minElectionTimeout;
+  const wait = timing.minElectionTimeout + random.next() * spread;
   draft.state.electionAt = draft.now + wait;
 }
 
 /** Puts off the next try of one that stands for election. Nothing safe hangs on
  * it: voters wait for the lease by what they have heard. So it is half as long
  * at least, for a split vote to cost less. */
-export function deferRetry(draft: Draft): void {
+export function resetRetryTimer(draft: Draft): void {
   const { timing, random } = draft.state;
-  const spread = timing.electionMost - timing.electionLeast;
-  const wait = timing.electionLeast / 2 + random.next() * spread;
+  const spread = timing.maxElectionTimeout - timing.minElectionTimeout;
+  const wait = timing.minElectionTimeout / 2 + random.next() * spread;
   draft.state.electionAt = draft.now + wait;
 }
 
@@ -123,25 +123,29 @@
 }
 
 /** Turns follower in `term`; a new term is made durable without a vote. */
-export function follow(draft: Draft, term: number, leader?: string): void {
+export function becomeFollower(
+  draft: Draft,
+  term: number,
+  leader?: string,
+): void {
   const { state } = draft;
-  if (state.role === "leader") deferElection(draft);
+  if (state.role === "leader") resetElectionTimer(draft);
   if (term > state.term) {
     state.term = term;
     state.vote = undefined;
     persist(draft, { type: "vote", term });
   }
   state.votes = [];
-  state.founders = undefined;
+  state.initialVoters = undefined;
   state.progress = {};
-  state.transferEnd = undefined;
-  state.transferTo = undefined;
+  state.transferDeadline = undefined;
+  state.transferTarget = undefined;
   state.joining = {};
   setRole(draft, "follower", leader);
 }
 
-function release(draft: Draft, held: state.Held): void {
-  if (held.to === draft.state.id) draft.own.push(held.body);
+function release(draft: Draft, held: state.DeferredMessage): void {
+  if (held.to === draft.state.id) draft.selfMessages.push(held.body);
   else draft.effects.push({ type: "send", to: held.to, body: held.body });
 }
 
--- a/src/control/log/dump.ts
+++ b/src/control/log/dump.ts
@@ -27,7 +27,7 @@
 export function dump(replica: replicas.Replica, now: number): Dump {
   const { state, members } = replica;
   const { id, role, term, leader, commit, log, snapshot, progress } = state;
-  const left = Math.max(0, lease.until(state) - now);
+  const left = Math.max(0, lease.expiry(state) - now);
   return {
     id,
     role,
--- a/src/control/log/election.ts
+++ b/src/control/log/election.ts
@@ -10,13 +10,13 @@
 import type * as state from "./state.ts";
 
 /** Acts when no leader was heard for an election timeout. */
-export function timeOut(draft: drafts.Draft): void {
-  drafts.deferElection(draft);
+export function handleElectionTimeout(draft: drafts.Draft): void {
+  drafts.resetElectionTimer(draft);
   const { state } = draft;
-  state.arrival = undefined;
+  state.incomingSnapshot = undefined;
   if (drafts.isVoter(state)) startPreVote(draft);
   else if (mayFound(state)) return startElection(draft, foundersOf(state));
-  else drafts.follow(draft, state.term);
+  else drafts.becomeFollower(draft, state.term);
   probe(draft);
 }
 
@@ -40,16 +40,16 @@
   const { state } = draft;
   if (!body.transfer && hearsLeader(draft)) return;
   if (body.pre) return answerPreVote(draft, from, body);
-  if (body.term > state.term) drafts.follow(draft, body.term);
+  if (body.term > state.term) drafts.becomeFollower(draft, body.term);
   const free = state.vote === undefined || state.vote === from;
   const granted = body.term === state.term && free && isUpToDate(state, body);
   if (granted && state.vote === undefined) {
     state.vote = from;
     drafts.persist(draft, { type: "vote", term: state.term, vote: from });
   }
-  if (granted) drafts.deferElection(draft);
+  if (granted) drafts.resetElectionTimer(draft);
   const { term } = state;
-  drafts.sendDurable(draft, from, { type: "vote", term, granted });
+  drafts.sendWhenDurable(draft, from, { type: "vote", term, granted });
 }
 
 /** Counts a vote. */
@@ -60,7 +60,7 @@
 ): void {
   const { state } = draft;
   if (!body.granted && body.term > state.term) {
-    return drafts.follow(draft, body.term);
+    return drafts.becomeFollower(draft, body.term);
   }
   const phase = body.pre ? "pre-candidate" : "candidate";
   const term = body.pre ? state.term + 1 : state.term;
@@ -68,7 +68,7 @@
   if (!state.votes.includes(from)) state.votes = [...state.votes, from];
   if (!hasWon(state)) return;
   if (body.pre) startElection(draft);
-  else replication.lead(draft);
+  else replication.becomeLeader(draft);
 }
 
 /** Answers whether this replica's log is empty; notes who wants to join. */
@@ -77,7 +77,7 @@
   const empty = isEmpty(state);
   drafts.send(draft, from, { type: "probed", empty });
   const host = replicaId.host(from);
-  if (state.role !== "leader" || !state.hosts.includes(host)) return;
+  if (state.role !== "leader" || !state.desiredVoters.includes(host)) return;
   if (members.has(drafts.currentMembers(state), from)) return;
   state.joining = { ...state.joining, [host]: from };
 }
@@ -89,8 +89,8 @@
   body: schema.Probed,
 ): void {
   const { state } = draft;
-  const { [replicaId.host(from)]: _, ...others } = state.found;
-  state.found = body.empty
+  const { [replicaId.host(from)]: _, ...others } = state.emptyReplicas;
+  state.emptyReplicas = body.empty
     ? { ...others, [replicaId.host(from)]: from }
     : others;
   if (body.empty && mayFound(state) && state.role === "follower") {
@@ -101,7 +101,7 @@
 function startPreVote(draft: drafts.Draft): void {
   const { state } = draft;
   drafts.setRole(draft, "pre-candidate");
-  drafts.deferRetry(draft);
+  drafts.resetRetryTimer(draft);
   state.votes = [state.id];
   if (hasWon(state)) return startElection(draft);
   requestVotes(draft, { term: state.term + 1, pre: true });
@@ -114,16 +114,16 @@
 ): void {
   const { state } = draft;
   // Terms go on growing when a fleet starts anew because its folders are lost.
-  state.term = Math.max(state.term + 1, founders ? state.foundingTerm : 0);
+  state.term = Math.max(state.term + 1, founders ? state.minBootstrapTerm : 0);
   state.vote = state.id;
   state.votes = [];
-  state.founders = founders;
-  state.found = {};
+  state.initialVoters = founders;
+  state.emptyReplicas = {};
   drafts.setRole(draft, "candidate");
-  drafts.deferRetry(draft);
+  drafts.resetRetryTimer(draft);
   const { term, id } = state;
   drafts.persist(draft, { type: "vote", term, vote: id });
-  drafts.sendDurable(draft, id, { type: "vote", term, granted: true });
+  drafts.sendWhenDurable(draft, id, { type: "vote", term, granted: true });
   requestVotes(draft, { term, ...(transfer && { transfer }) });
 }
 
@@ -138,10 +138,10 @@
     lastTerm,
     ...ballot,
   };
-  for (const id of state.founders ?? drafts.otherVoters(state)) {
+  for (const id of state.initialVoters ?? drafts.otherVoters(state)) {
     if (id === state.id) continue;
     if (ballot.pre) drafts.send(draft, id, request);
-    else drafts.sendDurable(draft, id, request);
+    else drafts.sendWhenDurable(draft, id, request);
   }
 }
 
@@ -155,8 +155,8 @@
   // Of two that stand at once neither may win where all votes are needed.
   const yields = granted && state.role === "pre-candidate" && from < state.id;
   if (yields) {
-    drafts.follow(draft, state.term);
-    drafts.deferRetry(draft);
+    drafts.becomeFollower(draft, state.term);
+    drafts.resetRetryTimer(draft);
   }
   const term = granted ? body.term : state.term;
   drafts.send(draft, from, { type: "vote", term, granted, pre: true });
@@ -165,8 +165,10 @@
 /** A replica that hears a leader, or is one that is heard, heeds no other. */
 function hearsLeader(draft: drafts.Draft): boolean {
   const { state, now } = draft;
-  const last = state.role === "leader" ? lease.heard(state) : state.heard;
-  return now < last + state.timing.electionLeast;
+  const last = state.role === "leader"
+    ? lease.lastMajorityContact(state)
+    : state.lastLeaderContact;
+  return now < last + state.timing.minElectionTimeout;
 }
 
 function isUpToDate(state: state.State, body: schema.VoteRequest): boolean {
@@ -177,7 +179,9 @@
 
 /** The first election needs every founder, any other a majority. */
 function hasWon(state: state.State): boolean {
-  if (state.founders) return state.votes.length === state.founders.length;
+  if (state.initialVoters) {
+    return state.votes.length === state.initialVoters.length;
+  }
   const { voters } = drafts.currentMembers(state);
   const votes = state.votes.filter((id) => voters.includes(id));
   return votes.length >= members.majority(voters);
@@ -190,21 +194,25 @@
 /** Only the first host by name founds, once it has found all others empty. */
 function mayFound(state: state.State): boolean {
   const host = replicaId.host(state.id);
-  const first = [...state.hosts].sort()[0];
-  const others = state.hosts.filter((other) => other !== host);
-  return state.founds && isEmpty(state) && host === first &&
-    others.every((other) => state.found[other] !== undefined);
+  const first = [...state.desiredVoters].sort()[0];
+  const others = state.desiredVoters.filter((other) => other !== host);
+  return state.isBootstrap && isEmpty(state) && host === first &&
+    others.every((other) => state.emptyReplicas[other] !== undefined);
 }
 
 function foundersOf(state: state.State): string[] {
   const own = replicaId.host(state.id);
-  return state.hosts.map((host) => host === own ? state.id : state.found[host]);
+  return state.desiredVoters.map((host) =>
+    host === own ? state.id : state.emptyReplicas[host]
+  );
 }
 
 /** Hosts that a replica which is no member asks to be taken in. Only a leader
  * takes in, and any voter may lead: the hosts that the settings name, which is
  * what they were at some time, are not enough. */
-export function asked({ hosts, contacts }: state.State): string[] {
+export function probeTargets(
+  { desiredVoters: hosts, knownHosts: contacts }: state.State,
+): string[] {
   return [...new Set([...hosts, ...contacts])];
 }
 
@@ -212,8 +220,8 @@
 function probe(draft: drafts.Draft): void {
   const { state } = draft;
   const own = replicaId.host(state.id);
-  state.found = {};
-  for (const host of asked(state)) {
+  state.emptyReplicas = {};
+  for (const host of probeTargets(state)) {
     if (host !== own) drafts.sendHost(draft, host, { type: "probe" });
   }
 }
--- a/src/control/log/entry_size.ts
+++ b/src/control/log/entry_size.ts
@@ -7,7 +7,7 @@
 
 /** The first entries that together take at most `most` characters; at least
  * one, so that a large one gets through. */
-export function fitting(
+export function limitSize(
   entries: readonly schema.Entry[],
   most: number,
 ): schema.Entry[] {
--- a/src/control/log/errors.ts
+++ b/src/control/log/errors.ts
@@ -25,7 +25,7 @@
   }
 
   /** The error of a kind, with the usual words. */
-  static refusal(
+  static ofKind(
     kind: LogFault,
     leader?: string,
     options: { cause?: unknown } = {},
--- a/src/control/log/follower.ts
+++ b/src/control/log/follower.ts
@@ -16,9 +16,9 @@
     drafts.send(draft, from, { type: "heartbeat-reply", term, at: 0 });
     return false;
   }
-  drafts.follow(draft, body.term, from);
-  state.heard = now;
-  drafts.deferElection(draft);
+  drafts.becomeFollower(draft, body.term, from);
+  state.lastLeaderContact = now;
+  drafts.resetElectionTimer(draft);
   return true;
 }
 
@@ -63,7 +63,7 @@
   const match = previous + body.entries.length;
   replication.setCommit(draft, Math.min(body.commit, match));
   const reply = { type: "appended" as const, ok: true, match };
-  drafts.sendDurable(draft, from, { ...reply, term, previous, at });
+  drafts.sendWhenDurable(draft, from, { ...reply, term, previous, at });
 }
 
 /** Adds the entries that are new, in place of any that contradict them. */
@@ -85,7 +85,7 @@
     );
   }
   state.log = state.log.append(entries);
-  replication.noteMembers(draft, entries);
+  replication.recordMembers(draft, entries);
   drafts.persist(draft, { type: "entries", entries });
 }
 
--- a/src/control/log/journal_test.ts
+++ b/src/control/log/journal_test.ts
@@ -60,7 +60,7 @@
   const [name, tear] of [
     ["cut off", { type: "cut", bytes: 40 }],
     ["partly unwritten", { type: "zeros", bytes: 30 }],
-  ] as [string, storage.Tear][]
+  ] as [string, storage.TornWrite][]
 ) {
   test(`repairs a last record that is ${name}`, async (t) => {
     const disk = storage.MemoryStorage.create();
--- a/src/control/log/lease.ts
+++ b/src/control/log/lease.ts
@@ -11,24 +11,24 @@
 import type * as state from "./state.ts";
 
 /** When a leader was last heard by a majority, by its own clock. */
-export function heard(from: state.State): number {
+export function lastMajorityContact(from: state.State): number {
   const { voters } = drafts.currentMembers(from);
-  return members.reached(voters, (id) => {
+  return members.majorityValue(voters, (id) => {
     if (id === from.id) return Infinity;
-    return from.progress[id]?.answered ?? -Infinity;
+    return from.progress[id]?.lastAcknowledged ?? -Infinity;
   });
 }
 
 /** When the lease ends; `-Infinity` on a replica that has none. */
-export function until(from: state.State): number {
-  if (from.role !== "leader" || from.transferEnd !== undefined) {
+export function expiry(from: state.State): number {
+  if (from.role !== "leader" || from.transferDeadline !== undefined) {
     return -Infinity;
   }
-  const last = heard(from);
-  return last < from.leaseFloor ? -Infinity : last + from.timing.lease;
+  const last = lastMajorityContact(from);
+  return last < from.leaseNotBefore ? -Infinity : last + from.timing.lease;
 }
 
 /** Whether the lease is held at `now`, which must be read afresh. */
 export function isHeld(from: state.State, now: number): boolean {
-  return now < until(from);
+  return now < expiry(from);
 }
--- a/src/control/log/members.ts
+++ b/src/control/log/members.ts
@@ -19,7 +19,7 @@
 }
 
 /** The greatest value that a majority of voters has reached. */
-export function reached(
+export function majorityValue(
   voters: readonly string[],
   value: (id: string) => number,
 ): number {
--- a/src/control/log/change.ts
+++ b/src/control/log/membership_change.ts
@@ -17,7 +17,7 @@
   if (state.role !== "leader" || !isSettled(state)) return;
   const current = drafts.currentMembers(state);
   const removed = !current.voters.includes(state.id);
-  if (removed) return drafts.follow(draft, state.term);
+  if (removed) return drafts.becomeFollower(draft, state.term);
   const next = promote(draft, current) ?? admit(draft, current) ??
     dropSilent(draft, current) ?? dropUnnamed(draft, current);
   if (next) replication.setMembers(draft, next);
@@ -36,8 +36,8 @@
 /** A change needs the one before it, and an entry of this term, committed. */
 function isSettled(from: state.State): boolean {
   const last = from.configurations.at(-1)!;
-  return from.commit >= from.opened && from.commit >= last.index &&
-    from.transferEnd === undefined;
+  return from.commit >= from.termStart && from.commit >= last.index &&
+    from.transferDeadline === undefined;
 }
 
 type Proposal = schema.Members | undefined;
@@ -56,7 +56,7 @@
 }
 
 function isReady(draft: drafts.Draft, learner: string): boolean {
-  const { hosts, commit } = draft.state;
+  const { desiredVoters: hosts, commit } = draft.state;
   return hosts.includes(replicaId.host(learner)) &&
     replication.isRecent(draft, learner) &&
     replication.progressOf(draft, learner).match + CAUGHT_UP >= commit;
@@ -78,7 +78,7 @@
 
 /** Takes out a voter whose host is neither heard nor named any more. */
 function dropUnnamed(draft: drafts.Draft, now: schema.Members): Proposal {
-  const { id: own, hosts } = draft.state;
+  const { id: own, desiredVoters: hosts } = draft.state;
   const unnamed = now.voters.find((id) =>
     id !== own && !hosts.includes(replicaId.host(id)) && isSilent(draft, id)
   );
@@ -88,9 +88,10 @@
 }
 
 function isSilent(draft: drafts.Draft, id: string): boolean {
-  const { answered, since } = replication.progressOf(draft, id);
+  const { lastAcknowledged: answered, trackedSince: since } = replication
+    .progressOf(draft, id);
   const last = Math.max(answered, since);
-  return last + draft.state.timing.silence <= draft.now;
+  return last + draft.state.timing.inactivityTimeout <= draft.now;
 }
 
 /** Whether a majority of the new voters answers now. */
--- a/src/control/log/mod.ts
+++ b/src/control/log/mod.ts
@@ -5,12 +5,12 @@
 export * from "./dump.ts";
 export * from "./errors.ts";
 export * from "./journal.ts";
-export * from "./machine.ts";
+export * from "./state_machine.ts";
 export * from "./replica.ts";
 export * from "./runner.ts";
 export type * from "./runner_options.ts";
 export type * from "./state.ts";
-export { TIMING } from "./state.ts";
+export { DEFAULT_TIMING } from "./state.ts";
 export type { LogMessage as Message } from "../../schema/log_types.ts";
 export * as members from "./members.ts";
 export * as replicaId from "./replica_id.ts";
--- a/src/control/log/pause.ts
+++ b/src/control/log/pause_detector.ts
@@ -9,7 +9,7 @@
 const MARGIN = 30;
 
 /** Compares the two clocks from one reading to the next. */
-export class Detector {
+export class PauseDetector {
   readonly #clock: runtime.Clock;
   #ahead: number;
 
--- a/src/control/log/proposals.ts
+++ b/src/control/log/proposals.ts
@@ -43,12 +43,12 @@
   }
 
   /** Answers what was taken: it was not appended. */
-  refuse(cause: errors.LogError): void {
+  rejectTaken(cause: errors.LogError): void {
     this.#taken.forEach(({ reject }) => reject(cause));
   }
 
   /** Answers the proposal that was committed. */
-  settle(position: entries.Position, reply: Reply): void {
+  resolve(position: entries.Position, reply: Reply): void {
     const proposal = this.#appended.get(position.index);
     if (proposal?.term !== position.term) return;
     this.#appended.delete(position.index);
--- a/src/control/log/replica.ts
+++ b/src/control/log/replica.ts
@@ -3,7 +3,7 @@
 
 import type * as runtime from "../../runtime/mod.ts";
 import type * as schema from "../../schema/log_types.ts";
-import * as change from "./change.ts";
+import * as change from "./membership_change.ts";
 import * as drafts from "./draft.ts";
 import * as election from "./election.ts";
 import * as entries from "./entries.ts";
@@ -23,9 +23,9 @@
   readonly random: runtime.Random;
   readonly now: number;
   /** Whether it may found a log on an empty disk; it may when absent. */
-  readonly founds?: boolean;
+  readonly isBootstrap?: boolean;
   /** Least term of a log that this replica founds; 0 when absent. */
-  readonly foundingTerm?: number;
+  readonly minBootstrapTerm?: number;
   /** What the disk holds; nothing on a new folder. */
   readonly durable?: states.Durable;
   readonly timing?: Partial<states.Timing>;
@@ -50,8 +50,8 @@
    * takes part in no election: it may have heard a leader before. */
   static create(options: ReplicaOptions): Replica {
     const draft = drafts.create(initial(options), options.now);
-    replication.noteMembers(draft, options.durable?.entries ?? []);
-    drafts.deferElection(draft);
+    replication.recordMembers(draft, options.durable?.entries ?? []);
+    drafts.resetElectionTimer(draft);
     return new Replica(Object.freeze(draft.state));
   }
 
@@ -60,7 +60,9 @@
     const draft = drafts.create(this.state, now);
     const handler = handlers[event.type] as Handler<states.Event>;
     handler(draft, event);
-    while (draft.own.length > 0) receive(draft, this.id, draft.own.shift()!);
+    while (draft.selfMessages.length > 0) {
+      receive(draft, this.id, draft.selfMessages.shift()!);
+    }
     const replica = new Replica(Object.freeze(draft.state));
     return { replica, effects: draft.effects };
   }
@@ -81,8 +83,8 @@
   }
 
   /** Hosts that it asks to be taken in while it is no member. */
-  get asks(): string[] {
-    return election.asked(this.state);
+  get probeTargets(): string[] {
+    return election.probeTargets(this.state);
   }
 
   /** Whether this replica may order and serve reads; `now` is read afresh. */
@@ -92,21 +94,21 @@
 
   /** Whether the state machine has all that was accepted before `now`. */
   isReadable(now: number): boolean {
-    const { commit, opened } = this.state;
+    const { commit, termStart: opened } = this.state;
     return this.leaseHeld(now) && commit >= opened;
   }
 
   /** Whether a majority has answered what this leader sent at `time` or later,
    * so that no other had been elected by then. */
   isConfirmed(time: number): boolean {
-    const { role, commit, opened } = this.state;
+    const { role, commit, termStart: opened } = this.state;
     return role === "leader" && commit >= opened &&
-      lease.heard(this.state) >= time;
+      lease.lastMajorityContact(this.state) >= time;
   }
 
   /** When the lease ends; `-Infinity` without one. */
   get leaseUntil(): number {
-    return lease.until(this.state);
+    return lease.expiry(this.state);
   }
 }
 
@@ -122,16 +124,16 @@
     receive(draft, replicaId.create(host, body.from), body);
   },
   propose: (draft, { commands }) => replication.propose(draft, commands),
-  synced: (draft, { write }) => drafts.synced(draft, write),
+  synced: (draft, { write }) => drafts.handleSynced(draft, write),
   snapshot: (draft, { index, data }) => snapshots.take(draft, index, data),
   resumed(draft) {
-    draft.state.leaseFloor = draft.now;
+    draft.state.leaseNotBefore = draft.now;
   },
   hosts(draft, { hosts }) {
-    draft.state.hosts = hosts;
+    draft.state.desiredVoters = hosts;
   },
   contacts(draft, { hosts }) {
-    draft.state.contacts = hosts;
+    draft.state.knownHosts = hosts;
   },
   remove: (draft, { id }) => change.remove(draft, id),
   confirm(draft) {
@@ -175,7 +177,7 @@
 ): (draft: drafts.Draft, from: string, body: M) => void {
   return (draft, from, body) => {
     const { role, term } = draft.state;
-    if (body.term > term) drafts.follow(draft, body.term);
+    if (body.term > term) drafts.becomeFollower(draft, body.term);
     else if (role === "leader" && body.term === term) {
       receiver(draft, from, body);
     }
@@ -185,7 +187,7 @@
 function tick(draft: drafts.Draft): void {
   const { state, now } = draft;
   if (state.role !== "leader") {
-    if (now >= state.electionAt) election.timeOut(draft);
+    if (now >= state.electionAt) election.handleElectionTimeout(draft);
     return;
   }
   if (now >= state.heartbeatAt) lead(draft);
@@ -195,28 +197,29 @@
  * next one off, so that duties done at other times might never come. */
 function lead(draft: drafts.Draft): void {
   const { state, now } = draft;
-  const heard = Math.max(lease.heard(state), state.electedAt);
-  const isAlone = heard + state.timing.electionMost <= now;
-  const hasHandedOver = now >= (state.transferEnd ?? Infinity);
-  if (isAlone || hasHandedOver) return drafts.follow(draft, state.term);
+  const heard = Math.max(lease.lastMajorityContact(state), state.electedAt);
+  const isAlone = heard + state.timing.maxElectionTimeout <= now;
+  const hasHandedOver = now >= (state.transferDeadline ?? Infinity);
+  if (isAlone || hasHandedOver) return drafts.becomeFollower(draft, state.term);
   change.reconcile(draft);
-  if (state.role === "leader") replication.beat(draft);
+  if (state.role === "leader") replication.sendHeartbeats(draft);
 }
 
 function initial(options: ReplicaOptions): states.State {
   const { id, hosts, random, now, durable } = options;
-  const { founds = true, foundingTerm = 0 } = options;
+  const { isBootstrap: founds = true, minBootstrapTerm: foundingTerm = 0 } =
+    options;
   const snapshot = durable?.snapshot;
   const index = snapshot?.position.index ?? 0;
   const log = entries.Entries.create(snapshot?.position)
     .append(durable?.entries ?? []);
   return {
     id,
-    hosts,
-    contacts: [],
+    desiredVoters: hosts,
+    knownHosts: [],
     random,
-    timing: { ...states.TIMING, ...options.timing },
-    sizes: { ...states.SIZES, ...options.sizes },
+    timing: { ...states.DEFAULT_TIMING, ...options.timing },
+    sizes: { ...states.DEFAULT_SIZES, ...options.sizes },
     term: durable?.term ?? 0,
     vote: durable?.vote,
     log,
@@ -225,21 +228,21 @@
     commit: index,
     applied: index,
     role: "follower",
-    heard: now,
+    lastLeaderContact: now,
     electionAt: now,
     votes: [],
-    founds,
-    foundingTerm,
-    found: {},
+    isBootstrap: founds,
+    minBootstrapTerm: foundingTerm,
+    emptyReplicas: {},
     progress: {},
     heartbeatAt: now,
-    opened: 0,
+    termStart: 0,
     electedAt: now,
-    leaseFloor: -Infinity,
+    leaseNotBefore: -Infinity,
     joining: {},
     written: 0,
     synced: 0,
-    held: [],
-    snapshotAsked: index,
+    deferred: [],
+    requestedSnapshot: index,
   };
 }
--- a/src/control/log/replica_test.ts
+++ b/src/control/log/replica_test.ts
@@ -3,7 +3,7 @@
 import * as log from "./mod.ts";
 
 /** A time at which a replica that started at 0 may vote. */
-const AFTER = log.TIMING.electionLeast + 100;
+const AFTER = log.DEFAULT_TIMING.minElectionTimeout + 100;
 
 const VOTERS = ["a~1", "b~1", "c~1"];
 
@@ -107,7 +107,7 @@
 
 test("heeds no candidate while it hears a leader or has just started", (t) => {
   const replica = createReplica();
-  const { electionLeast } = log.TIMING;
+  const { minElectionTimeout: electionLeast } = log.DEFAULT_TIMING;
   const early = replica.step(createRequest(), electionLeast - 1);
   t.deepEqual(early.effects, []);
   const heard = replica.step(createAppend([]), electionLeast).replica;
@@ -171,7 +171,7 @@
   const reply = { type: "heartbeat-reply" as const, ...body };
   const event = { type: "message" as const, host: "b", body: reply };
   ({ replica } = replica.step(event, at + 100));
-  const { lease } = log.TIMING;
+  const { lease } = log.DEFAULT_TIMING;
   const end = at + lease;
   t.is(replica.leaseUntil, end);
   t.like(log.dump(replica, end - 40), { role: "leader", term: 2, lease: 40 });
@@ -220,7 +220,7 @@
 });
 
 test("takes large snapshots less often", (t) => {
-  const sizes = { snapshot: 2, perEntry: 10 };
+  const sizes = { snapshotInterval: 2, charactersPerEntry: 10 };
   let replica = createReplica({ sizes });
   const asked: number[] = [];
   for (let index = 2; index <= 20; index++) {
@@ -240,7 +240,10 @@
 });
 
 test("tries again sooner than it first stood, and never at once", (t) => {
-  const { electionLeast, electionMost } = log.TIMING;
+  const {
+    minElectionTimeout: electionLeast,
+    maxElectionTimeout: electionMost,
+  } = log.DEFAULT_TIMING;
   let replica = createReplica();
   const stood = replica.wakeAt;
   ({ replica } = replica.step({ type: "tick" }, stood));
--- a/src/control/log/replication.ts
+++ b/src/control/log/replication.ts
@@ -2,7 +2,7 @@
  * @module */
 
 import type * as schema from "../../schema/log_types.ts";
-import * as change from "./change.ts";
+import * as change from "./membership_change.ts";
 import * as drafts from "./draft.ts";
 import * as entrySize from "./entry_size.ts";
 import * as lease from "./lease.ts";
@@ -12,17 +12,17 @@
 import * as transfer from "./transfer.ts";
 
 /** Takes office: opens the term with an entry of its own. */
-export function lead(draft: drafts.Draft): void {
+export function becomeLeader(draft: drafts.Draft): void {
   const { state, now } = draft;
-  const founders = state.founders;
-  state.founders = undefined;
+  const founders = state.initialVoters;
+  state.initialVoters = undefined;
   state.votes = [];
   state.progress = {};
   state.joining = {};
   state.electedAt = now;
-  state.opened = state.log.last.index + 1;
+  state.termStart = state.log.last.index + 1;
   state.heartbeatAt = now + state.timing.heartbeat;
-  state.leaseFloor = -Infinity;
+  state.leaseNotBefore = -Infinity;
   drafts.setRole(draft, "leader", state.id);
   otherMembers(state).forEach((id) => setProgress(draft, id, {}));
   if (founders) setMembers(draft, { voters: [...founders], learners: [] });
@@ -36,7 +36,7 @@
 ): void {
   const { state, effects, now } = draft;
   const { role, leader } = state;
-  const leads = role === "leader" && state.transferEnd === undefined;
+  const leads = role === "leader" && state.transferDeadline === undefined;
   if (!leads) {
     effects.push({ type: "reject", reason: "not-leader", leader });
   } else if (!lease.isHeld(state, now)) {
@@ -54,15 +54,15 @@
 }
 
 /** Sends to each other member a sign of life, or asks again what it has. */
-export function beat(draft: drafts.Draft): void {
+export function sendHeartbeats(draft: drafts.Draft): void {
   const { state, now } = draft;
   state.heartbeatAt = now + state.timing.heartbeat;
   for (const id of otherMembers(state)) {
-    const { match, sent } = progressOf(draft, id);
+    const { match, lastSent: sent } = progressOf(draft, id);
     // What was not answered within a heartbeat counts as lost.
     const lost = sent + state.timing.heartbeat <= now;
     if (match < state.log.last.index && lost && isRecent(draft, id)) {
-      setProgress(draft, id, { next: match + 1, known: false });
+      setProgress(draft, id, { next: match + 1, isMatchKnown: false });
       sendAppend(draft, id);
     } else {
       const commit = Math.min(match, state.commit);
@@ -75,8 +75,8 @@
 
 /** Whether a replica has answered within an election timeout. */
 export function isRecent(draft: drafts.Draft, id: string): boolean {
-  const { answered } = progressOf(draft, id);
-  return answered + draft.state.timing.electionLeast > draft.now;
+  const { lastAcknowledged: answered } = progressOf(draft, id);
+  return answered + draft.state.timing.minElectionTimeout > draft.now;
 }
 
 /** Takes a sign of life. */
@@ -85,7 +85,7 @@
   from: string,
   body: schema.HeartbeatReply,
 ): void {
-  noteAnswer(draft, from, body.at);
+  recordAcknowledgement(draft, from, body.at);
 }
 
 /** Takes a follower's answer to entries. */
@@ -96,24 +96,29 @@
 ): void {
   const { state } = draft;
   if (from === state.id) return advanceCommit(draft);
-  noteAnswer(draft, from, body.at);
+  recordAcknowledgement(draft, from, body.at);
   const progress = progressOf(draft, from);
   if (body.ok) {
     const match = Math.max(progress.match, body.match);
     const next = Math.max(progress.next, match + 1);
-    setProgress(draft, from, { match, next, known: true, snapshot: undefined });
+    setProgress(draft, from, {
+      match,
+      next,
+      isMatchKnown: true,
+      snapshot: undefined,
+    });
     advanceCommit(draft);
   } else if (refuses(progress, body)) {
     const next = Math.max(progress.match, body.match) + 1;
     setProgress(draft, from, {
       next: Math.min(next, body.previous),
-      known: false,
+      isMatchKnown: false,
     });
   } else return;
   if (progressOf(draft, from).next <= state.log.last.index) {
     sendAppend(draft, from);
   }
-  transfer.handOver(draft);
+  transfer.tryTransfer(draft);
 }
 
 /** Sends a follower what it lacks, as far as the window allows; while it is
@@ -125,12 +130,15 @@
     const previous = progress.next - 1;
     const previousTerm = state.log.term(previous);
     if (previousTerm === undefined) return snapshots.send(draft, id);
-    const limit = progress.match + state.sizes.window;
-    const last = Math.min(previous + state.sizes.batch, limit);
-    const { next: first, known } = progress;
+    const limit = progress.match + state.sizes.maxInFlightEntries;
+    const last = Math.min(previous + state.sizes.maxBatchEntries, limit);
+    const { next: first, isMatchKnown: known } = progress;
     if (known && last < first && first <= state.log.last.index) return;
     const entries = known
-      ? entrySize.fitting(state.log.slice(first, last), state.sizes.characters)
+      ? entrySize.limitSize(
+        state.log.slice(first, last),
+        state.sizes.maxBatchCharacters,
+      )
       : [];
     drafts.send(draft, id, {
       type: "append",
@@ -142,25 +150,25 @@
       at: Math.floor(now),
     });
     const next = first + entries.length;
-    progress = setProgress(draft, id, { next, sent: now });
+    progress = setProgress(draft, id, { next, lastSent: now });
     if (entries.length === 0) return;
   } while (progress.next <= state.log.last.index);
 }
 
 /** Whether a refusal is about what was sent last. */
 function refuses(progress: state.Progress, body: schema.Appended): boolean {
-  if (progress.known) return body.previous > progress.match;
+  if (progress.isMatchKnown) return body.previous > progress.match;
   return body.previous === progress.next - 1 && progress.next > 1;
 }
 
 /** Notes that a message sent at `at` was answered. */
-export function noteAnswer(
+export function recordAcknowledgement(
   draft: drafts.Draft,
   from: string,
   at: number,
 ): void {
-  const { answered } = progressOf(draft, from);
-  setProgress(draft, from, { answered: Math.max(answered, at) });
+  const { lastAcknowledged: answered } = progressOf(draft, from);
+  setProgress(draft, from, { lastAcknowledged: Math.max(answered, at) });
 }
 
 /** What is known of another replica. */
@@ -169,10 +177,10 @@
   return state.progress[id] ?? {
     match: 0,
     next: state.log.last.index + 1,
-    known: false,
-    answered: -Infinity,
-    sent: -Infinity,
-    since: draft.now,
+    isMatchKnown: false,
+    lastAcknowledged: -Infinity,
+    lastSent: -Infinity,
+    trackedSince: draft.now,
   };
 }
 
@@ -199,7 +207,7 @@
   const entries = state.log.slice(state.applied + 1, commit);
   state.applied = commit;
   draft.effects.push({ type: "apply", entries });
-  snapshots.askIfLong(draft);
+  snapshots.requestIfDue(draft);
 }
 
 type Payload = Omit<schema.Entry, "index" | "term">;
@@ -213,10 +221,10 @@
     ...payload,
   }));
   state.log = state.log.append(entries);
-  noteMembers(draft, entries);
+  recordMembers(draft, entries);
   drafts.persist(draft, { type: "entries", entries });
   const { index: match } = state.log.last;
-  drafts.sendDurable(draft, state.id, {
+  drafts.sendWhenDurable(draft, state.id, {
     type: "appended",
     term: state.term,
     ok: true,
@@ -225,13 +233,13 @@
     at: 0,
   });
   for (const id of otherMembers(state)) {
-    const { known, sent } = progressOf(draft, id);
+    const { isMatchKnown: known, lastSent: sent } = progressOf(draft, id);
     if (known || sent === -Infinity) sendAppend(draft, id);
   }
 }
 
 /** Notes the sets of members that entries bring. */
-export function noteMembers(
+export function recordMembers(
   draft: drafts.Draft,
   entries: readonly schema.Entry[],
 ): void {
@@ -250,7 +258,7 @@
 function advanceCommit(draft: drafts.Draft): void {
   const { state } = draft;
   const { voters } = drafts.currentMembers(state);
-  const match = members.reached(voters, (id) => {
+  const match = members.majorityValue(voters, (id) => {
     if (id === state.id) return durableLast(state);
     return state.progress[id]?.match ?? 0;
   });
@@ -262,7 +270,7 @@
 
 /** Last index that is durable on this replica. */
 function durableLast(from: state.State): number {
-  const waiting = from.held.find(({ to, body }) =>
+  const waiting = from.deferred.find(({ to, body }) =>
     to === from.id && body.type === "appended"
   );
   if (waiting?.body.type !== "appended") return from.log.last.index;
--- a/src/control/log/runner.ts
+++ b/src/control/log/runner.ts
@@ -8,10 +8,10 @@
 import validate from "../../schema/log_validators.ts";
 import * as errors from "./errors.ts";
 import * as journals from "./journal.ts";
-import * as machines from "./machine.ts";
-import * as pauses from "./pause.ts";
+import * as machines from "./state_machine.ts";
+import * as pauses from "./pause_detector.ts";
 import * as proposals from "./proposals.ts";
-import * as reads from "./reads.ts";
+import * as reads from "./pending_reads.ts";
 import * as replicaId from "./replica_id.ts";
 import * as replicas from "./replica.ts";
 import type * as shell from "./runner_options.ts";
@@ -24,7 +24,7 @@
 export class Runner<State, Reply> {
   readonly #options: shell.RunnerOptions<State, Reply>;
   readonly #writer: writers.Writer;
-  readonly #pause: pauses.Detector;
+  readonly #pause: pauses.PauseDetector;
   readonly #counters: shell.Counters = {
     writes: 0,
     proposals: 0,
@@ -42,7 +42,7 @@
   #timerAt = Infinity;
 
   readonly #proposals = new proposals.Proposals<Reply>();
-  readonly #reads = new reads.Reads();
+  readonly #reads = new reads.PendingReads();
   /** Whether a round that confirms reads is due. */
   #isAsking = false;
 
@@ -50,7 +50,8 @@
     options: shell.RunnerOptions<State, Reply>,
     journal: journals.Journal,
   ) {
-    const { clock, machine, hosts, random, timing, sizes, founds } = options;
+    const { clock, machine, hosts, random, timing, sizes, isBootstrap } =
+      options;
     const { durable, id } = journal;
     const { snapshot } = durable;
     this.#options = options;
@@ -60,15 +61,19 @@
       onSynced: (write) => this.#takeSynced(write),
       onFailure: (cause) => this.#fail("storage", cause),
     });
-    this.#pause = new pauses.Detector(clock);
+    this.#pause = new pauses.PauseDetector(clock);
     this.#state = machines.restore(machine, snapshot?.data);
     this.#index = snapshot?.position.index ?? 0;
-    const start = { id, hosts, random, durable, timing, sizes, founds };
+    const start = { id, hosts, random, durable, timing, sizes, isBootstrap };
     const now = clock.now();
     // Whatever a former log of these hosts came to, no election is as short as
     // a millisecond: a term names one leader, also for endpoints that fence.
     const foundingTerm = Math.floor(clock.wall());
-    this.#replica = replicas.Replica.create({ ...start, now, foundingTerm });
+    this.#replica = replicas.Replica.create({
+      ...start,
+      now,
+      minBootstrapTerm: foundingTerm,
+    });
   }
 
   /** Reads the disk and takes part from then on. */
@@ -136,7 +141,7 @@
   /** Resolves with an index of the log: a state that has it applied has all
    * that was accepted anywhere before the call. Needs no clock to be right: a
    * majority answers messages that were sent after the call. */
-  confirm(): Promise<number> {
+  readIndex(): Promise<number> {
     return new Promise((resolve, reject) => {
       const isLeader = this.#replica.state.role === "leader";
       if (this.#stopped) return reject(this.#refusal("stopped"));
@@ -175,7 +180,7 @@
   }
 
   /** Hands leadership over, before a stop. */
-  drain(): void {
+  transferLeadership(): void {
     this.#handle({ type: "transfer" });
   }
 
@@ -185,13 +190,13 @@
   }
 
   /** Follows settings that name other voters. */
-  setHosts(hosts: readonly string[]): void {
+  setDesiredVoters(hosts: readonly string[]): void {
     this.#handle({ type: "hosts", hosts });
   }
 
   /** Names other hosts that may hold a replica: one that is no member asks
    * them too to be taken in. */
-  setContacts(hosts: readonly string[]): void {
+  setKnownHosts(hosts: readonly string[]): void {
     this.#handle({ type: "contacts", hosts });
   }
 
@@ -209,7 +214,7 @@
   #askSoon(): void {
     if (this.#isAsking) return;
     this.#isAsking = true;
-    this.#options.clock.after(reads.ROUND, () => {
+    this.#options.clock.after(reads.READ_ROUND_MS, () => {
       this.#isAsking = false;
       if (this.#stopped) return;
       this.#reads.expire(this.#now(), this.#refusal("no-quorum"));
@@ -273,7 +278,7 @@
     appended: ({ index, term }) => {
       this.#proposals.append(index, term);
     },
-    reject: ({ reason }) => this.#proposals.refuse(this.#refusal(reason)),
+    reject: ({ reason }) => this.#proposals.rejectTaken(this.#refusal(reason)),
     role: ({ role, term, leader }) => {
       if (role !== "leader") {
         this.#proposals.rejectAppended(this.#refusal("unknown"));
@@ -296,7 +301,7 @@
       const { state, reply } = machine.apply(this.#state, command, index);
       this.#state = state;
       this.#counters.commits++;
-      this.#proposals.settle({ index, term }, reply);
+      this.#proposals.resolve({ index, term }, reply);
     }
     this.#options.onChange?.(this.#state, this.#index);
   }
@@ -315,7 +320,10 @@
 
   /** A disk that does not answer must not keep proposals waiting. */
   #noticeStall(): void {
-    if (this.#writer.waited < this.#replica.state.timing.electionMost) return;
+    if (
+      this.#writer.currentWriteMs <
+        this.#replica.state.timing.maxElectionTimeout
+    ) return;
     this.#proposals.rejectWaiting(this.#refusal("no-quorum"));
     this.#handle({ type: "transfer" });
   }
@@ -325,7 +333,7 @@
   #fail(kind: errors.LogFault, cause: unknown): void {
     if (this.#stopped) return;
     this.stop();
-    const failure = errors.LogError.refusal(kind, this.leader, { cause });
+    const failure = errors.LogError.ofKind(kind, this.leader, { cause });
     this.#options.onFailure?.(failure);
   }
 
@@ -345,6 +353,6 @@
   }
 
   #refusal(kind: errors.LogFault): errors.LogError {
-    return errors.LogError.refusal(kind, this.leader);
+    return errors.LogError.ofKind(kind, this.leader);
   }
 }
--- a/src/control/log/runner_options.ts
+++ b/src/control/log/runner_options.ts
@@ -3,7 +3,7 @@
 
 import type * as runtime from "../../runtime/mod.ts";
 import type * as errors from "./errors.ts";
-import type * as machines from "./machine.ts";
+import type * as machines from "./state_machine.ts";
 import type * as states from "./state.ts";
 
 /** What a runner is started with. */
@@ -11,13 +11,13 @@
   readonly host: string;
   /** Hosts that the settings name as voters. */
   readonly hosts: readonly string[];
-  readonly machine: machines.Machine<State, Reply>;
+  readonly machine: machines.StateMachine<State, Reply>;
   readonly clock: runtime.Clock;
   readonly random: runtime.Random;
   readonly transport: runtime.Transport;
   readonly storage: runtime.Storage;
   /** Whether it may found a log on an empty disk; it may when absent. */
-  readonly founds?: boolean;
+  readonly isBootstrap?: boolean;
   readonly timing?: Partial<states.Timing>;
   readonly sizes?: Partial<states.Sizes>;
   /** Incarnation of a new folder, in hex digits; random when absent. */
--- a/src/control/log/runner_test.ts
+++ b/src/control/log/runner_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import * as fuzz from "../../../bench/log_fuzz/mod.ts";
 import * as log from "./mod.ts";
-import * as reads from "./reads.ts";
+import * as reads from "./pending_reads.ts";
 
 type Host = fuzz.World["hosts"][number];
 
@@ -179,7 +179,7 @@
   cutOff(world, leader);
   await world.run(5);
   const open = propose(leader, "open");
-  await world.run(log.TIMING.lease + 50);
+  await world.run(log.DEFAULT_TIMING.lease + 50);
   const refused = propose(leader, "refused");
   const answers = await settled(world, [refused], 1);
   t.deepEqual(answers, ["no-quorum"]);
@@ -223,7 +223,7 @@
   const leader = leaderOf(world);
   const open = propose(leader, "open");
   await world.run(0.1);
-  leader.act((runner) => runner.drain());
+  leader.act((runner) => runner.transferLeadership());
   const answers = await settled(world, [open], 60);
   t.not(leaderOf(world), leader);
   t.truthy(findLeader(world));
@@ -256,7 +256,7 @@
   const [out, other] = othersThan(world, leader);
   const hosts = [leader.name, other.name];
   for (const host of [leader, other]) {
-    host.act((runner) => runner.setHosts(hosts));
+    host.act((runner) => runner.setDesiredVoters(hosts));
   }
   await world.run(12_000);
   t.is(leader.runner!.replica.members.voters.length, 3);
@@ -295,7 +295,7 @@
 
 /** What a host's read with a majority's word gives within `ms`. */
 async function confirmed(world: fuzz.World, host: Host, ms = 2000) {
-  const read = host.runner!.confirm()
+  const read = host.runner!.readIndex()
     .catch((failure: log.LogError) => failure.kind);
   const [answer] = await settled(world, [read], ms);
   return answer;
@@ -317,11 +317,11 @@
   const leader = leaderOf(world);
   const before = leader.runner!.counters.sent;
   for (let ms = 0; ms < 1000; ms += 7) {
-    leader.runner!.confirm().catch(() => {});
+    leader.runner!.readIndex().catch(() => {});
     await world.run(7);
   }
   const rounds = (leader.runner!.counters.sent - before) / 4;
-  t.true(rounds <= 1000 / reads.ROUND + 1000 / 200, `${rounds} rounds`);
+  t.true(rounds <= 1000 / reads.READ_ROUND_MS + 1000 / 200, `${rounds} rounds`);
 });
 
 test("nobody but a leader confirms a read", async (t) => {
@@ -341,7 +341,7 @@
 /** Runs for `ms` while reads come to a host more often than heartbeats go. */
 async function runWithReads(world: fuzz.World, host: Host, ms: number) {
   for (let passed = 0; passed < ms; passed += 50) {
-    host.runner?.confirm().catch(() => {});
+    host.runner?.readIndex().catch(() => {});
     await world.run(50);
   }
 }
--- a/src/control/log/snapshots.ts
+++ b/src/control/log/snapshots.ts
@@ -8,14 +8,14 @@
 import * as replication from "./replication.ts";
 
 /** Asks the shell for a snapshot once enough was applied since the last. */
-export function askIfLong(draft: drafts.Draft): void {
+export function requestIfDue(draft: drafts.Draft): void {
   const { state } = draft;
   const last = state.snapshot?.position.index ?? 0;
-  const since = Math.max(last, state.snapshotAsked);
-  const { snapshot: least, perEntry } = state.sizes;
+  const since = Math.max(last, state.requestedSnapshot);
+  const { snapshotInterval: least, charactersPerEntry: perEntry } = state.sizes;
   const size = state.snapshot?.data.length ?? 0;
   if (state.applied - since < Math.max(least, size / perEntry)) return;
-  state.snapshotAsked = state.applied;
+  state.requestedSnapshot = state.applied;
   draft.effects.push({ type: "need-snapshot", index: state.applied });
 }
 
@@ -33,7 +33,7 @@
     configuration.index <= index
   )!;
   state.snapshot = { position: { index, term }, members, data };
-  const keep = index - state.sizes.trailing;
+  const keep = index - state.sizes.trailingEntries;
   if (keep > state.log.base.index) state.log = state.log.compact(keep);
   forgetMembers(draft, index);
   persist(draft);
@@ -46,8 +46,8 @@
   const known = replication.progressOf(draft, id).snapshot;
   const offset = known?.index === position.index ? known.offset : 0;
   replication.setProgress(draft, id, {
-    sent: now,
-    known: false,
+    lastSent: now,
+    isMatchKnown: false,
     snapshot: { index: position.index, offset },
   });
   drafts.send(draft, id, {
@@ -58,7 +58,7 @@
     members,
     offset,
     length: data.length,
-    data: data.slice(offset, offset + state.sizes.chunk),
+    data: data.slice(offset, offset + state.sizes.chunkCharacters),
     at: Math.floor(now),
   });
 }
@@ -71,7 +71,7 @@
 ): void {
   const { state } = draft;
   if (body.index <= state.commit) return acknowledge(draft, from, body);
-  const { arrival } = state;
+  const { incomingSnapshot: arrival } = state;
   const same = arrival?.leader === from && arrival.term === body.term &&
     arrival.index === body.index;
   let parts = same ? arrival.parts : [];
@@ -81,7 +81,7 @@
     offset += body.data.length;
   }
   const { term, index, length, at } = body;
-  state.arrival = { leader: from, term, index, parts, offset };
+  state.incomingSnapshot = { leader: from, term, index, parts, offset };
   if (offset < length) {
     const reply = { type: "snapshot-reply" as const, term, index, offset, at };
     return drafts.send(draft, from, reply);
@@ -97,7 +97,7 @@
   body: schema.SnapshotReply,
 ): void {
   const { state } = draft;
-  replication.noteAnswer(draft, from, body.at);
+  replication.recordAcknowledgement(draft, from, body.at);
   const { snapshot } = replication.progressOf(draft, from);
   const { index, offset } = body;
   if (snapshot?.index !== index || snapshot.offset === offset) return;
@@ -115,7 +115,7 @@
   const { index, indexTerm: term, members } = body;
   const position = { index, term };
   const snapshot = { position, members, data };
-  state.arrival = undefined;
+  state.incomingSnapshot = undefined;
   state.snapshot = snapshot;
   // Entries that follow on the same position may still count.
   const continues = state.log.term(index) === term;
@@ -128,7 +128,7 @@
   state.configurations = [{ index, members }, ...later];
   state.commit = index;
   state.applied = index;
-  state.snapshotAsked = index;
+  state.requestedSnapshot = index;
   persist(draft);
   draft.effects.push({ type: "restore", snapshot });
 }
@@ -139,7 +139,7 @@
   body: schema.SnapshotChunk,
 ): void {
   const { term, index, at } = body;
-  drafts.sendDurable(draft, from, {
+  drafts.sendWhenDurable(draft, from, {
     type: "appended",
     term,
     ok: true,
--- a/src/control/log/state.ts
+++ b/src/control/log/state.ts
@@ -10,52 +10,52 @@
  * clock that runs slow against another's by the quotient of the two. */
 export interface Timing {
   readonly heartbeat: number;
-  readonly electionLeast: number;
-  readonly electionMost: number;
+  readonly minElectionTimeout: number;
+  readonly maxElectionTimeout: number;
   readonly lease: number;
   /** A learner that is silent for so long is dropped, and a voter whose host
    * the settings no longer name. */
-  readonly silence: number;
+  readonly inactivityTimeout: number;
 }
 
 /** Defaults: links of a few milliseconds, clocks that differ by up to a
  * quarter of their rate. */
-export const TIMING: Timing = {
+export const DEFAULT_TIMING: Timing = {
   heartbeat: 200,
-  electionLeast: 600,
-  electionMost: 900,
+  minElectionTimeout: 600,
+  maxElectionTimeout: 900,
   lease: 480,
-  silence: 10_000,
+  inactivityTimeout: 10_000,
 };
 
 /** Sizes in entries, but for `characters` and `chunk` in characters. */
 export interface Sizes {
   /** Most entries in one message. */
-  readonly batch: number;
+  readonly maxBatchEntries: number;
   /** Most of the entries in one message, unless one alone is larger. */
-  readonly characters: number;
+  readonly maxBatchCharacters: number;
   /** Most entries on their way to one follower. */
-  readonly window: number;
+  readonly maxInFlightEntries: number;
   /** Entries applied since the last snapshot that call for another. */
-  readonly snapshot: number;
+  readonly snapshotInterval: number;
   /** Characters of the last snapshot that put the next one off by an entry, so
    * that large ones are taken less often. */
-  readonly perEntry: number;
+  readonly charactersPerEntry: number;
   /** Entries kept behind a snapshot for followers that lag. */
-  readonly trailing: number;
+  readonly trailingEntries: number;
   /** Most of a snapshot in one message. */
-  readonly chunk: number;
+  readonly chunkCharacters: number;
 }
 
 /** Default sizes. */
-export const SIZES: Sizes = {
-  batch: 256,
-  characters: 256 * 1024,
-  window: 1024,
-  snapshot: 2000,
-  perEntry: 200,
-  trailing: 500,
-  chunk: 64 * 1024,
+export const DEFAULT_SIZES: Sizes = {
+  maxBatchEntries: 256,
+  maxBatchCharacters: 256 * 1024,
+  maxInFlightEntries: 1024,
+  snapshotInterval: 2000,
+  charactersPerEntry: 200,
+  trailingEntries: 500,
+  chunkCharacters: 64 * 1024,
 };
 
 /** State machine's state at a position, with the members there. */
@@ -81,19 +81,19 @@
   readonly match: number;
   readonly next: number;
   /** Whether `match` is known, so that appends may run ahead of answers. */
-  readonly known: boolean;
+  readonly isMatchKnown: boolean;
   /** Leader's clock in the last message that it has answered. */
-  readonly answered: number;
+  readonly lastAcknowledged: number;
   /** When entries or a chunk were last sent. */
-  readonly sent: number;
+  readonly lastSent: number;
   /** When the leader first heard of it. */
-  readonly since: number;
+  readonly trackedSince: number;
   /** Characters of the snapshot at `index` that it has. */
   readonly snapshot?: { readonly index: number; readonly offset: number };
 }
 
 /** A snapshot that arrives in chunks. */
-export interface Arrival {
+export interface IncomingSnapshot {
   readonly leader: string;
   readonly term: number;
   readonly index: number;
@@ -102,7 +102,7 @@
 }
 
 /** A message that waits until a write is durable. */
-export interface Held {
+export interface DeferredMessage {
   readonly write: number;
   readonly to: string;
   readonly body: schema.LogMessage;
@@ -115,9 +115,9 @@
 export interface State {
   readonly id: schema.ReplicaId;
   /** Hosts that the settings name as voters. */
-  readonly hosts: readonly string[];
+  readonly desiredVoters: readonly string[];
   /** Other hosts that may hold a replica. */
-  readonly contacts: readonly string[];
+  readonly knownHosts: readonly string[];
   readonly timing: Timing;
   readonly sizes: Sizes;
   readonly random: runtime.Random;
@@ -133,38 +133,38 @@
   readonly role: Role;
   readonly leader?: string;
   /** When a leader was last heard, or the replica started. */
-  readonly heard: number;
+  readonly lastLeaderContact: number;
   readonly electionAt: number;
   readonly votes: readonly string[];
   /** Whether this replica may found a log on an empty disk. */
-  readonly founds: boolean;
+  readonly isBootstrap: boolean;
   /** Least term of a log that this replica founds. */
-  readonly foundingTerm: number;
+  readonly minBootstrapTerm: number;
   /** First members while they are being agreed on; all must vote. */
-  readonly founders?: readonly string[];
+  readonly initialVoters?: readonly string[];
   /** Empty folders found by probing, by host. */
-  readonly found: Readonly<Record<string, string>>;
-  readonly arrival?: Arrival;
+  readonly emptyReplicas: Readonly<Record<string, string>>;
+  readonly incomingSnapshot?: IncomingSnapshot;
 
   readonly progress: Readonly<Record<string, Progress>>;
   readonly heartbeatAt: number;
   /** Index of the entry that opened the leader's term. */
-  readonly opened: number;
+  readonly termStart: number;
   readonly electedAt: number;
   /** No answer to a message from before this time counts for the lease. */
-  readonly leaseFloor: number;
+  readonly leaseNotBefore: number;
   /** When the leader gives up waiting for the one it hands over to. */
-  readonly transferEnd?: number;
+  readonly transferDeadline?: number;
   /** The one that was asked to take over. */
-  readonly transferTo?: string;
+  readonly transferTarget?: string;
   /** Folders that have asked the leader to be added, by host. */
   readonly joining: Readonly<Record<string, string>>;
 
   /** Writes asked for, and how many of them are durable. */
   readonly written: number;
   readonly synced: number;
-  readonly held: readonly Held[];
-  readonly snapshotAsked: number;
+  readonly deferred: readonly DeferredMessage[];
+  readonly requestedSnapshot: number;
 }
 
 /** What happens to a replica. */
--- a/src/control/log/machine.ts
+++ b/src/control/log/state_machine.ts
@@ -13,7 +13,7 @@
 }
 
 /** A deterministic state machine over an immutable state. */
-export interface Machine<State, Reply> {
+export interface StateMachine<State, Reply> {
   /** State before the first command. */
   readonly empty: State;
   /** Applies a committed command; depends on its arguments alone. */
@@ -26,7 +26,7 @@
 
 /** State from the data of a snapshot, or the empty one without. */
 export function restore<State>(
-  machine: Machine<State, unknown>,
+  machine: StateMachine<State, unknown>,
   data: string | undefined,
 ): State {
   return data === undefined
--- a/src/control/log/transfer.ts
+++ b/src/control/log/transfer.ts
@@ -10,21 +10,21 @@
 /** Begins to hand over. */
 export function start(draft: drafts.Draft): void {
   const { state, now } = draft;
-  if (state.role !== "leader" || state.transferEnd !== undefined) return;
+  if (state.role !== "leader" || state.transferDeadline !== undefined) return;
   if (drafts.otherVoters(state).length === 0) return;
-  state.transferEnd = now + state.timing.electionLeast;
-  handOver(draft);
+  state.transferDeadline = now + state.timing.minElectionTimeout;
+  tryTransfer(draft);
 }
 
 /** Asks the first voter that has the whole log to stand for election. */
-export function handOver(draft: drafts.Draft): void {
+export function tryTransfer(draft: drafts.Draft): void {
   const { state } = draft;
-  if (state.transferEnd === undefined || state.transferTo) return;
+  if (state.transferDeadline === undefined || state.transferTarget) return;
   const to = drafts.otherVoters(state).find((id) =>
     replication.isRecent(draft, id) &&
     replication.progressOf(draft, id).match === state.log.last.index
   );
   if (to === undefined) return;
-  state.transferTo = to;
+  state.transferTarget = to;
   drafts.send(draft, to, { type: "timeout-now", term: state.term });
 }
--- a/src/control/log/writer.ts
+++ b/src/control/log/writer.ts
@@ -38,7 +38,7 @@
   }
 
   /** Milliseconds that the present write has taken. */
-  get waited(): number {
+  get currentWriteMs(): number {
     if (this.#since === undefined) return 0;
     return this.#options.clock.now() - this.#since;
   }
--- a/src/control/versions/configuration_store.ts
+++ b/src/control/versions/configuration_store.ts
@@ -22,10 +22,14 @@
 
 /** Sizes of the log for commands that hold whole documents, of which a hundred
  * kilobytes each are expected: snapshots come often enough for a small disk. */
-const SIZES = { snapshot: 64, perEntry: 50_000, trailing: 16 };
+const SIZES = {
+  snapshotInterval: 64,
+  charactersPerEntry: 50_000,
+  trailingEntries: 16,
+};
 /** Milliseconds of silence after which a voter is exchanged for a live host:
  * the exchange must end before a second loss is to be borne. */
-const TIMING = { silence: 1500 };
+const TIMING = { inactivityTimeout: 1500 };
 
 /** Opens the disk. It is opened again after a failure. */
 export type OpenStorage = () => Promise<Storage>;
@@ -151,7 +155,7 @@
   setDesiredVoters(hosts: readonly string[]): void {
     if (hosts.join() !== this.#hosts.join()) {
       this.#hosts = hosts;
-      this.#runner?.setHosts(hosts);
+      this.#runner?.setDesiredVoters(hosts);
     }
     this.#dropSurplus();
   }
@@ -160,7 +164,7 @@
   setKnownHosts(hosts: readonly string[]): void {
     if (hosts.join() === this.#contacts.join()) return;
     this.#contacts = hosts;
-    this.#runner?.setContacts(hosts);
+    this.#runner?.setKnownHosts(hosts);
   }
 
   /** Takes a message of another replica. */
@@ -235,7 +239,7 @@
 
   /** Hands leadership over, before a stop. */
   transferLeadership(): void {
-    this.#runner?.drain();
+    this.#runner?.transferLeadership();
   }
 
   stop(): void {
@@ -283,7 +287,7 @@
       >({
         host: self,
         hosts: this.#hosts,
-        founds,
+        isBootstrap: founds,
         machine: machines.stateMachine,
         clock,
         random,
@@ -304,7 +308,7 @@
       void this.#restart(error, storage);
       return;
     }
-    this.#runner.setContacts(this.#contacts);
+    this.#runner.setKnownHosts(this.#contacts);
     const { id, term, index, state } = this.#runner;
     const { version } = state.configuration;
     logger.info({ id, term, index, version }, "Replica of the log started");
@@ -430,7 +434,7 @@
     const runner = this.#runner;
     if (runner === undefined) return { type: "failed", reason: "stopped" };
     try {
-      const index = await runner.confirm();
+      const index = await runner.readIndex();
       const { configuration: edition, evacuations: { list } } = runner.state;
       const { version } = edition;
       const confirmed = {
--- a/src/control/versions/replica_status.ts
+++ b/src/control/versions/replica_status.ts
@@ -51,10 +51,10 @@
     isMember: log.members.has(members, id),
     ...members,
     toldLeader: told?.leader,
-    asks: replica.asks,
+    asks: replica.probeTargets,
     heardMs: Object.fromEntries(ages),
     commit,
     last,
-    arrived: replica.state.arrival?.offset,
+    arrived: replica.state.incomingSnapshot?.offset,
   };
 }
--- a/src/control/versions/state_machine.ts
+++ b/src/control/versions/state_machine.ts
@@ -47,7 +47,7 @@
 /** The machine of the log. Its snapshots are those of a machine that knew
  * editions alone, with evacuations added where there are any: such a machine's
  * are read. */
-export const stateMachine: log.Machine<ControlState, CommandReply> = {
+export const stateMachine: log.StateMachine<ControlState, CommandReply> = {
   empty: {
     configuration: editions.NO_VERSION,
     evacuations: evacuations.Evacuations.NONE,
--- a/src/node/engine_orders.ts
+++ b/src/node/engine_orders.ts
@@ -35,7 +35,7 @@
       limits: {
         loads: settings.limits?.loadRate ?? LOAD_RATE,
         // Nobody else is elected earlier, whichever clock is slow.
-        lease: control.log.TIMING.electionLeast,
+        lease: control.log.DEFAULT_TIMING.minElectionTimeout,
       },
       lease: () => source.lease(),
     });
--- a/src/storage/memory_storage.ts
+++ b/src/storage/memory_storage.ts
@@ -15,7 +15,7 @@
 }
 
 /** How much of the first unsynced append a crash leaves behind. */
-export type Tear =
+export type TornWrite =
   | { type: "nothing" }
   | { type: "cut"; bytes: number }
   | { type: "zeros"; bytes: number };
@@ -64,7 +64,7 @@
   }
 
   /** Ends this process's view; returns the disk as the next one finds it. */
-  crash(tear: Tear = { type: "nothing" }): MemoryStorage {
+  crash(tear: TornWrite = { type: "nothing" }): MemoryStorage {
     const files = new Map(this.#files);
     const torn = this.#waiting[0] as Append | undefined;
     if (torn?.bytes) tears[tear.type](files, torn, tear);
@@ -128,8 +128,8 @@
 }
 
 const tears: Record<
-  Tear["type"],
-  (files: Files, torn: Append, tear: Tear) => void
+  TornWrite["type"],
+  (files: Files, torn: Append, tear: TornWrite) => void
 > = {
   nothing: () => {},
   cut: (files, torn, tear) => {
