--- a/src/control/log/draft.ts
+++ b/src/control/log/draft.ts
@@ -1,5 +1,5 @@
-/** A step in the making: a copy of the state that handlers assign to, and the
- * effects so far. Values inside the state are never changed in place.
+/** Draft of a step: a shallow copy of the state that handlers assign to, and
+ * the effects so far. Values inside the state are never changed in place.
  * @module */
 
 import type * as schema from "../../schema/log_types.ts";
@@ -9,7 +9,7 @@
 
 type Mutable<T> = { -readonly [Key in keyof T]: T[Key] };
 
-/** State and effects while one event is being handled. */
+/** State and effects during the handling of one event. */
 export interface Draft {
   readonly state: Mutable<state.State>;
   readonly effects: state.Effect[];
@@ -18,17 +18,17 @@
   readonly selfMessages: schema.LogMessage[];
 }
 
-/** Starts a step. */
+/** Creates the draft of a step. */
 export function create(from: state.State, now: number): Draft {
   return { state: { ...from }, effects: [], now, selfMessages: [] };
 }
 
 type Unaddressed<T> = T extends unknown ? Omit<T, "from" | "to"> : never;
 
-/** A message less its addresses. */
+/** A message without its sender and recipient. */
 export type Content = Unaddressed<schema.LogMessage>;
 
-/** Sends at once. */
+/** Sends a message at once. */
 export function send(draft: Draft, to: string, content: Content): void {
   draft.effects.push({
     type: "send",
@@ -37,7 +37,7 @@
   });
 }
 
-/** Sends to whichever folder a host has now. */
+/** Sends a message to the replica of a host, whatever its incarnation. */
 export function sendHost(draft: Draft, host: string, content: Content): void {
   draft.effects.push({
     type: "send",
@@ -46,7 +46,7 @@
   });
 }
 
-/** Sends once all that was asked to be written so far is durable. */
+/** Sends a message once all writes requested so far are durable. */
 export function sendWhenDurable(
   draft: Draft,
   to: string,
@@ -54,43 +54,48 @@
 ): void {
   const { state } = draft;
   const body = address(draft, replicaId.incarnation(to), content);
-  const held = { write: state.written, to, body };
-  if (state.written === state.synced) release(draft, held);
-  else state.deferred = [...state.deferred, held];
+  const message = { write: state.written, to, body };
+  if (state.written === state.synced) release(draft, message);
+  else state.deferred = [...state.deferred, message];
 }
 
-/** Asks for a record to be made durable. */
+/** Requests the write of a record. */
 export function persist(draft: Draft, record: state.LogRecord): void {
   const write = ++draft.state.written;
   draft.effects.push({ type: "persist", write, record });
 }
 
-/** Lets go what waited for writes up to `write`. */
+/** Sends the messages that were deferred until write `write` or an earlier one
+ * became durable. */
 export function handleSynced(draft: Draft, write: number): void {
   const { state } = draft;
   state.synced = Math.max(state.synced, write);
-  const ready = state.deferred.filter((held) => held.write <= state.synced);
-  state.deferred = state.deferred.filter((held) => held.write > state.synced);
-  ready.forEach((held) => release(draft, held));
+  const ready = state.deferred.filter((message) =>
+    message.write <= state.synced
+  );
+  state.deferred = state.deferred.filter((message) =>
+    message.write > state.synced
+  );
+  ready.forEach((message) => release(draft, message));
 }
 
-/** The members that the last entry about them names. */
+/** Returns the latest set of members in the log, committed or not. */
 export function currentMembers(from: state.State): schema.Members {
   return from.configurations.at(-1)?.members ?? members.NONE;
 }
 
-/** The voters but for the replica itself. */
+/** Returns the voters other than the replica itself. */
 export function otherVoters(from: state.State): string[] {
   const { voters } = currentMembers(from);
   return voters.filter((id) => id !== from.id);
 }
 
-/** Whether the replica itself may stand for election. */
+/** Whether the replica is a voter. */
 export function isVoter(from: state.State): boolean {
   return currentMembers(from).voters.includes(from.id);
 }
 
-/** Puts off the next election by a random time. */
+/** Restarts the election timer with a random timeout. */
 export function resetElectionTimer(draft: Draft): void {
   const { timing, random } = draft.state;
   const spread = timing.maxElectionTimeout - timing.minElectionTimeout;
@@ -98,9 +103,10 @@
   draft.state.electionAt = draft.now + wait;
 }
 
-/** Puts off the next try of one that stands for election. Nothing safe hangs on
- * it: voters wait for the lease by what they have heard. So it is half as long
- * at least, for a split vote to cost less. */
+/** Restarts the election timer of a candidate. Its lower bound is half the
+ * minimum election timeout, so that a split vote is retried sooner. This does
+ * not affect safety: the lease is protected by voters, which ignore candidates
+ * for the minimum election timeout after they last heard the leader. */
 export function resetRetryTimer(draft: Draft): void {
   const { timing, random } = draft.state;
   const spread = timing.maxElectionTimeout - timing.minElectionTimeout;
@@ -108,21 +114,21 @@
   draft.state.electionAt = draft.now + wait;
 }
 
-/** Changes the role, and says so if anything is new about it. */
+/** Sets the role and the known leader, and reports a change. */
 export function setRole(
   draft: Draft,
   role: state.Role,
   leader?: string,
 ): void {
   const { state } = draft;
-  const same = state.role === role && state.leader === leader;
+  const isUnchanged = state.role === role && state.leader === leader;
   state.role = role;
   state.leader = leader;
-  if (same) return;
+  if (isUnchanged) return;
   draft.effects.push({ type: "role", role, term: state.term, leader });
 }
 
-/** Turns follower in `term`; a new term is made durable without a vote. */
+/** Becomes a follower in `term`; a new term is persisted without a vote. */
 export function becomeFollower(
   draft: Draft,
   term: number,
@@ -144,9 +150,9 @@
   setRole(draft, "follower", leader);
 }
 
-function release(draft: Draft, held: state.DeferredMessage): void {
-  if (held.to === draft.state.id) draft.selfMessages.push(held.body);
-  else draft.effects.push({ type: "send", to: held.to, body: held.body });
+function release(draft: Draft, message: state.DeferredMessage): void {
+  if (message.to === draft.state.id) draft.selfMessages.push(message.body);
+  else draft.effects.push({ type: "send", to: message.to, body: message.body });
 }
 
 function address(draft: Draft, to: string, content: Content) {
--- a/src/control/log/dump.ts
+++ b/src/control/log/dump.ts
@@ -1,4 +1,4 @@
-/** A replica as people read it.
+/** Summary of a replica for state dumps.
  * @module */
 
 import type * as schema from "../../schema/log_types.ts";
@@ -6,7 +6,7 @@
 import type * as replicas from "./replica.ts";
 import type * as state from "./state.ts";
 
-/** Part of a dump that tells of a replica. */
+/** Summary of a replica. */
 export interface Dump {
   readonly id: schema.ReplicaId;
   readonly role: state.Role;
@@ -17,13 +17,13 @@
   readonly last: number;
   /** Index of the last snapshot; 0 without one. */
   readonly snapshot: number;
-  /** Milliseconds that the lease still lasts; 0 without one. */
+  /** Milliseconds until the lease expires; 0 without one. */
   readonly lease: number;
-  /** Last durable index of each other member, on the leader. */
+  /** Last durable index of each other member; only on the leader. */
   readonly matches: Readonly<Record<string, number>>;
 }
 
-/** Describes a replica. */
+/** Summarizes a replica. */
 export function dump(replica: replicas.Replica, now: number): Dump {
   const { state, members } = replica;
   const { id, role, term, leader, commit, log, snapshot, progress } = state;
--- a/src/control/log/election.ts
+++ b/src/control/log/election.ts
@@ -1,4 +1,4 @@
-/** Elections: pre-vote, vote, and the first election of all.
+/** Raft elections with pre-vote, and the bootstrap election of a new log.
  * @module */
 
 import type * as schema from "../../schema/log_types.ts";
@@ -9,18 +9,20 @@
 import * as replication from "./replication.ts";
 import type * as state from "./state.ts";
 
-/** Acts when no leader was heard for an election timeout. */
+/** Starts a pre-vote or a bootstrap election and probes the other hosts when no
+ * leader was heard within the election timeout. */
 export function handleElectionTimeout(draft: drafts.Draft): void {
   drafts.resetElectionTimer(draft);
   const { state } = draft;
   state.incomingSnapshot = undefined;
   if (drafts.isVoter(state)) startPreVote(draft);
-  else if (mayFound(state)) return startElection(draft, foundersOf(state));
-  else drafts.becomeFollower(draft, state.term);
-  probe(draft);
+  else if (mayBootstrap(state)) {
+    return startElection(draft, initialVotersOf(state));
+  } else drafts.becomeFollower(draft, state.term);
+  sendProbes(draft);
 }
 
-/** Stands for election without a pre-vote, as the leader has asked. */
+/** Starts an election without a pre-vote at the leader's request. */
 export function handleTimeoutNow(
   draft: drafts.Draft,
   from: string,
@@ -31,14 +33,15 @@
   if (drafts.isVoter(state)) startElection(draft, undefined, true);
 }
 
-/** Answers a candidate. One that is not heeded gets no answer. */
+/** Answers a vote request. A request that arrives while a leader is active is
+ * ignored, unless the leader itself transfers leadership. */
 export function handleVoteRequest(
   draft: drafts.Draft,
   from: string,
   body: schema.VoteRequest,
 ): void {
   const { state } = draft;
-  if (!body.transfer && hearsLeader(draft)) return;
+  if (!body.transfer && hasRecentLeader(draft)) return;
   if (body.pre) return answerPreVote(draft, from, body);
   if (body.term > state.term) drafts.becomeFollower(draft, body.term);
   const free = state.vote === undefined || state.vote === from;
@@ -52,7 +55,7 @@
   drafts.sendWhenDurable(draft, from, { type: "vote", term, granted });
 }
 
-/** Counts a vote. */
+/** Counts a vote and completes the election on a majority. */
 export function handleVote(
   draft: drafts.Draft,
   from: string,
@@ -71,7 +74,8 @@
   else replication.becomeLeader(draft);
 }
 
-/** Answers whether this replica's log is empty; notes who wants to join. */
+/** Reports whether this replica's log is empty. On the leader, a probe from a
+ * desired voter that is no member is a request to join. */
 export function handleProbe(draft: drafts.Draft, from: string): void {
   const { state } = draft;
   const empty = isEmpty(state);
@@ -82,7 +86,8 @@
   state.joining = { ...state.joining, [host]: from };
 }
 
-/** Notes an empty log. */
+/** Records whether another replica's log is empty, and starts the bootstrap
+ * election once all are. */
 export function handleProbed(
   draft: drafts.Draft,
   from: string,
@@ -93,8 +98,8 @@
   state.emptyReplicas = body.empty
     ? { ...others, [replicaId.host(from)]: from }
     : others;
-  if (body.empty && mayFound(state) && state.role === "follower") {
-    startElection(draft, foundersOf(state));
+  if (body.empty && mayBootstrap(state) && state.role === "follower") {
+    startElection(draft, initialVotersOf(state));
   }
 }
 
@@ -109,15 +114,19 @@
 
 function startElection(
   draft: drafts.Draft,
-  founders?: readonly string[],
+  initialVoters?: readonly string[],
   transfer?: boolean,
 ): void {
   const { state } = draft;
-  // Terms go on growing when a fleet starts anew because its folders are lost.
-  state.term = Math.max(state.term + 1, founders ? state.minBootstrapTerm : 0);
+  // Terms must not repeat when the log is bootstrapped again after all disks
+  // were lost.
+  state.term = Math.max(
+    state.term + 1,
+    initialVoters ? state.minBootstrapTerm : 0,
+  );
   state.vote = state.id;
   state.votes = [];
-  state.initialVoters = founders;
+  state.initialVoters = initialVoters;
   state.emptyReplicas = {};
   drafts.setRole(draft, "candidate");
   drafts.resetRetryTimer(draft);
@@ -127,20 +136,20 @@
   requestVotes(draft, { term, ...(transfer && { transfer }) });
 }
 
-type Ballot = Pick<schema.VoteRequest, "term" | "pre" | "transfer">;
+type VoteRequestFields = Pick<schema.VoteRequest, "term" | "pre" | "transfer">;
 
-function requestVotes(draft: drafts.Draft, ballot: Ballot): void {
+function requestVotes(draft: drafts.Draft, fields: VoteRequestFields): void {
   const { state } = draft;
   const { index: lastIndex, term: lastTerm } = state.log.last;
   const request = {
     type: "vote-request" as const,
     lastIndex,
     lastTerm,
-    ...ballot,
+    ...fields,
   };
   for (const id of state.initialVoters ?? drafts.otherVoters(state)) {
     if (id === state.id) continue;
-    if (ballot.pre) drafts.send(draft, id, request);
+    if (fields.pre) drafts.send(draft, id, request);
     else drafts.sendWhenDurable(draft, id, request);
   }
 }
@@ -152,9 +161,11 @@
 ): void {
   const { state } = draft;
   const granted = body.term > state.term && isUpToDate(state, body);
-  // Of two that stand at once neither may win where all votes are needed.
-  const yields = granted && state.role === "pre-candidate" && from < state.id;
-  if (yields) {
+  // With simultaneous candidates neither would win if all votes are needed, so
+  // the one with the greater id withdraws.
+  const stepsAside = granted && state.role === "pre-candidate" &&
+    from < state.id;
+  if (stepsAside) {
     drafts.becomeFollower(draft, state.term);
     drafts.resetRetryTimer(draft);
   }
@@ -162,8 +173,9 @@
   drafts.send(draft, from, { type: "vote", term, granted, pre: true });
 }
 
-/** A replica that hears a leader, or is one that is heard, heeds no other. */
-function hearsLeader(draft: drafts.Draft): boolean {
+/** Whether a leader was heard within the minimum election timeout; on a leader,
+ * whether a majority has answered it within that time. */
+function hasRecentLeader(draft: drafts.Draft): boolean {
   const { state, now } = draft;
   const last = state.role === "leader"
     ? lease.lastMajorityContact(state)
@@ -177,7 +189,8 @@
   return body.lastIndex >= index;
 }
 
-/** The first election needs every founder, any other a majority. */
+/** Whether the votes suffice: those of all initial voters in a bootstrap
+ * election, of a majority of the voters in any other. */
 function hasWon(state: state.State): boolean {
   if (state.initialVoters) {
     return state.votes.length === state.initialVoters.length;
@@ -191,8 +204,9 @@
   return state.log.last.index === 0;
 }
 
-/** Only the first host by name founds, once it has found all others empty. */
-function mayFound(state: state.State): boolean {
+/** Whether this replica may bootstrap the log: only the first desired voter by
+ * name does, once all others have reported an empty log. */
+function mayBootstrap(state: state.State): boolean {
   const host = replicaId.host(state.id);
   const first = [...state.desiredVoters].sort()[0];
   const others = state.desiredVoters.filter((other) => other !== host);
@@ -200,24 +214,24 @@
     others.every((other) => state.emptyReplicas[other] !== undefined);
 }
 
-function foundersOf(state: state.State): string[] {
+function initialVotersOf(state: state.State): string[] {
   const own = replicaId.host(state.id);
   return state.desiredVoters.map((host) =>
     host === own ? state.id : state.emptyReplicas[host]
   );
 }
 
-/** Hosts that a replica which is no member asks to be taken in. Only a leader
- * takes in, and any voter may lead: the hosts that the settings name, which is
- * what they were at some time, are not enough. */
+/** Hosts that a replica which is no member probes to be added. Only the leader
+ * adds members, and it may run on a host that this replica's settings, which
+ * may be outdated, don't name; so the other known hosts are probed too. */
 export function probeTargets(
-  { desiredVoters: hosts, knownHosts: contacts }: state.State,
+  { desiredVoters, knownHosts }: state.State,
 ): string[] {
-  return [...new Set([...hosts, ...contacts])];
+  return [...new Set([...desiredVoters, ...knownHosts])];
 }
 
-/** Asks all hosts that may know better, but for the own one. */
-function probe(draft: drafts.Draft): void {
+/** Probes all other hosts that may run a replica. */
+function sendProbes(draft: drafts.Draft): void {
   const { state } = draft;
   const own = replicaId.host(state.id);
   state.emptyReplicas = {};
--- a/src/control/log/entries.ts
+++ b/src/control/log/entries.ts
@@ -1,9 +1,9 @@
-/** The part of the log held in memory, as an immutable value.
+/** In-memory part of the log as an immutable value.
  * @module */
 
 import type * as schema from "../../schema/log_types.ts";
 
-/** An index and the term of the entry that stands there. */
+/** An index of the log and the term of the entry at that index. */
 export interface Position {
   readonly index: number;
   readonly term: number;
@@ -13,13 +13,14 @@
 
 const CHUNK_BITS = 6;
 const CHUNK_MASK = (1 << CHUNK_BITS) - 1;
-const ZERO: Position = { index: 0, term: 0 };
+const ORIGIN: Position = { index: 0, term: 0 };
 
-/** Entries after `base`. Changes copy one chunk, not the whole log. */
+/** Log entries after `base`, stored in chunks so that a change copies only the
+ * affected chunks. */
 export class Entries {
-  /** Last position that is no longer held. */
+  /** Position before the first entry held. */
   readonly base: Position;
-  /** Last position held; `base` when there is none. */
+  /** Position of the last entry, or `base` if there are no entries. */
   readonly last: Position;
   readonly #chunks: readonly Chunk[];
 
@@ -29,24 +30,24 @@
     this.#chunks = chunks;
   }
 
-  /** No entries after `base`. */
-  static create(base: Position = ZERO): Entries {
+  /** Creates an empty log after `base`. */
+  static create(base: Position = ORIGIN): Entries {
     return new Entries(base, base, []);
   }
 
-  /** The entry at `index`, or undefined when it is not held. */
+  /** Returns the entry at `index`, or undefined if it is not held. */
   at(index: number): schema.Entry | undefined {
     if (index <= this.base.index || index > this.last.index) return undefined;
-    return this.#chunks[this.#place(index)][index & CHUNK_MASK];
+    return this.#chunks[this.#chunkIndex(index)][index & CHUNK_MASK];
   }
 
-  /** The term at `index`, or undefined when it is not known. */
+  /** Returns the term at `index`, or undefined if it is not known. */
   term(index: number): number | undefined {
     if (index === this.base.index) return this.base.term;
     return this.at(index)?.term;
   }
 
-  /** Entries from `from` up to and including `to`, as far as held. */
+  /** Returns the entries held from `from` up to and including `to`. */
   slice(from: number, to: number): schema.Entry[] {
     const result: schema.Entry[] = [];
     const end = Math.min(to, this.last.index);
@@ -56,30 +57,32 @@
     return result;
   }
 
-  /** Adds entries that follow on the last one. */
+  /** Appends entries, the first of which directly follows the last one held. */
   append(entries: readonly schema.Entry[]): Entries {
     if (entries.length === 0) return this;
     const chunks = this.#chunks.slice() as schema.Entry[][];
     const copied = new Set<number>();
     for (const entry of entries) {
-      const place = this.#place(entry.index);
-      if (!copied.has(place)) chunks[place] = (chunks[place] ?? []).slice();
-      copied.add(place);
-      chunks[place][entry.index & CHUNK_MASK] = entry;
+      const chunkIndex = this.#chunkIndex(entry.index);
+      if (!copied.has(chunkIndex)) {
+        chunks[chunkIndex] = (chunks[chunkIndex] ?? []).slice();
+      }
+      copied.add(chunkIndex);
+      chunks[chunkIndex][entry.index & CHUNK_MASK] = entry;
     }
     const { index, term } = entries[entries.length - 1];
     return new Entries(this.base, { index, term }, chunks);
   }
 
-  /** Drops the entries from `from` on. */
+  /** Removes the entries from `from` on. */
   truncate(from: number): Entries {
     const index = from - 1;
     const last = { index, term: this.term(index)! };
-    const count = index === this.base.index ? 0 : this.#place(index) + 1;
+    const count = index === this.base.index ? 0 : this.#chunkIndex(index) + 1;
     return new Entries(this.base, last, this.#chunks.slice(0, count));
   }
 
-  /** Drops the entries up to and including `index`. */
+  /** Removes the entries up to and including `index`. */
   compact(index: number): Entries {
     const base = { index, term: this.term(index)! };
     const first = (index + 1) >> CHUNK_BITS;
@@ -87,7 +90,7 @@
     return new Entries(base, this.last, this.#chunks.slice(dropped));
   }
 
-  #place(index: number): number {
+  #chunkIndex(index: number): number {
     return (index >> CHUNK_BITS) - ((this.base.index + 1) >> CHUNK_BITS);
   }
 }
--- a/src/control/log/entries_test.ts
+++ b/src/control/log/entries_test.ts
@@ -2,7 +2,7 @@
 import * as fc from "fast-check";
 import * as entries from "./entries.ts";
 
-/** Entries as a plain list, to compare with. */
+/** Reference model: the terms as a plain array. */
 interface Naive {
   base: number;
   terms: number[];
@@ -39,7 +39,7 @@
   },
 );
 
-test("holds the same entries as a plain list", (t) => {
+test("holds the same entries as a plain array under random changes", (t) => {
   const changes = fc.array(fc.oneof(append, append, truncate, compact));
   const property = fc.property(changes, fc.nat(200), (list, base) => {
     const naive: Naive = { base, terms: [] };
--- a/src/control/log/entry_size.ts
+++ b/src/control/log/entry_size.ts
@@ -1,12 +1,12 @@
-/** Sizes of entries as JSON, each measured once.
+/** Limits the size of a batch of entries, by their cached JSON length.
  * @module */
 
 import type * as schema from "../../schema/log_types.ts";
 
 const sizes = new WeakMap<schema.Entry, number>();
 
-/** The first entries that together take at most `most` characters; at least
- * one, so that a large one gets through. */
+/** Returns the longest prefix of `entries` of at most `most` characters in
+ * total, but at least one entry, so that an oversized entry is still sent. */
 export function limitSize(
   entries: readonly schema.Entry[],
   most: number,
--- a/src/control/log/errors.ts
+++ b/src/control/log/errors.ts
@@ -1,7 +1,8 @@
 /** Errors of the replicated log.
  * @module */
 
-/** Why the log could not answer. Only `unknown` may have taken effect. */
+/** Reason of a failure. Only after `unknown` may a proposed command have taken
+ * effect. */
 export type LogFault =
   | "not-leader"
   | "no-quorum"
@@ -11,11 +12,11 @@
   | "contradiction"
   | "stopped";
 
-/** A proposal, a read or the journal failed. */
+/** Failure of a proposal, a read or the journal. */
 export class LogError extends Error {
   override readonly name = "LogError";
   readonly kind: LogFault;
-  /** Host that leads now, where it is known. */
+  /** Host of the current leader, if known. */
   readonly leader?: string;
 
   constructor(kind: LogFault, message: string, options: LogErrorOptions = {}) {
@@ -24,7 +25,7 @@
     this.leader = options.leader;
   }
 
-  /** The error of a kind, with the usual words. */
+  /** Creates an error with the default message of its kind. */
   static ofKind(
     kind: LogFault,
     leader?: string,
@@ -34,18 +35,18 @@
   }
 }
 
-/** What else is known of a failure. */
+/** Details of a failure. */
 export interface LogErrorOptions {
   leader?: string;
   cause?: unknown;
 }
 
 const REFUSALS: Record<LogFault, string> = {
-  "not-leader": "another host leads the log",
-  "no-quorum": "no majority of the log answers",
-  unknown: "leadership was lost before the command was seen committed",
-  damaged: "the journal is damaged",
-  storage: "the journal cannot be written",
-  contradiction: "what this replica holds contradicts the log",
-  stopped: "the log has stopped on this host",
+  "not-leader": "this host is not the leader of the log",
+  "no-quorum": "no majority of the log's voters answers",
+  unknown: "leadership was lost before the command was known to be committed",
+  damaged: "the journal is corrupt",
+  storage: "the journal could not be written",
+  contradiction: "the state of this replica is inconsistent with the log",
+  stopped: "the replica on this host has stopped",
 };
--- a/src/control/log/follower.ts
+++ b/src/control/log/follower.ts
@@ -1,4 +1,4 @@
-/** The follower's part in replication: takes what the leader sends.
+/** Follower side of replication: handles the leader's messages.
  * @module */
 
 import type * as schema from "../../schema/log_types.ts";
@@ -6,10 +6,15 @@
 import * as replication from "./replication.ts";
 import * as snapshots from "./snapshots.ts";
 
-type FromLeader = schema.Append | schema.Heartbeat | schema.SnapshotChunk;
+type LeaderMessage = schema.Append | schema.Heartbeat | schema.SnapshotChunk;
 
-/** Follows the leader of `body`; returns false when its term has passed. */
-function heed(draft: drafts.Draft, from: string, body: FromLeader): boolean {
+/** Follows the sender as leader of the message's term. Returns false, and
+ * reports the current term to the sender, if that term is outdated. */
+function acceptLeader(
+  draft: drafts.Draft,
+  from: string,
+  body: LeaderMessage,
+): boolean {
   const { state, now } = draft;
   if (body.term < state.term) {
     const { term } = state;
@@ -22,52 +27,53 @@
   return true;
 }
 
-/** Answers a sign of life. */
+/** Handles a heartbeat. */
 export function handleHeartbeat(
   draft: drafts.Draft,
   from: string,
   body: schema.Heartbeat,
 ): void {
-  if (!heed(draft, from, body)) return;
+  if (!acceptLeader(draft, from, body)) return;
   replication.setCommit(draft, body.commit);
   const { term, at } = body;
   drafts.send(draft, from, { type: "heartbeat-reply", term, at });
 }
 
-/** Takes a chunk of a snapshot. */
+/** Handles a chunk of a snapshot. */
 export function handleChunk(
   draft: drafts.Draft,
   from: string,
   body: schema.SnapshotChunk,
 ): void {
-  if (heed(draft, from, body)) snapshots.handleChunk(draft, from, body);
+  if (acceptLeader(draft, from, body)) snapshots.handleChunk(draft, from, body);
 }
 
-/** Takes entries if they follow on what is here. */
+/** Handles an append: accepts the entries if the log has the entry before them,
+ * and otherwise answers with the index to continue from. */
 export function handleAppend(
   draft: drafts.Draft,
   from: string,
   body: schema.Append,
 ): void {
-  if (!heed(draft, from, body)) return;
+  if (!acceptLeader(draft, from, body)) return;
   const { state } = draft;
   const { term, previous, at } = body;
-  const known = previous < state.log.base.index ||
+  const hasPrevious = previous < state.log.base.index ||
     state.log.term(previous) === body.previousTerm;
-  if (!known) {
-    const match = retryAt(draft, previous);
+  if (!hasPrevious) {
+    const match = lastPossibleMatch(draft, previous);
     const refusal = { type: "appended" as const, ok: false, match };
     return drafts.send(draft, from, { ...refusal, term, previous, at });
   }
-  take(draft, body.entries);
+  appendNew(draft, body.entries);
   const match = previous + body.entries.length;
   replication.setCommit(draft, Math.min(body.commit, match));
   const reply = { type: "appended" as const, ok: true, match };
   drafts.sendWhenDurable(draft, from, { ...reply, term, previous, at });
 }
 
-/** Adds the entries that are new, in place of any that contradict them. */
-function take(draft: drafts.Draft, sent: readonly schema.Entry[]): void {
+/** Appends the entries that are new, after removing conflicting ones. */
+function appendNew(draft: drafts.Draft, sent: readonly schema.Entry[]): void {
   const { state } = draft;
   const first = sent.findIndex(({ index, term }) =>
     index > state.log.base.index && state.log.term(index) !== term
@@ -76,7 +82,7 @@
   const entries = sent.slice(first);
   const { index } = entries[0];
   if (index <= state.commit) {
-    throw new Error(`entry ${index} is committed and would be replaced`);
+    throw new Error(`append would replace entry ${index}, which is committed`);
   }
   if (index <= state.log.last.index) {
     state.log = state.log.truncate(index);
@@ -89,8 +95,8 @@
   drafts.persist(draft, { type: "entries", entries });
 }
 
-/** The last index at which the leader's log may still match. */
-function retryAt(draft: drafts.Draft, previous: number): number {
+/** Returns the last index at which this log may match the leader's. */
+function lastPossibleMatch(draft: drafts.Draft, previous: number): number {
   const { log, commit } = draft.state;
   if (previous > log.last.index) return log.last.index;
   const term = log.term(previous);
--- a/src/control/log/journal.ts
+++ b/src/control/log/journal.ts
@@ -1,9 +1,9 @@
-/** What a replica keeps on its disk: one snapshot, and one segment of records
- * that follow on it.
+/** Persistent state of a replica: one snapshot, and one segment of records after
+ * it.
  *
- * A segment starts with all that is needed beside its snapshot, the identity
- * of the folder included, so that a folder that has lost its segment has lost
- * its identity too. Each write is one line; only the last can be torn.
+ * The header of a segment contains everything needed besides its snapshot,
+ * including the replica's id, so that a data folder that has lost its segment
+ * has lost its id too. Each write is one line; only the last can be torn.
  * @module */
 
 import type * as runtime from "../../runtime/mod.ts";
@@ -13,68 +13,73 @@
 import * as replicaId from "./replica_id.ts";
 import type * as state from "./state.ts";
 
-/** First record of a segment. */
-interface Start {
+/** First line of a segment. */
+interface SegmentHeader {
   readonly type: "start";
   readonly id: schema.ReplicaId;
-  /** Index of the snapshot that the segment follows on; 0 without one. */
+  /** Index of the snapshot that the segment follows; 0 without one. */
   readonly snapshot: number;
   readonly term: number;
   readonly vote?: string;
   readonly entries: readonly schema.Entry[];
 }
 
-type Small = Exclude<state.LogRecord, { type: "snapshot" }>;
+type SegmentRecord = Exclude<state.LogRecord, { type: "snapshot" }>;
 
-/** What a journal is opened with. */
+/** Options of a journal. */
 export interface JournalOptions {
   readonly host: string;
-  /** Incarnation for a folder that has none: random, in hex digits. */
+  /** Incarnation given to an empty data folder: random, in hex digits. */
   readonly incarnation: string;
 }
 
-const SEGMENT = "segment-";
-const SNAPSHOT = "snapshot-";
-const DIGITS = 16;
+const SEGMENT_PREFIX = "segment-";
+const SNAPSHOT_PREFIX = "snapshot-";
+const NAME_DIGITS = 16;
 
-/** The open journal of a replica; one write at a time. */
+/** Open journal of a replica. Only one write may run at a time. */
 export class Journal {
   readonly id: schema.ReplicaId;
-  /** What stood on the disk at the start. */
+  /** State recovered when the journal was opened. */
   readonly durable: state.Durable;
   readonly #storage: runtime.Storage;
   #segment: number;
   #lines: number;
 
-  private constructor(storage: runtime.Storage, found: Found) {
+  private constructor(storage: runtime.Storage, loaded: LoadedJournal) {
     this.#storage = storage;
-    this.id = found.id;
-    this.durable = found.durable;
-    this.#segment = found.segment;
-    this.#lines = found.lines;
+    this.id = loaded.id;
+    this.durable = loaded.durable;
+    this.#segment = loaded.segment;
+    this.#lines = loaded.lines;
   }
 
-  /** Opens the journal in a data folder; an empty folder gets an identity. */
+  /** Opens the journal in a data folder. An empty folder gets a new replica
+   * id. */
   static async open(
     storage: runtime.Storage,
     options: JournalOptions,
   ): Promise<Journal> {
     const names = await storage.list();
-    const segments = numbers(names, SEGMENT);
+    const segments = fileNumbers(names, SEGMENT_PREFIX);
     const segment = segments.at(-1);
     if (segment === undefined) {
-      if (numbers(names, SNAPSHOT).length > 0) {
-        throw new errors.LogError("damaged", "a snapshot stands alone");
+      if (fileNumbers(names, SNAPSHOT_PREFIX).length > 0) {
+        throw new errors.LogError(
+          "damaged",
+          "the data folder has a snapshot but no segment",
+        );
       }
       return Journal.#create(storage, options);
     }
-    const found = await load(storage, segment);
-    if (replicaId.host(found.id) !== options.host) {
-      const message = `the data folder is that of ${found.id}`;
+    const loaded = await load(storage, segment);
+    if (replicaId.host(loaded.id) !== options.host) {
+      const message =
+        `the data folder belongs to replica ${loaded.id}, not to this host`;
       throw new errors.LogError("damaged", message);
     }
-    const journal = new Journal(storage, found);
-    await journal.#removeOld(found.durable.snapshot?.position.index ?? 0);
+    const journal = new Journal(storage, loaded);
+    await journal.#removeObsolete(loaded.durable.snapshot?.position.index ?? 0);
     return journal;
   }
 
@@ -84,28 +89,28 @@
   ): Promise<Journal> {
     const id = replicaId.create(host, incarnation);
     const durable = { term: 0, entries: [] };
-    const found = { id, durable, segment: 0, lines: 0 };
-    const journal = new Journal(storage, found);
-    await journal.#begin({ snapshot: 0, term: 0, entries: [] });
+    const loaded = { id, durable, segment: 0, lines: 0 };
+    const journal = new Journal(storage, loaded);
+    await journal.#startSegment({ snapshot: 0, term: 0, entries: [] });
     return journal;
   }
 
-  /** Writes records; resolves once they are synced. */
+  /** Writes records and resolves once they are synced. */
   async write(records: readonly state.LogRecord[]): Promise<void> {
-    let small: Small[] = [];
-    for (const one of records) {
-      if (one.type !== "snapshot") {
-        small.push(one);
+    let pending: SegmentRecord[] = [];
+    for (const entry of records) {
+      if (entry.type !== "snapshot") {
+        pending.push(entry);
         continue;
       }
-      await this.#append(small);
-      small = [];
-      await this.#compact(one);
+      await this.#append(pending);
+      pending = [];
+      await this.#compact(entry);
     }
-    await this.#append(small);
+    await this.#append(pending);
   }
 
-  async #append(records: readonly Small[]): Promise<void> {
+  async #append(records: readonly SegmentRecord[]): Promise<void> {
     if (records.length === 0) return;
     const line = record.encode(this.#lines++, records);
     await this.#storage.append(segmentName(this.#segment), line);
@@ -120,29 +125,31 @@
     const { index } = snapshot.position;
     const bytes = record.encode(0, snapshot);
     await this.#storage.replace(snapshotName(index), bytes);
-    await this.#begin({ snapshot: index, term, vote, entries });
-    await this.#removeOld(index);
+    await this.#startSegment({ snapshot: index, term, vote, entries });
+    await this.#removeObsolete(index);
   }
 
-  async #begin(start: Omit<Start, "type" | "id">): Promise<void> {
-    const first: Start = { type: "start", id: this.id, ...start };
+  async #startSegment(
+    header: Omit<SegmentHeader, "type" | "id">,
+  ): Promise<void> {
+    const fields: SegmentHeader = { type: "start", id: this.id, ...header };
     const name = segmentName(++this.#segment);
-    await this.#storage.replace(name, record.encode(0, first));
+    await this.#storage.replace(name, record.encode(0, fields));
     this.#lines = 1;
   }
 
-  async #removeOld(snapshot: number): Promise<void> {
+  async #removeObsolete(snapshot: number): Promise<void> {
     const names = await this.#storage.list();
-    const segments = numbers(names, SEGMENT)
+    const segments = fileNumbers(names, SEGMENT_PREFIX)
       .filter((number) => number !== this.#segment);
-    const snapshots = numbers(names, SNAPSHOT)
+    const snapshots = fileNumbers(names, SNAPSHOT_PREFIX)
       .filter((number) => number !== snapshot);
     for (const old of segments) await this.#storage.remove(segmentName(old));
     for (const old of snapshots) await this.#storage.remove(snapshotName(old));
   }
 }
 
-interface Found {
+interface LoadedJournal {
   readonly id: schema.ReplicaId;
   readonly durable: state.Durable;
   readonly segment: number;
@@ -152,16 +159,16 @@
 async function load(
   storage: runtime.Storage,
   segment: number,
-): Promise<Found> {
+): Promise<LoadedJournal> {
   const file = segmentName(segment);
   const bytes = (await storage.read(file))!;
   const { lines, length } = record.decode(file, bytes);
-  const start = lines[0]?.value as Start | undefined;
-  if (start?.type !== "start") throw record.damaged(file, 0);
-  const snapshot = await loadSnapshot(storage, start.snapshot);
+  const header = lines[0]?.value as SegmentHeader | undefined;
+  if (header?.type !== "start") throw record.damaged(file, 0);
+  const snapshot = await loadSnapshot(storage, header.snapshot);
   if (length < bytes.length) await storage.truncate(file, length);
-  const durable = replay(file, start, { lines: lines.slice(1), snapshot });
-  return { id: start.id, durable, segment, lines: lines.length };
+  const durable = replay(file, header, { lines: lines.slice(1), snapshot });
+  return { id: header.id, durable, segment, lines: lines.length };
 }
 
 async function loadSnapshot(
@@ -179,22 +186,22 @@
   return lines[0].value as state.Snapshot;
 }
 
-interface Rest {
+interface SegmentContent {
   readonly lines: readonly record.Line[];
   readonly snapshot?: state.Snapshot;
 }
 
 function replay(
   file: string,
-  start: Start,
-  { lines, snapshot }: Rest,
+  header: SegmentHeader,
+  { lines, snapshot }: SegmentContent,
 ): state.Durable {
-  let { term, vote } = start;
-  const entries = [...start.entries];
+  let { term, vote } = header;
+  const entries = [...header.entries];
   for (const { offset, value } of lines) {
-    for (const one of value as Small[]) {
-      if (one.type === "vote") ({ term, vote } = one);
-      else replace(entries, one.entries, { file, offset, start });
+    for (const entry of value as SegmentRecord[]) {
+      if (entry.type === "vote") ({ term, vote } = entry);
+      else replace(entries, entry.entries, { file, offset, header });
     }
   }
   return { term, vote, snapshot, entries };
@@ -203,15 +210,19 @@
 function replace(
   entries: schema.Entry[],
   added: readonly schema.Entry[],
-  { file, offset, start }: { file: string; offset: number; start: Start },
+  { file, offset, header }: {
+    file: string;
+    offset: number;
+    header: SegmentHeader;
+  },
 ): void {
-  const count = added[0].index - start.snapshot - 1;
+  const count = added[0].index - header.snapshot - 1;
   if (count < 0 || count > entries.length) throw record.damaged(file, offset);
   entries.length = count;
   entries.push(...added);
 }
 
-function numbers(names: readonly string[], prefix: string): number[] {
+function fileNumbers(names: readonly string[], prefix: string): number[] {
   return names
     .filter((name) => name.startsWith(prefix))
     .map((name) => parseInt(name.slice(prefix.length), 10))
@@ -219,9 +230,9 @@
 }
 
 function segmentName(number: number): string {
-  return `${SEGMENT}${String(number).padStart(DIGITS, "0")}`;
+  return `${SEGMENT_PREFIX}${String(number).padStart(NAME_DIGITS, "0")}`;
 }
 
 function snapshotName(index: number): string {
-  return `${SNAPSHOT}${String(index).padStart(DIGITS, "0")}`;
+  return `${SNAPSHOT_PREFIX}${String(index).padStart(NAME_DIGITS, "0")}`;
 }
--- a/src/control/log/journal_test.ts
+++ b/src/control/log/journal_test.ts
@@ -24,7 +24,7 @@
   return (await disk.list()).find((name) => name.startsWith("segment-"))!;
 }
 
-test("finds what was written, under the same identity", async (t) => {
+test("recovers written records under the same replica id", async (t) => {
   const disk = storage.MemoryStorage.create();
   await writeSome(disk);
   const again = await log.Journal.open(disk, { host: "a", incarnation: "2" });
@@ -34,7 +34,7 @@
   t.deepEqual(again.durable.entries, createEntries(1, 4));
 });
 
-test("gives an empty folder a new identity", async (t) => {
+test("gives an empty data folder a new replica id", async (t) => {
   const disk = storage.MemoryStorage.create();
   await writeSome(disk);
   const other = storage.MemoryStorage.create();
@@ -46,7 +46,7 @@
   t.deepEqual(journal.durable, { term: 0, entries: [] });
 });
 
-test("lets entries replace those from the same index on", async (t) => {
+test("entries replace stored entries from the same index on", async (t) => {
   const disk = storage.MemoryStorage.create();
   await writeSome(disk);
   const journal = await log.Journal.open(disk, OPTIONS);
@@ -58,11 +58,11 @@
 
 for (
   const [name, tear] of [
-    ["cut off", { type: "cut", bytes: 40 }],
-    ["partly unwritten", { type: "zeros", bytes: 30 }],
+    ["truncated", { type: "cut", bytes: 40 }],
+    ["partly zero-filled", { type: "zeros", bytes: 30 }],
   ] as [string, storage.TornWrite][]
 ) {
-  test(`repairs a last record that is ${name}`, async (t) => {
+  test(`removes a last record that is ${name}`, async (t) => {
     const disk = storage.MemoryStorage.create();
     await writeSome(disk);
     const journal = await log.Journal.open(disk, OPTIONS);
@@ -83,7 +83,7 @@
   });
 }
 
-test("refuses damage before the end and names the place", async (t) => {
+test("rejects corruption before the last record and reports its offset", async (t) => {
   const disk = storage.MemoryStorage.create();
   await writeSome(disk);
   const segment = await segmentOf(disk);
@@ -95,7 +95,7 @@
   t.true(failure.message.includes(`${segment} is damaged at byte ${start}`));
 });
 
-test("refuses a whole last record that does not match its checksum", async (t) => {
+test("rejects a complete last record whose checksum does not match", async (t) => {
   const disk = storage.MemoryStorage.create();
   await writeSome(disk);
   const segment = await segmentOf(disk);
@@ -104,12 +104,12 @@
   t.is((failure as log.LogError).kind, "damaged");
 });
 
-test("refuses the folder of another host", async (t) => {
+test("rejects the data folder of another host", async (t) => {
   const disk = storage.MemoryStorage.create();
   await writeSome(disk);
   const options = { host: "b", incarnation: "1" };
   await t.throwsAsync(log.Journal.open(disk, options), {
-    message: /that of a~1/,
+    message: /belongs to replica a~1/,
   });
 });
 
@@ -139,7 +139,7 @@
   });
 });
 
-test("survives a crash between any two writes of a snapshot", async (t) => {
+test("recovers from a crash between any two writes of a snapshot", async (t) => {
   for (let count = 0; count < 4; count++) {
     const first = storage.MemoryStorage.create();
     await writeSome(first);
--- a/src/control/log/lease.ts
+++ b/src/control/log/lease.ts
@@ -1,16 +1,18 @@
-/** The leader's lease, by its own clock.
+/** Leader lease, measured by the leader's own clock.
  *
  * A voter that has heard the leader takes part in no election for at least
- * `electionLeast`. It heard the leader no earlier than the leader sent the
- * message that it answers, so `lease` after that sending, no other can have
- * been elected unless clocks differ by more than the margin between the two.
+ * `minElectionTimeout`. It heard the leader no earlier than the leader sent the
+ * message that the voter answered. So within `lease` after that sending no other
+ * leader can be elected, unless the clocks' rates differ by more than the margin
+ * between the two durations.
  * @module */
 
 import * as drafts from "./draft.ts";
 import * as members from "./members.ts";
 import type * as state from "./state.ts";
 
-/** When a leader was last heard by a majority, by its own clock. */
+/** Returns the leader's time of the latest message that a majority of the voters
+ * has answered. */
 export function lastMajorityContact(from: state.State): number {
   const { voters } = drafts.currentMembers(from);
   return members.majorityValue(voters, (id) => {
@@ -19,16 +21,19 @@
   });
 }
 
-/** When the lease ends; `-Infinity` on a replica that has none. */
+/** Returns the expiry time of the lease; `-Infinity` without one. */
 export function expiry(from: state.State): number {
   if (from.role !== "leader" || from.transferDeadline !== undefined) {
     return -Infinity;
   }
-  const last = lastMajorityContact(from);
-  return last < from.leaseNotBefore ? -Infinity : last + from.timing.lease;
+  const lastContact = lastMajorityContact(from);
+  return lastContact < from.leaseNotBefore
+    ? -Infinity
+    : lastContact + from.timing.lease;
 }
 
-/** Whether the lease is held at `now`, which must be read afresh. */
+/** Whether the lease is held at `now`, which must be a fresh reading of the
+ * clock. */
 export function isHeld(from: state.State, now: number): boolean {
   return now < expiry(from);
 }
--- a/src/control/log/members.ts
+++ b/src/control/log/members.ts
@@ -1,24 +1,25 @@
-/** Sets of members, and how a leader changes them by one member at a time.
+/** Sets of voters and learners, and their changes by one member at a time.
  * @module */
 
 import type * as schema from "../../schema/log_types.ts";
 import * as replicaId from "./replica_id.ts";
 
-/** A set of members, and the index of the entry that brought it. */
+/** A set of members, and the index of the entry that contains it. */
 export interface Configuration {
   readonly index: number;
   readonly members: schema.Members;
 }
 
-/** The set of a replica that has never heard of one. */
+/** Empty set, used until a replica has received one. */
 export const NONE: schema.Members = { voters: [], learners: [] };
 
-/** How many of `voters` decide. */
+/** Returns the size of a majority of `voters`. */
 export function majority(voters: readonly unknown[]): number {
   return Math.floor(voters.length / 2) + 1;
 }
 
-/** The greatest value that a majority of voters has reached. */
+/** Returns the greatest value that a majority of the voters has reached;
+ * `-Infinity` without voters. */
 export function majorityValue(
   voters: readonly string[],
   value: (id: string) => number,
@@ -28,7 +29,7 @@
   return values[majority(voters) - 1];
 }
 
-/** Voters and learners. */
+/** Returns the ids of all voters and learners. */
 export function all(members: schema.Members): string[] {
   return [...members.voters, ...members.learners];
 }
@@ -38,7 +39,7 @@
   return members.voters.includes(id) || members.learners.includes(id);
 }
 
-/** Adds a learner in place of any other learner of its host. */
+/** Adds a learner, replacing any other learner of its host. */
 export function withLearner(
   members: schema.Members,
   id: string,
@@ -50,7 +51,7 @@
   return { ...members, learners: [...others, id] };
 }
 
-/** Makes a learner a voter. */
+/** Promotes a learner to voter. */
 export function withVoter(
   members: schema.Members,
   id: string,
@@ -61,7 +62,7 @@
   };
 }
 
-/** Takes a member out. */
+/** Removes a member. */
 export function without(members: schema.Members, id: string): schema.Members {
   return {
     voters: members.voters.filter((other) => other !== id),
--- a/src/control/log/membership_change.ts
+++ b/src/control/log/membership_change.ts
@@ -1,4 +1,4 @@
-/** How a leader brings the set of members up to date, one member at a time.
+/** Membership changes by the leader, one member at a time.
  * @module */
 
 import type * as schema from "../../schema/log_types.ts";
@@ -8,94 +8,110 @@
 import * as replication from "./replication.ts";
 import type * as state from "./state.ts";
 
-/** Entries by which a learner may still lag when it becomes a voter. */
-const CAUGHT_UP = 16;
+/** Maximum number of entries by which a learner may lag when it is promoted to
+ * voter. */
+const CAUGHT_UP_ENTRIES = 16;
 
-/** Makes the next change that is due, if any and if it is safe. */
+/** Starts the next membership change that is due and safe. */
 export function reconcile(draft: drafts.Draft): void {
   const { state } = draft;
-  if (state.role !== "leader" || !isSettled(state)) return;
+  if (state.role !== "leader" || !isChangeAllowed(state)) return;
   const current = drafts.currentMembers(state);
   const removed = !current.voters.includes(state.id);
   if (removed) return drafts.becomeFollower(draft, state.term);
   const next = promote(draft, current) ?? admit(draft, current) ??
-    dropSilent(draft, current) ?? dropUnnamed(draft, current);
+    dropInactive(draft, current) ?? dropUndesired(draft, current);
   if (next) replication.setMembers(draft, next);
 }
 
-/** Takes a replica out on an operator's word. */
+/** Removes a replica at an operator's request, unless the remaining voters would
+ * lack a live majority. */
 export function remove(draft: drafts.Draft, id: string): void {
   const { state } = draft;
   const current = drafts.currentMembers(state);
-  if (state.role !== "leader" || !isSettled(state)) return;
+  if (state.role !== "leader" || !isChangeAllowed(state)) return;
   if (!members.has(current, id)) return;
   const next = members.without(current, id);
-  if (isLive(draft, next)) replication.setMembers(draft, next);
+  if (hasLiveMajority(draft, next)) replication.setMembers(draft, next);
 }
 
-/** A change needs the one before it, and an entry of this term, committed. */
-function isSettled(from: state.State): boolean {
+/** Whether a change may start: the previous change and an entry of the current
+ * term are committed, and no leadership transfer is in progress. */
+function isChangeAllowed(from: state.State): boolean {
   const last = from.configurations.at(-1)!;
   return from.commit >= from.termStart && from.commit >= last.index &&
     from.transferDeadline === undefined;
 }
 
-type Proposal = schema.Members | undefined;
+type NextMembers = schema.Members | undefined;
 
-/** Makes a learner a voter. The voter that its host had before goes first: in
- * a set with both, a learner lost at this moment would leave no majority. */
-function promote(draft: drafts.Draft, now: schema.Members): Proposal {
-  const ready = now.learners.find((id) => isReady(draft, id));
+/** Promotes a caught-up learner to voter. If its host has another voter, that one
+ * is removed first: with both in the set, the loss of the new replica at this
+ * moment could leave no majority. */
+function promote(draft: drafts.Draft, current: schema.Members): NextMembers {
+  const ready = current.learners.find((id) => isReady(draft, id));
   if (ready === undefined) return undefined;
   const host = replicaId.host(ready);
-  const former = now.voters.find((id) => replicaId.host(id) === host);
-  const next = former === undefined
-    ? members.withVoter(now, ready)
-    : members.without(now, former);
-  return isLive(draft, next) ? next : undefined;
+  const previous = current.voters.find((id) => replicaId.host(id) === host);
+  const next = previous === undefined
+    ? members.withVoter(current, ready)
+    : members.without(current, previous);
+  return hasLiveMajority(draft, next) ? next : undefined;
 }
 
 function isReady(draft: drafts.Draft, learner: string): boolean {
-  const { desiredVoters: hosts, commit } = draft.state;
-  return hosts.includes(replicaId.host(learner)) &&
+  const { desiredVoters, commit } = draft.state;
+  return desiredVoters.includes(replicaId.host(learner)) &&
     replication.isRecent(draft, learner) &&
-    replication.progressOf(draft, learner).match + CAUGHT_UP >= commit;
+    replication.progressOf(draft, learner).match + CAUGHT_UP_ENTRIES >= commit;
 }
 
-function admit(draft: drafts.Draft, now: schema.Members): Proposal {
+/** Adds a replica that has asked to join, as a learner. */
+function admit(draft: drafts.Draft, current: schema.Members): NextMembers {
   const { state } = draft;
   const [id] = Object.values(state.joining);
   if (id === undefined) return undefined;
   const { [replicaId.host(id)]: _, ...others } = state.joining;
   state.joining = others;
-  return members.has(now, id) ? undefined : members.withLearner(now, id);
+  return members.has(current, id)
+    ? undefined
+    : members.withLearner(current, id);
 }
 
-function dropSilent(draft: drafts.Draft, now: schema.Members): Proposal {
-  const silent = now.learners.find((id) => isSilent(draft, id));
-  return silent === undefined ? undefined : members.without(now, silent);
+function dropInactive(
+  draft: drafts.Draft,
+  current: schema.Members,
+): NextMembers {
+  const inactive = current.learners.find((id) => isInactive(draft, id));
+  return inactive === undefined
+    ? undefined
+    : members.without(current, inactive);
 }
 
-/** Takes out a voter whose host is neither heard nor named any more. */
-function dropUnnamed(draft: drafts.Draft, now: schema.Members): Proposal {
-  const { id: own, desiredVoters: hosts } = draft.state;
-  const unnamed = now.voters.find((id) =>
-    id !== own && !hosts.includes(replicaId.host(id)) && isSilent(draft, id)
+/** Removes an inactive voter whose host is no longer in the settings. */
+function dropUndesired(
+  draft: drafts.Draft,
+  current: schema.Members,
+): NextMembers {
+  const { id: own, desiredVoters } = draft.state;
+  const undesired = current.voters.find((id) =>
+    id !== own && !desiredVoters.includes(replicaId.host(id)) &&
+    isInactive(draft, id)
   );
-  if (unnamed === undefined) return undefined;
-  const next = members.without(now, unnamed);
-  return isLive(draft, next) ? next : undefined;
+  if (undesired === undefined) return undefined;
+  const next = members.without(current, undesired);
+  return hasLiveMajority(draft, next) ? next : undefined;
 }
 
-function isSilent(draft: drafts.Draft, id: string): boolean {
-  const { lastAcknowledged: answered, trackedSince: since } = replication
+function isInactive(draft: drafts.Draft, id: string): boolean {
+  const { lastAcknowledged, trackedSince } = replication
     .progressOf(draft, id);
-  const last = Math.max(answered, since);
+  const last = Math.max(lastAcknowledged, trackedSince);
   return last + draft.state.timing.inactivityTimeout <= draft.now;
 }
 
-/** Whether a majority of the new voters answers now. */
-function isLive(draft: drafts.Draft, next: schema.Members): boolean {
+/** Whether a majority of the new voters has answered recently. */
+function hasLiveMajority(draft: drafts.Draft, next: schema.Members): boolean {
   const { state } = draft;
   const live = next.voters.filter((id) =>
     id === state.id || replication.isRecent(draft, id)
--- a/src/control/log/mod.ts
+++ b/src/control/log/mod.ts
@@ -1,5 +1,6 @@
-/** Replicated log: a majority of the hosts with disks agrees on one sequence
- * of commands. The replica is pure; journal and runner are its shell.
+/** Replicated log (Raft): a majority of the hosts with disks agrees on one
+ * sequence of commands. `Replica` is a pure state transition function; `Journal`
+ * and `Runner` perform its I/O.
  * @module */
 
 export * from "./dump.ts";
--- a/src/control/log/pause_detector.ts
+++ b/src/control/log/pause_detector.ts
@@ -1,29 +1,32 @@
-/** Notices that time has passed which the monotonic clock did not count, as
- * when the system was suspended: the wall clock has then gone ahead of it. A
- * wall clock that is set forward looks the same, and does no harm.
+/** Detects pauses that the monotonic clock does not count, such as a suspended
+ * system, by the wall clock's advance over it. A wall clock that is set forward
+ * is also reported as a pause, which is harmless.
  * @module */
 
 import type * as runtime from "../../runtime/mod.ts";
 
-/** Milliseconds by which the clocks may part between two readings. */
-const MARGIN = 30;
+/** Maximum advance of the wall clock over the monotonic clock between two
+ * readings that does not count as a pause. */
+const MARGIN_MS = 30;
 
-/** Compares the two clocks from one reading to the next. */
+/** Compares the advance of the wall clock and the monotonic clock between
+ * calls. */
 export class PauseDetector {
   readonly #clock: runtime.Clock;
-  #ahead: number;
+  #wallOffset: number;
 
   constructor(clock: runtime.Clock) {
     this.#clock = clock;
-    this.#ahead = clock.wall() - clock.now();
+    this.#wallOffset = clock.wall() - clock.now();
   }
 
-  /** Whether uncounted time has passed since the last call. */
+  /** Whether a pause has occurred since the last call. */
   hasPaused(): boolean {
-    const ahead = this.#clock.wall() - this.#clock.now();
-    const paused = ahead - this.#ahead > MARGIN;
-    // Slow drift must not add up to a pause, nor hide one.
-    this.#ahead = ahead;
+    const wallOffset = this.#clock.wall() - this.#clock.now();
+    const paused = wallOffset - this.#wallOffset > MARGIN_MS;
+    // The offset is updated on each call, so that slow drift neither adds up to
+    // a pause nor hides one.
+    this.#wallOffset = wallOffset;
     return paused;
   }
 }
--- a/src/control/log/pending_reads.ts
+++ b/src/control/log/pending_reads.ts
@@ -1,33 +1,35 @@
-/** Reads that wait until a majority has confirmed the leader.
+/** Reads that wait until a majority has confirmed this host's leadership (Raft's
+ * ReadIndex).
  * @module */
 
 import type * as errors from "./errors.ts";
 
-/** Milliseconds over which reads gather before a majority is asked: ten times a
- * link's delay, so that many readers share one round. */
+/** Delay before a round of heartbeats confirms waiting reads: ten times the
+ * network delay, so that many reads share one round. */
 export const READ_ROUND_MS = 40;
 
-/** Milliseconds after which a read is given up: an election timeout, after
- * which another leader may answer. */
-const PATIENCE = 900;
+/** Timeout of a read: an election timeout, after which another leader may
+ * answer. */
+const READ_TIMEOUT_MS = 900;
 
-/** A read, and who waits for it. */
+/** A waiting read with the callbacks of its caller. */
 export interface PendingRead {
-  /** Whole millisecond; answers to messages sent then or later count. */
+  /** Start of the read, in whole milliseconds: only answers to messages sent then
+   * or later confirm it. */
   readonly time: number;
-  /** Index committed when it was asked. */
+  /** Commit index at the start of the read. */
   readonly index: number;
   resolve(index: number): void;
   reject(cause: errors.LogError): void;
 }
 
-/** What tells whether a read is confirmed. */
+/** Part of a leader's replica that confirms reads. */
 export interface LeaderState {
   readonly state: { readonly termStart: number };
   isConfirmed(time: number): boolean;
 }
 
-/** Reads under way on one leader; changed in place. */
+/** Pending reads on a leader. */
 export class PendingReads {
   #waiting: PendingRead[] = [];
 
@@ -39,20 +41,20 @@
     this.#waiting.push(read);
   }
 
-  /** Answers what is confirmed by now. */
+  /** Resolves the reads that are confirmed. */
   settle(leader: LeaderState): void {
     const done = this.#take((read) => leader.isConfirmed(read.time));
     const { termStart } = leader.state;
     done.forEach((read) => read.resolve(Math.max(read.index, termStart)));
   }
 
-  /** Gives up what has waited for too long. */
+  /** Rejects the reads that have timed out. */
   expire(now: number, cause: errors.LogError): void {
-    const done = this.#take((read) => now - read.time > PATIENCE);
+    const done = this.#take((read) => now - read.time > READ_TIMEOUT_MS);
     done.forEach((read) => read.reject(cause));
   }
 
-  /** Gives all up. */
+  /** Rejects all reads. */
   reject(cause: errors.LogError): void {
     this.#take(() => true).forEach((read) => read.reject(cause));
   }
--- a/src/control/log/replica.ts
+++ b/src/control/log/replica.ts
@@ -1,44 +1,46 @@
-/** One replica of the log as an immutable value.
+/** A Raft replica as an immutable value without I/O.
  * @module */
 
 import type * as runtime from "../../runtime/mod.ts";
 import type * as schema from "../../schema/log_types.ts";
-import * as change from "./membership_change.ts";
 import * as drafts from "./draft.ts";
 import * as election from "./election.ts";
 import * as entries from "./entries.ts";
 import * as follower from "./follower.ts";
 import * as lease from "./lease.ts";
+import * as membershipChange from "./membership_change.ts";
 import * as replicaId from "./replica_id.ts";
 import * as replication from "./replication.ts";
 import * as snapshots from "./snapshots.ts";
 import * as states from "./state.ts";
 import * as transfer from "./transfer.ts";
 
-/** What a replica starts from. */
+/** Options of a replica. */
 export interface ReplicaOptions {
   readonly id: schema.ReplicaId;
-  /** Hosts that the settings name as voters. */
+  /** Hosts that the settings configure as voters. */
   readonly hosts: readonly string[];
   readonly random: runtime.Random;
   readonly now: number;
-  /** Whether it may found a log on an empty disk; it may when absent. */
+  /** Whether it may bootstrap a new log on an empty disk; defaults to true. */
   readonly isBootstrap?: boolean;
-  /** Least term of a log that this replica founds; 0 when absent. */
+  /** Minimum first term of a log that it bootstraps; defaults to 0. */
   readonly minBootstrapTerm?: number;
-  /** What the disk holds; nothing on a new folder. */
+  /** State recovered from the disk; absent for an empty data folder. */
   readonly durable?: states.Durable;
   readonly timing?: Partial<states.Timing>;
   readonly sizes?: Partial<states.Sizes>;
 }
 
-/** The next value of a replica, and what the shell must do. */
+/** Result of a step: the next value of the replica, and the effects to carry
+ * out. */
 export interface Step {
   readonly replica: Replica;
   readonly effects: readonly states.Effect[];
 }
 
-/** A replica of the log. `step` leaves it as it is and gives the next one. */
+/** A replica of the log. `step` returns the next value and leaves this one
+ * unchanged. */
 export class Replica {
   readonly state: states.State;
 
@@ -46,8 +48,9 @@
     this.state = state;
   }
 
-  /** A replica that has just started. Until an election timeout has passed it
-   * takes part in no election: it may have heard a leader before. */
+  /** Creates a replica at its start. It takes part in no election until the
+   * minimum election timeout has passed, because it may have acknowledged a
+   * leader's lease just before its restart. */
   static create(options: ReplicaOptions): Replica {
     const draft = drafts.create(initial(options), options.now);
     replication.recordMembers(draft, options.durable?.entries ?? []);
@@ -71,42 +74,44 @@
     return this.state.id;
   }
 
-  /** When `tick` is due. */
+  /** Time at which the next `tick` is due. */
   get wakeAt(): number {
     const { role, heartbeatAt, electionAt } = this.state;
     return role === "leader" ? heartbeatAt : electionAt;
   }
 
-  /** The members that count now. */
+  /** Current members. */
   get members(): schema.Members {
     return drafts.currentMembers(this.state);
   }
 
-  /** Hosts that it asks to be taken in while it is no member. */
+  /** Hosts that this replica probes to be added while it is no member. */
   get probeTargets(): string[] {
     return election.probeTargets(this.state);
   }
 
-  /** Whether this replica may order and serve reads; `now` is read afresh. */
+  /** Whether this replica holds the leader lease. `now` must be a fresh reading
+   * of the clock. */
   leaseHeld(now: number): boolean {
     return lease.isHeld(this.state, now);
   }
 
-  /** Whether the state machine has all that was accepted before `now`. */
+  /** Whether the local state machine can serve linearizable reads at `now`: the
+   * lease is held and an entry of the leader's term is committed. */
   isReadable(now: number): boolean {
-    const { commit, termStart: opened } = this.state;
-    return this.leaseHeld(now) && commit >= opened;
+    const { commit, termStart } = this.state;
+    return this.leaseHeld(now) && commit >= termStart;
   }
 
-  /** Whether a majority has answered what this leader sent at `time` or later,
-   * so that no other had been elected by then. */
+  /** Whether a majority has answered messages that this leader sent at `time` or
+   * later, so that no other leader had been elected by then. */
   isConfirmed(time: number): boolean {
-    const { role, commit, termStart: opened } = this.state;
-    return role === "leader" && commit >= opened &&
+    const { role, commit, termStart } = this.state;
+    return role === "leader" && commit >= termStart &&
       lease.lastMajorityContact(this.state) >= time;
   }
 
-  /** When the lease ends; `-Infinity` without one. */
+  /** Expiry time of the lease; `-Infinity` without one. */
   get leaseUntil(): number {
     return lease.expiry(this.state);
   }
@@ -135,9 +140,9 @@
   contacts(draft, { hosts }) {
     draft.state.knownHosts = hosts;
   },
-  remove: (draft, { id }) => change.remove(draft, id),
+  remove: (draft, { id }) => membershipChange.remove(draft, id),
   confirm(draft) {
-    if (draft.state.role === "leader") lead(draft);
+    if (draft.state.role === "leader") runLeaderDuties(draft);
   },
   transfer: (draft) => transfer.start(draft),
 };
@@ -157,9 +162,9 @@
   heartbeat: follower.handleHeartbeat,
   append: follower.handleAppend,
   snapshot: follower.handleChunk,
-  "heartbeat-reply": ofTerm(replication.handleHeartbeatReply),
-  appended: ofTerm(replication.handleAppended),
-  "snapshot-reply": ofTerm(snapshots.handleReply),
+  "heartbeat-reply": forLeader(replication.handleHeartbeatReply),
+  appended: forLeader(replication.handleAppended),
+  "snapshot-reply": forLeader(snapshots.handleReply),
 };
 
 function receive(
@@ -171,8 +176,9 @@
   receiver(draft, from, body);
 }
 
-/** Passes on answers to a leader of their term; steps down for a later one. */
-function ofTerm<M extends schema.LogMessage & { term: number }>(
+/** Wraps a handler of answers to a leader: it runs only on the leader of the
+ * answer's term, and a later term makes the replica a follower. */
+function forLeader<M extends schema.LogMessage & { term: number }>(
   receiver: (draft: drafts.Draft, from: string, body: M) => void,
 ): (draft: drafts.Draft, from: string, body: M) => void {
   return (draft, from, body) => {
@@ -190,25 +196,31 @@
     if (now >= state.electionAt) election.handleElectionTimeout(draft);
     return;
   }
-  if (now >= state.heartbeatAt) lead(draft);
+  if (now >= state.heartbeatAt) runLeaderDuties(draft);
 }
 
-/** What a leader owes whenever it sends signs of life: each sending puts the
- * next one off, so that duties done at other times might never come. */
-function lead(draft: drafts.Draft): void {
+/** Steps down if the leader has lost its majority or a transfer has expired;
+ * otherwise changes the membership and sends heartbeats. All of this runs on every round of heartbeats, because each round postpones the
+ * next tick: rounds caused by reads would otherwise keep the duties of the tick
+ * from ever running. */
+function runLeaderDuties(draft: drafts.Draft): void {
   const { state, now } = draft;
-  const heard = Math.max(lease.lastMajorityContact(state), state.electedAt);
-  const isAlone = heard + state.timing.maxElectionTimeout <= now;
-  const hasHandedOver = now >= (state.transferDeadline ?? Infinity);
-  if (isAlone || hasHandedOver) return drafts.becomeFollower(draft, state.term);
-  change.reconcile(draft);
+  const lastContact = Math.max(
+    lease.lastMajorityContact(state),
+    state.electedAt,
+  );
+  const hasLostMajority = lastContact + state.timing.maxElectionTimeout <= now;
+  const hasTransferExpired = now >= (state.transferDeadline ?? Infinity);
+  if (hasLostMajority || hasTransferExpired) {
+    return drafts.becomeFollower(draft, state.term);
+  }
+  membershipChange.reconcile(draft);
   if (state.role === "leader") replication.sendHeartbeats(draft);
 }
 
 function initial(options: ReplicaOptions): states.State {
   const { id, hosts, random, now, durable } = options;
-  const { isBootstrap: founds = true, minBootstrapTerm: foundingTerm = 0 } =
-    options;
+  const { isBootstrap = true, minBootstrapTerm = 0 } = options;
   const snapshot = durable?.snapshot;
   const index = snapshot?.position.index ?? 0;
   const log = entries.Entries.create(snapshot?.position)
@@ -231,8 +243,8 @@
     lastLeaderContact: now,
     electionAt: now,
     votes: [],
-    isBootstrap: founds,
-    minBootstrapTerm: foundingTerm,
+    isBootstrap,
+    minBootstrapTerm,
     emptyReplicas: {},
     progress: {},
     heartbeatAt: now,
--- a/src/control/log/replica_id.ts
+++ b/src/control/log/replica_id.ts
@@ -1,11 +1,11 @@
-/** Names of replicas: a host, and the incarnation of its data folder.
+/** Replica ids: a host, and the incarnation of its data folder.
  * @module */
 
 import type * as schema from "../../schema/log_types.ts";
 
 const SEPARATOR = "~";
 
-/** Names the replica that keeps its log in one folder of one host. */
+/** Creates the id of a host's replica in one data folder. */
 export function create(
   host: string,
   incarnation: string,
@@ -13,12 +13,12 @@
   return `${host}${SEPARATOR}${incarnation}`;
 }
 
-/** The host of a replica. */
+/** Returns the host of a replica. */
 export function host(id: schema.ReplicaId): string {
   return id.slice(0, id.lastIndexOf(SEPARATOR));
 }
 
-/** The incarnation of a replica's folder. */
+/** Returns the incarnation of a replica's data folder. */
 export function incarnation(id: schema.ReplicaId): string {
   return id.slice(id.lastIndexOf(SEPARATOR) + 1);
 }
--- a/src/control/log/replica_test.ts
+++ b/src/control/log/replica_test.ts
@@ -2,8 +2,8 @@
 import * as runtime from "../../runtime/mod.ts";
 import * as log from "./mod.ts";
 
-/** A time at which a replica that started at 0 may vote. */
-const AFTER = log.DEFAULT_TIMING.minElectionTimeout + 100;
+/** Time after which a replica that started at 0 may vote. */
+const VOTING_ALLOWED_AT = log.DEFAULT_TIMING.minElectionTimeout + 100;
 
 const VOTERS = ["a~1", "b~1", "c~1"];
 
@@ -57,7 +57,7 @@
   );
 }
 
-test("leaves the replica as it is", (t) => {
+test("a step leaves the previous replica value unchanged", (t) => {
   const replica = createReplica();
   const before = JSON.stringify(replica.state);
   const { replica: next } = replica.step(
@@ -69,7 +69,7 @@
   t.true(Object.isFrozen(next.state));
 });
 
-test("acknowledges entries once they are durable", (t) => {
+test("acknowledges entries only once they are durable", (t) => {
   const replica = createReplica();
   const event = createAppend([{ index: 2, term: 1 }]);
   const first = replica.step(event, 10);
@@ -83,49 +83,52 @@
   ]);
 });
 
-test("votes once it is durable, and once in a term", (t) => {
+test("sends a vote only once it is durable, and grants one per term", (t) => {
   const replica = createReplica();
-  const first = replica.step(createRequest(), AFTER);
+  const first = replica.step(createRequest(), VOTING_ALLOWED_AT);
   t.deepEqual(sent(first.effects), []);
   const { write, record } = first.effects.findLast((effect) =>
     effect.type === "persist"
   ) as Extract<log.Effect, { type: "persist" }>;
   t.like(record, { type: "vote", term: 2, vote: "b~1" });
-  const synced = first.replica.step({ type: "synced", write }, AFTER + 1);
+  const synced = first.replica.step(
+    { type: "synced", write },
+    VOTING_ALLOWED_AT + 1,
+  );
   t.like(sent(synced.effects)[0], { type: "vote", granted: true });
   const other = { ...createRequest(), host: "c" };
-  const second = synced.replica.step(other, AFTER + 2);
+  const second = synced.replica.step(other, VOTING_ALLOWED_AT + 2);
   t.like(sent(second.effects)[0], { type: "vote", granted: false });
 });
 
-test("gives no vote to a log that lacks entries", (t) => {
+test("denies a pre-vote to a candidate whose log lacks entries", (t) => {
   const replica = createReplica();
   const event = createRequest({ lastIndex: 0, lastTerm: 0, pre: true });
-  const { effects } = replica.step(event, AFTER);
+  const { effects } = replica.step(event, VOTING_ALLOWED_AT);
   t.like(sent(effects)[0], { granted: false, pre: true });
 });
 
-test("heeds no candidate while it hears a leader or has just started", (t) => {
+test("ignores candidates just after its start and while a leader is active", (t) => {
   const replica = createReplica();
-  const { minElectionTimeout: electionLeast } = log.DEFAULT_TIMING;
-  const early = replica.step(createRequest(), electionLeast - 1);
+  const { minElectionTimeout } = log.DEFAULT_TIMING;
+  const early = replica.step(createRequest(), minElectionTimeout - 1);
   t.deepEqual(early.effects, []);
-  const heard = replica.step(createAppend([]), electionLeast).replica;
-  const last = 2 * electionLeast - 1;
+  const heard = replica.step(createAppend([]), minElectionTimeout).replica;
+  const last = 2 * minElectionTimeout - 1;
   const { effects, replica: next } = heard.step(createRequest(), last);
   t.deepEqual(effects, []);
   t.is(next.state.term, 1);
 });
 
-test("ignores messages to an earlier folder of its host", (t) => {
+test("ignores messages to an earlier incarnation of its host's replica", (t) => {
   const replica = createReplica();
   const event = createRequest({ to: "0" });
-  const { effects, replica: next } = replica.step(event, AFTER);
+  const { effects, replica: next } = replica.step(event, VOTING_ALLOWED_AT);
   t.deepEqual(effects, []);
   t.is(next.state.vote, undefined);
 });
 
-test("replaces entries that contradict the leader's", (t) => {
+test("replaces entries that conflict with the leader's", (t) => {
   const replica = createReplica();
   const wrong = [{ index: 2, term: 1 }, { index: 3, term: 1 }];
   const { replica: next } = replica.step(createAppend(wrong), 10);
@@ -135,14 +138,15 @@
   t.deepEqual(last.state.log.last, { index: 2, term: 2 });
 });
 
-test("says where to try next when entries are missing", (t) => {
+test("reports the last possible match when entries are missing", (t) => {
   const replica = createReplica();
   const event = createAppend([{ index: 9, term: 1 }], 8);
   const { effects } = replica.step(event, 10);
   t.like(sent(effects)[0], { type: "appended", ok: false, match: 1 });
 });
 
-/** A replica that has won an election; its term is one above its last. */
+/** Creates a replica that has won an election, in the term after its stored
+ * one. */
 function createLeader(options: Partial<log.ReplicaOptions> = {}): log.Replica {
   let replica = createReplica(options);
   const term = replica.state.term + 1;
@@ -162,7 +166,7 @@
   return replica;
 }
 
-test("holds a lease from the time of the message that was answered", (t) => {
+test("a lease starts when the answered message was sent", (t) => {
   let replica = createLeader();
   const at = replica.state.electedAt;
   t.is(replica.state.role, "leader");
@@ -179,7 +183,7 @@
   t.false(replica.leaseHeld(end));
 });
 
-test("commits entries of earlier terms by one of its own", (t) => {
+test("commits entries of earlier terms only with one of its own term", (t) => {
   const members = { voters: VOTERS, learners: [] };
   const entries = [{ index: 1, term: 1, members }, { index: 2, term: 2 }];
   const replica = createLeader({ durable: { term: 2, entries } });
@@ -198,7 +202,7 @@
   t.is(applied.length, 1);
 });
 
-test("founds a fleet with the votes of all named hosts", (t) => {
+test("bootstraps a log with the votes of all configured hosts", (t) => {
   let replica = createReplica({ durable: undefined });
   const events: log.Event[] = [{ type: "tick" }];
   const answer = (host: string, body: log.Message) => {
@@ -219,7 +223,7 @@
   t.deepEqual(replica.members.voters, VOTERS);
 });
 
-test("takes large snapshots less often", (t) => {
+test("takes large snapshots less often than small ones", (t) => {
   const sizes = { snapshotInterval: 2, charactersPerEntry: 10 };
   let replica = createReplica({ sizes });
   const asked: number[] = [];
@@ -239,16 +243,16 @@
   t.deepEqual(asked, [2, 4, 8, 16]);
 });
 
-test("tries again sooner than it first stood, and never at once", (t) => {
+test("retries an election after at least half the minimum election timeout", (t) => {
   const {
-    minElectionTimeout: electionLeast,
-    maxElectionTimeout: electionMost,
+    minElectionTimeout,
+    maxElectionTimeout,
   } = log.DEFAULT_TIMING;
   let replica = createReplica();
   const stood = replica.wakeAt;
   ({ replica } = replica.step({ type: "tick" }, stood));
   t.is(replica.state.role, "pre-candidate");
   const wait = replica.wakeAt - stood;
-  t.true(wait >= electionLeast / 2);
-  t.true(wait <= electionMost - electionLeast / 2);
+  t.true(wait >= minElectionTimeout / 2);
+  t.true(wait <= maxElectionTimeout - minElectionTimeout / 2);
 });
--- a/src/control/log/replication.ts
+++ b/src/control/log/replication.ts
@@ -1,20 +1,21 @@
-/** The leader's part in replication: entries out, answers in, commit.
+/** Leader side of replication: sends entries, handles acknowledgements and
+ * advances the commit index.
  * @module */
 
 import type * as schema from "../../schema/log_types.ts";
-import * as change from "./membership_change.ts";
 import * as drafts from "./draft.ts";
 import * as entrySize from "./entry_size.ts";
 import * as lease from "./lease.ts";
 import * as members from "./members.ts";
+import * as membershipChange from "./membership_change.ts";
 import * as snapshots from "./snapshots.ts";
 import type * as state from "./state.ts";
 import * as transfer from "./transfer.ts";
 
-/** Takes office: opens the term with an entry of its own. */
+/** Becomes leader and appends the first entry of the term. */
 export function becomeLeader(draft: drafts.Draft): void {
   const { state, now } = draft;
-  const founders = state.initialVoters;
+  const initialVoters = state.initialVoters;
   state.initialVoters = undefined;
   state.votes = [];
   state.progress = {};
@@ -25,19 +26,20 @@
   state.leaseNotBefore = -Infinity;
   drafts.setRole(draft, "leader", state.id);
   otherMembers(state).forEach((id) => setProgress(draft, id, {}));
-  if (founders) setMembers(draft, { voters: [...founders], learners: [] });
-  else append(draft, [{}]);
+  if (initialVoters) {
+    setMembers(draft, { voters: [...initialVoters], learners: [] });
+  } else append(draft, [{}]);
 }
 
-/** Takes commands into the log, or says why not. */
+/** Appends commands to the log, or rejects them with a reason. */
 export function propose(
   draft: drafts.Draft,
   commands: readonly schema.Command[],
 ): void {
   const { state, effects, now } = draft;
   const { role, leader } = state;
-  const leads = role === "leader" && state.transferDeadline === undefined;
-  if (!leads) {
+  const isAccepting = role === "leader" && state.transferDeadline === undefined;
+  if (!isAccepting) {
     effects.push({ type: "reject", reason: "not-leader", leader });
   } else if (!lease.isHeld(state, now)) {
     effects.push({ type: "reject", reason: "no-quorum" });
@@ -48,19 +50,21 @@
   }
 }
 
-/** Puts another set of members into the log; it counts from then on. */
+/** Appends a set of members to the log, which takes effect at once. */
 export function setMembers(draft: drafts.Draft, next: schema.Members): void {
   append(draft, [{ members: next }]);
 }
 
-/** Sends to each other member a sign of life, or asks again what it has. */
+/** Sends a heartbeat to each other member. A member whose acknowledgement of
+ * entries is overdue gets an append instead that determines its last matching
+ * index. */
 export function sendHeartbeats(draft: drafts.Draft): void {
   const { state, now } = draft;
   state.heartbeatAt = now + state.timing.heartbeat;
   for (const id of otherMembers(state)) {
-    const { match, lastSent: sent } = progressOf(draft, id);
-    // What was not answered within a heartbeat counts as lost.
-    const lost = sent + state.timing.heartbeat <= now;
+    const { match, lastSent } = progressOf(draft, id);
+    // Entries not acknowledged within a heartbeat interval are considered lost.
+    const lost = lastSent + state.timing.heartbeat <= now;
     if (match < state.log.last.index && lost && isRecent(draft, id)) {
       setProgress(draft, id, { next: match + 1, isMatchKnown: false });
       sendAppend(draft, id);
@@ -73,13 +77,13 @@
   }
 }
 
-/** Whether a replica has answered within an election timeout. */
+/** Whether a replica has answered within the minimum election timeout. */
 export function isRecent(draft: drafts.Draft, id: string): boolean {
-  const { lastAcknowledged: answered } = progressOf(draft, id);
-  return answered + draft.state.timing.minElectionTimeout > draft.now;
+  const { lastAcknowledged } = progressOf(draft, id);
+  return lastAcknowledged + draft.state.timing.minElectionTimeout > draft.now;
 }
 
-/** Takes a sign of life. */
+/** Handles a heartbeat reply. */
 export function handleHeartbeatReply(
   draft: drafts.Draft,
   from: string,
@@ -88,7 +92,7 @@
   recordAcknowledgement(draft, from, body.at);
 }
 
-/** Takes a follower's answer to entries. */
+/** Handles a follower's answer to an append. */
 export function handleAppended(
   draft: drafts.Draft,
   from: string,
@@ -108,7 +112,7 @@
       snapshot: undefined,
     });
     advanceCommit(draft);
-  } else if (refuses(progress, body)) {
+  } else if (isCurrentRejection(progress, body)) {
     const next = Math.max(progress.match, body.match) + 1;
     setProgress(draft, from, {
       next: Math.min(next, body.previous),
@@ -121,8 +125,9 @@
   transfer.tryTransfer(draft);
 }
 
-/** Sends a follower what it lacks, as far as the window allows; while it is
- * not known what the follower has, only asks for that. */
+/** Sends a follower the entries that it lacks, up to the limit of entries in
+ * flight, or a snapshot if the log no longer holds them. While the follower's
+ * last matching index is unknown, sends an append without entries to find it. */
 export function sendAppend(draft: drafts.Draft, id: string): void {
   const { state, now } = draft;
   let progress = progressOf(draft, id);
@@ -132,9 +137,9 @@
     if (previousTerm === undefined) return snapshots.send(draft, id);
     const limit = progress.match + state.sizes.maxInFlightEntries;
     const last = Math.min(previous + state.sizes.maxBatchEntries, limit);
-    const { next: first, isMatchKnown: known } = progress;
-    if (known && last < first && first <= state.log.last.index) return;
-    const entries = known
+    const { next: first, isMatchKnown } = progress;
+    if (isMatchKnown && last < first && first <= state.log.last.index) return;
+    const entries = isMatchKnown
       ? entrySize.limitSize(
         state.log.slice(first, last),
         state.sizes.maxBatchCharacters,
@@ -155,23 +160,28 @@
   } while (progress.next <= state.log.last.index);
 }
 
-/** Whether a refusal is about what was sent last. */
-function refuses(progress: state.Progress, body: schema.Appended): boolean {
+/** Whether a rejection answers the latest append and not an earlier one. */
+function isCurrentRejection(
+  progress: state.Progress,
+  body: schema.Appended,
+): boolean {
   if (progress.isMatchKnown) return body.previous > progress.match;
   return body.previous === progress.next - 1 && progress.next > 1;
 }
 
-/** Notes that a message sent at `at` was answered. */
+/** Records the acknowledgement of a message sent at `at`. */
 export function recordAcknowledgement(
   draft: drafts.Draft,
   from: string,
   at: number,
 ): void {
-  const { lastAcknowledged: answered } = progressOf(draft, from);
-  setProgress(draft, from, { lastAcknowledged: Math.max(answered, at) });
+  const { lastAcknowledged } = progressOf(draft, from);
+  setProgress(draft, from, {
+    lastAcknowledged: Math.max(lastAcknowledged, at),
+  });
 }
 
-/** What is known of another replica. */
+/** Returns the leader's view of another replica. */
 export function progressOf(draft: drafts.Draft, id: string): state.Progress {
   const { state } = draft;
   return state.progress[id] ?? {
@@ -184,7 +194,7 @@
   };
 }
 
-/** Changes what is known of another replica. */
+/** Updates the leader's view of another replica. */
 export function setProgress(
   draft: drafts.Draft,
   id: string,
@@ -196,12 +206,12 @@
   return next;
 }
 
-/** Hands committed entries over, each once. */
+/** Advances the commit index and applies the newly committed entries. */
 export function setCommit(draft: drafts.Draft, commit: number): void {
   const { state } = draft;
   if (commit <= state.commit) return;
   if (commit > state.log.last.index) {
-    throw new Error(`entry ${commit} is committed but not here`);
+    throw new Error(`entry ${commit} is committed but not in the log`);
   }
   state.commit = commit;
   const entries = state.log.slice(state.applied + 1, commit);
@@ -233,12 +243,12 @@
     at: 0,
   });
   for (const id of otherMembers(state)) {
-    const { isMatchKnown: known, lastSent: sent } = progressOf(draft, id);
-    if (known || sent === -Infinity) sendAppend(draft, id);
+    const { isMatchKnown, lastSent } = progressOf(draft, id);
+    if (isMatchKnown || lastSent === -Infinity) sendAppend(draft, id);
   }
 }
 
-/** Notes the sets of members that entries bring. */
+/** Records the sets of members that entries contain. */
 export function recordMembers(
   draft: drafts.Draft,
   entries: readonly schema.Entry[],
@@ -259,17 +269,18 @@
   const { state } = draft;
   const { voters } = drafts.currentMembers(state);
   const match = members.majorityValue(voters, (id) => {
-    if (id === state.id) return durableLast(state);
+    if (id === state.id) return lastDurable(state);
     return state.progress[id]?.match ?? 0;
   });
-  // Entries of earlier terms are committed by one of this term only.
+  // An entry of an earlier term is committed only together with one of the
+  // current term: even if a majority stores it, a later leader could replace it.
   if (state.log.term(match) !== state.term) return;
   setCommit(draft, match);
-  change.reconcile(draft);
+  membershipChange.reconcile(draft);
 }
 
-/** Last index that is durable on this replica. */
-function durableLast(from: state.State): number {
+/** Returns the last index that is durable on this replica. */
+function lastDurable(from: state.State): number {
   const waiting = from.deferred.find(({ to, body }) =>
     to === from.id && body.type === "appended"
   );
--- a/src/control/log/runner.ts
+++ b/src/control/log/runner.ts
@@ -1,5 +1,5 @@
-/** Thin shell of a replica: drives it and its journal and state machine over
- * clock, transport and storage, on one loop.
+/** Runs a replica on the event loop: carries out its effects with the journal,
+ * the state machine, the timer and the transport.
  * @module */
 
 import * as crypto from "node:crypto";
@@ -8,24 +8,24 @@
 import validate from "../../schema/log_validators.ts";
 import * as errors from "./errors.ts";
 import * as journals from "./journal.ts";
-import * as machines from "./state_machine.ts";
-import * as pauses from "./pause_detector.ts";
+import * as pauseDetectors from "./pause_detector.ts";
+import * as pendingReads from "./pending_reads.ts";
 import * as proposals from "./proposals.ts";
-import * as reads from "./pending_reads.ts";
 import * as replicaId from "./replica_id.ts";
 import * as replicas from "./replica.ts";
-import type * as shell from "./runner_options.ts";
+import type * as runnerOptions from "./runner_options.ts";
 import type * as states from "./state.ts";
+import * as stateMachines from "./state_machine.ts";
 import * as writers from "./writer.ts";
 
 type Handler<T> = (effect: Extract<states.Effect, { type: T }>) => void;
 
 /** A running replica. */
 export class Runner<State, Reply> {
-  readonly #options: shell.RunnerOptions<State, Reply>;
+  readonly #options: runnerOptions.RunnerOptions<State, Reply>;
   readonly #writer: writers.Writer;
-  readonly #pause: pauses.PauseDetector;
-  readonly #counters: shell.Counters = {
+  readonly #pauseDetector: pauseDetectors.PauseDetector;
+  readonly #counters: runnerOptions.Counters = {
     writes: 0,
     proposals: 0,
     commits: 0,
@@ -38,16 +38,16 @@
   #state: State;
   #index: number;
   #stopped = false;
-  #cancel: runtime.Cancel = () => {};
+  #cancelTimer: runtime.Cancel = () => {};
   #timerAt = Infinity;
 
   readonly #proposals = new proposals.Proposals<Reply>();
-  readonly #reads = new reads.PendingReads();
-  /** Whether a round that confirms reads is due. */
-  #isAsking = false;
+  readonly #reads = new pendingReads.PendingReads();
+  /** Whether a round of heartbeats that confirms reads is scheduled. */
+  #isRoundScheduled = false;
 
   private constructor(
-    options: shell.RunnerOptions<State, Reply>,
+    options: runnerOptions.RunnerOptions<State, Reply>,
     journal: journals.Journal,
   ) {
     const { clock, machine, hosts, random, timing, sizes, isBootstrap } =
@@ -58,43 +58,44 @@
     this.#writer = new writers.Writer({
       journal,
       clock,
-      onSynced: (write) => this.#takeSynced(write),
+      onSynced: (write) => this.#handleSynced(write),
       onFailure: (cause) => this.#fail("storage", cause),
     });
-    this.#pause = new pauses.PauseDetector(clock);
-    this.#state = machines.restore(machine, snapshot?.data);
+    this.#pauseDetector = new pauseDetectors.PauseDetector(clock);
+    this.#state = stateMachines.restore(machine, snapshot?.data);
     this.#index = snapshot?.position.index ?? 0;
     const start = { id, hosts, random, durable, timing, sizes, isBootstrap };
     const now = clock.now();
-    // Whatever a former log of these hosts came to, no election is as short as
-    // a millisecond: a term names one leader, also for endpoints that fence.
-    const foundingTerm = Math.floor(clock.wall());
+    // The wall clock in milliseconds exceeds every term of a former log of these
+    // hosts, because an election takes longer than a millisecond. So terms stay
+    // unique per leader, also for endpoints that use them as fencing tokens.
+    const minBootstrapTerm = Math.floor(clock.wall());
     this.#replica = replicas.Replica.create({
       ...start,
       now,
-      minBootstrapTerm: foundingTerm,
+      minBootstrapTerm,
     });
   }
 
-  /** Reads the disk and takes part from then on. */
+  /** Recovers the replica from its disk and starts it. */
   static async start<State, Reply>(
-    options: shell.RunnerOptions<State, Reply>,
+    options: runnerOptions.RunnerOptions<State, Reply>,
   ): Promise<Runner<State, Reply>> {
     const { host, storage } = options;
     const incarnation = options.incarnation ??
       crypto.randomBytes(4).toString("hex");
     const journal = await journals.Journal.open(storage, { host, incarnation });
     const runner = new Runner(options, journal);
-    runner.#arm();
+    runner.#armTimer();
     return runner;
   }
 
-  /** State of the state machine here, which may lag behind the leader's. */
+  /** State of the local state machine, which may lag behind the leader's. */
   get state(): State {
     return this.#state;
   }
 
-  /** Index of the last command applied to `state`. */
+  /** Index of the last entry applied to `state`. */
   get index(): number {
     return this.#index;
   }
@@ -107,67 +108,68 @@
     return this.#replica.state.term;
   }
 
-  get counters(): Readonly<shell.Counters> {
+  get counters(): Readonly<runnerOptions.Counters> {
     return { ...this.#counters, writes: this.#writer.writes };
   }
 
-  /** Host of the leader, where it is known. */
+  /** Host of the leader, if known. */
   get leader(): string | undefined {
     const { leader } = this.#replica.state;
     return leader === undefined ? undefined : replicaId.host(leader);
   }
 
-  /** The replica as it is now, for a dump of the state and for tests. */
+  /** Current value of the replica, for state dumps and tests. */
   get replica(): replicas.Replica {
     return this.#replica;
   }
 
-  /** Whether this host leads and its lease lasts at this very moment. */
+  /** Whether this host is leader and holds its lease now. */
   leaseHeld(): boolean {
     const now = this.#now();
     return !this.#stopped && this.#replica.leaseHeld(now);
   }
 
-  /** State that has all that was accepted before the call; on the leader. */
+  /** Returns the state for a linearizable read under the leader lease; throws on
+   * any other host and without a lease. */
   read(): State {
     if (!this.#stopped && this.#replica.isReadable(this.#now())) {
       return this.#state;
     }
-    throw this.#refusal(
+    throw this.#errorOf(
       this.#replica.state.role === "leader" ? "no-quorum" : "not-leader",
     );
   }
 
-  /** Resolves with an index of the log: a state that has it applied has all
-   * that was accepted anywhere before the call. Needs no clock to be right: a
-   * majority answers messages that were sent after the call. */
+  /** Resolves with the index of the log that a state must have applied to serve
+   * a linearizable read. Does not depend on clocks: a majority has answered
+   * messages that were sent after the call. */
   readIndex(): Promise<number> {
     return new Promise((resolve, reject) => {
       const isLeader = this.#replica.state.role === "leader";
-      if (this.#stopped) return reject(this.#refusal("stopped"));
-      if (!isLeader) return reject(this.#refusal("not-leader"));
+      if (this.#stopped) return reject(this.#errorOf("stopped"));
+      if (!isLeader) return reject(this.#errorOf("not-leader"));
       this.#reads.add({
         time: Math.floor(this.#now()) + 1,
         index: this.#replica.state.commit,
         resolve,
         reject,
       });
-      this.#askSoon();
+      this.#scheduleReadRound();
     });
   }
 
-  /** Commits a command; resolves with what the state machine replies. A
-   * `LogError` of any kind but `unknown` says that it has no effect. */
+  /** Commits a command and resolves with the state machine's reply. After a
+   * `LogError` of any kind but `unknown` the command has no effect. */
   propose(command: schema.Command): Promise<Reply> {
     return new Promise((resolve, reject) => {
-      if (this.#stopped) return reject(this.#refusal("stopped"));
+      if (this.#stopped) return reject(this.#errorOf("stopped"));
       const isFirst = this.#proposals.add({ command, resolve, reject });
-      // While a write runs, commands gather; they go out with the next.
+      // Commands that arrive during a write are batched into the next one.
       if (isFirst && !this.#writer.isBusy) queueMicrotask(() => this.#flush());
     });
   }
 
-  /** Takes a message of another host. */
+  /** Handles a message from another host. */
   receive(envelope: runtime.Envelope): void {
     if (this.#stopped) return;
     this.#counters.received++;
@@ -179,48 +181,49 @@
     this.#handle({ type: "message", host: envelope.from, body });
   }
 
-  /** Hands leadership over, before a stop. */
+  /** Transfers leadership to another voter before a shutdown. */
   transferLeadership(): void {
     this.#handle({ type: "transfer" });
   }
 
-  /** Takes out a replica that will not come back. */
+  /** Removes a replica that will not return. */
   remove(id: schema.ReplicaId): void {
     this.#handle({ type: "remove", id });
   }
 
-  /** Follows settings that name other voters. */
+  /** Sets the hosts that the settings configure as voters. */
   setDesiredVoters(hosts: readonly string[]): void {
     this.#handle({ type: "hosts", hosts });
   }
 
-  /** Names other hosts that may hold a replica: one that is no member asks
-   * them too to be taken in. */
+  /** Sets the other hosts that may run a replica. A replica that is no member
+   * also probes these to be added. */
   setKnownHosts(hosts: readonly string[]): void {
     this.#handle({ type: "contacts", hosts });
   }
 
-  /** Takes no further part; what is open is answered at once. */
+  /** Stops the replica and rejects all pending proposals and reads. */
   stop(): void {
     this.#stopped = true;
-    this.#cancel();
-    this.#proposals.rejectWaiting(this.#refusal("stopped"));
-    this.#proposals.rejectAppended(this.#refusal("unknown"));
-    this.#reads.reject(this.#refusal("stopped"));
+    this.#cancelTimer();
+    this.#proposals.rejectWaiting(this.#errorOf("stopped"));
+    this.#proposals.rejectAppended(this.#errorOf("unknown"));
+    this.#reads.reject(this.#errorOf("stopped"));
   }
 
-  /** Asks the majority while reads wait. A round that is due serves whoever comes
-   * before it, also where none waits any more of those that it was meant for. */
-  #askSoon(): void {
-    if (this.#isAsking) return;
-    this.#isAsking = true;
-    this.#options.clock.after(reads.READ_ROUND_MS, () => {
-      this.#isAsking = false;
+  /** Schedules rounds of heartbeats while reads are pending. At most one round is
+   * scheduled; it serves all reads that arrive before it, even if those that it
+   * was scheduled for have already been answered. */
+  #scheduleReadRound(): void {
+    if (this.#isRoundScheduled) return;
+    this.#isRoundScheduled = true;
+    this.#options.clock.after(pendingReads.READ_ROUND_MS, () => {
+      this.#isRoundScheduled = false;
       if (this.#stopped) return;
-      this.#reads.expire(this.#now(), this.#refusal("no-quorum"));
+      this.#reads.expire(this.#now(), this.#errorOf("no-quorum"));
       if (this.#reads.size === 0) return;
       this.#handle({ type: "confirm" });
-      this.#askSoon();
+      this.#scheduleReadRound();
     });
   }
 
@@ -228,7 +231,7 @@
     if (this.#reads.size === 0) return;
     if (this.#replica.state.role === "leader") {
       this.#reads.settle(this.#replica);
-    } else this.#reads.reject(this.#refusal("not-leader"));
+    } else this.#reads.reject(this.#errorOf("not-leader"));
   }
 
   #handle(event: states.Event): void {
@@ -239,7 +242,7 @@
       return this.#fail("contradiction", cause);
     }
     this.#settleReads();
-    this.#arm();
+    this.#armTimer();
     void this.#writer.flush();
   }
 
@@ -251,10 +254,10 @@
     }
   }
 
-  /** Reads the clock; tells the replica of time that it did not count. */
+  /** Reads the clock, and reports a detected pause to the replica. */
   #now(): number {
     const now = this.#options.clock.now();
-    if (!this.#stopped && this.#pause.hasPaused()) {
+    if (!this.#stopped && this.#pauseDetector.hasPaused()) {
       this.#counters.pauses++;
       this.#step({ type: "resumed" }, now);
     }
@@ -271,24 +274,24 @@
     persist: ({ write, record }) => this.#writer.add(write, record),
     apply: ({ entries }) => this.#apply(entries),
     restore: ({ snapshot }) => {
-      this.#state = machines.restore(this.#options.machine, snapshot.data);
+      this.#state = stateMachines.restore(this.#options.machine, snapshot.data);
       this.#index = snapshot.position.index;
       this.#options.onChange?.(this.#state, this.#index);
     },
     appended: ({ index, term }) => {
       this.#proposals.append(index, term);
     },
-    reject: ({ reason }) => this.#proposals.rejectTaken(this.#refusal(reason)),
+    reject: ({ reason }) => this.#proposals.rejectTaken(this.#errorOf(reason)),
     role: ({ role, term, leader }) => {
       if (role !== "leader") {
-        this.#proposals.rejectAppended(this.#refusal("unknown"));
+        this.#proposals.rejectAppended(this.#errorOf("unknown"));
       }
       this.#options.onRole?.(role, term, { leader });
     },
     "need-snapshot": ({ index }) => {
       const { machine } = this.#options;
       const data = JSON.stringify(machine.toJSON(this.#state));
-      // The step that asks is not over yet.
+      // The step that requests the snapshot has not completed yet.
       queueMicrotask(() => this.#handle({ type: "snapshot", index, data }));
     },
   };
@@ -313,23 +316,24 @@
     this.#handle({ type: "propose", commands });
   }
 
-  #takeSynced(write: number): void {
+  #handleSynced(write: number): void {
     this.#handle({ type: "synced", write });
     this.#flush();
   }
 
-  /** A disk that does not answer must not keep proposals waiting. */
-  #noticeStall(): void {
+  /** If the current write takes as long as an election timeout, rejects waiting
+   * proposals and transfers leadership. */
+  #checkStall(): void {
     if (
       this.#writer.currentWriteMs <
         this.#replica.state.timing.maxElectionTimeout
     ) return;
-    this.#proposals.rejectWaiting(this.#refusal("no-quorum"));
+    this.#proposals.rejectWaiting(this.#errorOf("no-quorum"));
     this.#handle({ type: "transfer" });
   }
 
-  /** Stops for good: what cannot be written, or contradicts itself, must not
-   * be acted on. */
+  /** Stops permanently after a failed write or an inconsistency, because the
+   * replica must not act on state that is not durable or not consistent. */
   #fail(kind: errors.LogFault, cause: unknown): void {
     if (this.#stopped) return;
     this.stop();
@@ -337,22 +341,22 @@
     this.#options.onFailure?.(failure);
   }
 
-  #arm(): void {
+  #armTimer(): void {
     const { clock } = this.#options;
     const { wakeAt } = this.#replica;
     if (this.#stopped || this.#timerAt <= wakeAt) return;
-    this.#cancel();
+    this.#cancelTimer();
     this.#timerAt = wakeAt;
     const delay = Math.ceil(wakeAt - clock.now());
-    this.#cancel = clock.after(Math.max(0, delay), () => {
+    this.#cancelTimer = clock.after(Math.max(0, delay), () => {
       this.#timerAt = Infinity;
       this.#handle({ type: "tick" });
-      this.#noticeStall();
-      this.#arm();
+      this.#checkStall();
+      this.#armTimer();
     });
   }
 
-  #refusal(kind: errors.LogFault): errors.LogError {
+  #errorOf(kind: errors.LogFault): errors.LogError {
     return errors.LogError.ofKind(kind, this.leader);
   }
 }
--- a/src/control/log/runner_options.ts
+++ b/src/control/log/runner_options.ts
@@ -1,36 +1,38 @@
-/** What a runner is given, and what it counts.
+/** Options and counters of a runner.
  * @module */
 
 import type * as runtime from "../../runtime/mod.ts";
 import type * as errors from "./errors.ts";
-import type * as machines from "./state_machine.ts";
+import type * as stateMachines from "./state_machine.ts";
 import type * as states from "./state.ts";
 
-/** What a runner is started with. */
+/** Options of a runner. */
 export interface RunnerOptions<State, Reply> {
   readonly host: string;
-  /** Hosts that the settings name as voters. */
+  /** Hosts that the settings configure as voters. */
   readonly hosts: readonly string[];
-  readonly machine: machines.StateMachine<State, Reply>;
+  readonly machine: stateMachines.StateMachine<State, Reply>;
   readonly clock: runtime.Clock;
   readonly random: runtime.Random;
   readonly transport: runtime.Transport;
   readonly storage: runtime.Storage;
-  /** Whether it may found a log on an empty disk; it may when absent. */
+  /** Whether it may bootstrap a new log on an empty disk; defaults to true. */
   readonly isBootstrap?: boolean;
   readonly timing?: Partial<states.Timing>;
   readonly sizes?: Partial<states.Sizes>;
-  /** Incarnation of a new folder, in hex digits; random when absent. */
+  /** Incarnation of a new data folder, in hex digits; defaults to a random
+   * one. */
   readonly incarnation?: string;
-  /** Called after the state machine's state has changed. */
+  /** Called after the state of the state machine has changed. */
   onChange?(state: State, index: number): void;
   /** Called when the role, the term or the known leader has changed. */
   onRole?(role: states.Role, term: number, options: { leader?: string }): void;
-  /** Called once when the journal fails; the runner has stopped. */
+  /** Called once after the runner has stopped because of a failed write or an
+   * inconsistency. */
   onFailure?(failure: errors.LogError): void;
 }
 
-/** What a runner has done since its start. */
+/** Counters since the runner's start. */
 export interface Counters {
   writes: number;
   proposals: number;
--- a/src/control/log/runner_test.ts
+++ b/src/control/log/runner_test.ts
@@ -1,11 +1,11 @@
 import test from "ava";
 import * as fuzz from "../../../bench/log_fuzz/mod.ts";
 import * as log from "./mod.ts";
-import * as reads from "./pending_reads.ts";
+import * as pendingReads from "./pending_reads.ts";
 
 type Host = fuzz.World["hosts"][number];
 
-/** A fleet whose hosts `names` have been running for a while. */
+/** Creates a cluster whose hosts `names` have been running for two seconds. */
 async function createWorld(voters: number, names = "abcde") {
   const world = new fuzz.World({ seed: 7, voters });
   const started = world.hosts.filter(({ name }) => names.includes(name));
@@ -22,7 +22,7 @@
   return world.hosts.find(({ runner }) => runner?.leaseHeld());
 }
 
-function othersThan(world: fuzz.World, host: Host): Host[] {
+function hostsExcept(world: fuzz.World, host: Host): Host[] {
   return world.hosts.filter((other) => other !== host);
 }
 
@@ -31,13 +31,13 @@
     .catch((failure: log.LogError) => failure.kind);
 }
 
-function cutOff(world: fuzz.World, host: Host): void {
-  for (const { name } of othersThan(world, host)) {
+function isolate(world: fuzz.World, host: Host): void {
+  for (const { name } of hostsExcept(world, host)) {
     world.cut.add(`${host.name}>${name}`).add(`${name}>${host.name}`);
   }
 }
 
-/** Answers as they are known after `ms`. */
+/** Returns the results of promises after `ms`; `open` for pending ones. */
 async function settled<T>(
   world: fuzz.World,
   promises: readonly Promise<T>[],
@@ -51,7 +51,7 @@
   return answers;
 }
 
-test("has the same state on all replicas", async (t) => {
+test("all replicas reach the same state", async (t) => {
   const world = await createWorld(3);
   for (let count = 0; count < 100; count++) world.propose(leaderOf(world));
   await world.run(1000);
@@ -60,7 +60,7 @@
   t.deepEqual(world.runners.map(({ index }) => index), [101, 101, 101]);
 });
 
-test("commits commands together that come during a write", async (t) => {
+test("commits commands that arrive during a write as one batch", async (t) => {
   const world = await createWorld(3);
   const leader = leaderOf(world);
   const { writes } = leader.runner!.counters;
@@ -73,7 +73,7 @@
   t.true(leader.runner!.counters.writes - writes <= 20);
 });
 
-test("founds no fleet before all named hosts are there", async (t) => {
+test("does not bootstrap before all configured hosts are running", async (t) => {
   const world = await createWorld(3, "ab");
   t.deepEqual(world.runners.map(({ leader }) => leader), [
     undefined,
@@ -84,7 +84,7 @@
   t.truthy(findLeader(world));
 });
 
-test("founds no second fleet when a majority has lost its folders", async (t) => {
+test("does not bootstrap again when a majority has lost its disks", async (t) => {
   const world = await createWorld(3);
   world.propose(leaderOf(world));
   await world.run(500);
@@ -99,7 +99,7 @@
   t.deepEqual(a.runner!.replica.members, log.members.NONE);
 });
 
-test("lets a lost folder come back as another replica", async (t) => {
+test("a host that lost its disk rejoins as a new replica", async (t) => {
   const world = await createWorld(3);
   const [a] = world.hosts;
   const before = a.identity!;
@@ -114,7 +114,7 @@
   t.deepEqual(learners, []);
 });
 
-test("survives the loss of a second folder right after a repair", async (t) => {
+test("keeps all commands when a second disk is lost right after a replacement", async (t) => {
   const world = await createWorld(3);
   for (let round = 0; round < 6; round++) {
     const leader = leaderOf(world);
@@ -132,10 +132,10 @@
   world.checker.finish(world.runners);
 });
 
-test("survives a folder lost again at any moment of its repair", async (t) => {
+test("recovers when a disk is lost again at any step of its replacement", async (t) => {
   for (let changes = 1; changes <= 3; changes++) {
     const world = await createWorld(3);
-    const [host] = othersThan(world, leaderOf(world));
+    const [host] = hostsExcept(world, leaderOf(world));
     host.loseDisk();
     host.start();
     const indexes = new Set<number>();
@@ -158,9 +158,9 @@
   }
 });
 
-test("sends a snapshot in chunks to a replica that lags far behind", async (t) => {
+test("sends a snapshot in chunks to a replica that lags behind the compacted log", async (t) => {
   const world = await createWorld(3);
-  const [slow] = othersThan(world, leaderOf(world));
+  const [slow] = hostsExcept(world, leaderOf(world));
   slow.crash();
   for (let count = 0; count < 200; count++) {
     world.propose(leaderOf(world));
@@ -173,10 +173,10 @@
   world.checker.finish(world.runners);
 });
 
-test("refuses at once what a cut-off leader cannot commit", async (t) => {
+test("an isolated leader rejects proposals that it cannot commit", async (t) => {
   const world = await createWorld(3);
   const leader = leaderOf(world);
-  cutOff(world, leader);
+  isolate(world, leader);
   await world.run(5);
   const open = propose(leader, "open");
   await world.run(log.DEFAULT_TIMING.lease + 50);
@@ -190,7 +190,7 @@
 });
 
 for (const kind of ["process", "clock"] as const) {
-  test(`ends the lease of a leader whose ${kind} was paused`, async (t) => {
+  test(`the lease of a leader expires while its ${kind} is paused`, async (t) => {
     const world = await createWorld(3);
     const leader = leaderOf(world);
     t.true(leader.runner!.leaseHeld());
@@ -206,7 +206,7 @@
   });
 }
 
-test("answers proposals while the leader's disk does not", async (t) => {
+test("rejects proposals while the leader's disk is stalled", async (t) => {
   const world = await createWorld(3);
   const leader = leaderOf(world);
   leader.isStalled = true;
@@ -218,7 +218,7 @@
   t.not(leaderOf(world), leader);
 });
 
-test("hands leadership over without losing a command", async (t) => {
+test("transfers leadership without losing a command", async (t) => {
   const world = await createWorld(3);
   const leader = leaderOf(world);
   const open = propose(leader, "open");
@@ -232,11 +232,11 @@
   t.true(answers[0] === 2 || answers[0] === "unknown");
 });
 
-test("is not disturbed by a replica that was taken out", async (t) => {
+test("a removed replica does not disrupt the leader when it reconnects", async (t) => {
   const world = await createWorld(5);
   const leader = leaderOf(world);
-  const [out] = othersThan(world, leader);
-  cutOff(world, out);
+  const [out] = hostsExcept(world, leader);
+  isolate(world, out);
   await world.run(5000);
   leader.act((runner) => runner.remove(out.identity!));
   const { term } = leader.runner!;
@@ -246,14 +246,14 @@
   await world.run(3000);
   t.is(leaderOf(world), leader);
   t.is(leader.runner!.term, term);
-  // Its settings still name the host: it has joined again.
+  // The settings still include the host, so its replica has joined again.
   t.is(leader.runner!.replica.members.voters.length, 5);
 });
 
-test("takes out a voter that is neither named nor heard", async (t) => {
+test("removes an inactive voter that is no longer in the settings", async (t) => {
   const world = await createWorld(3);
   const leader = leaderOf(world);
-  const [out, other] = othersThan(world, leader);
+  const [out, other] = hostsExcept(world, leader);
   const hosts = [leader.name, other.name];
   for (const host of [leader, other]) {
     host.act((runner) => runner.setDesiredVoters(hosts));
@@ -274,7 +274,7 @@
   t.is(world.checker.acknowledged, 1);
 });
 
-test("keeps all through a restart of all hosts at once", async (t) => {
+test("keeps all commands when all hosts restart at once", async (t) => {
   const world = await createWorld(3);
   for (let count = 0; count < 300; count++) {
     world.propose(leaderOf(world));
@@ -293,26 +293,28 @@
   world.checker.finish(world.runners);
 });
 
-/** What a host's read with a majority's word gives within `ms`. */
-async function confirmed(world: fuzz.World, host: Host, ms = 2000) {
+/** Returns the result of a host's `readIndex` after `ms`. */
+async function readIndexOf(world: fuzz.World, host: Host, ms = 2000) {
   const read = host.runner!.readIndex()
     .catch((failure: log.LogError) => failure.kind);
   const [answer] = await settled(world, [read], ms);
   return answer;
 }
 
-test("a majority confirms a read at the leader", async (t) => {
+test("the leader's read index covers commands committed before", async (t) => {
   const world = await createWorld(3);
   const leader = leaderOf(world);
   const accepted = await settled(world, [propose(leader, "c")], 500);
-  t.true((await confirmed(world, leader) as number) >= (accepted[0] as number));
+  t.true(
+    (await readIndexOf(world, leader) as number) >= (accepted[0] as number),
+  );
 });
 
-/** What was seen: beside nine control hosts and 73 entry hosts at rest the leader
- * asked its voters 70 times a second whether it leads, in place of 25, a third of
- * all messages. A read that found no other waiting began a series of rounds, also
- * while one was due. */
-test("readers share rounds, however their reads fall", async (t) => {
+// Guards against additional rounds of heartbeats: a read that arrived while no
+// other was pending started a series of rounds although one was already
+// scheduled. With nine control hosts and 73 idle entry hosts, the leader ran 70
+// rounds a second instead of 25, a third of all messages.
+test("concurrent reads share rounds of heartbeats", async (t) => {
   const world = await createWorld(5);
   const leader = leaderOf(world);
   const before = leader.runner!.counters.sent;
@@ -321,24 +323,28 @@
     await world.run(7);
   }
   const rounds = (leader.runner!.counters.sent - before) / 4;
-  t.true(rounds <= 1000 / reads.READ_ROUND_MS + 1000 / 200, `${rounds} rounds`);
+  t.true(
+    rounds <= 1000 / pendingReads.READ_ROUND_MS + 1000 / 200,
+    `${rounds} rounds`,
+  );
 });
 
-test("nobody but a leader confirms a read", async (t) => {
+test("a follower rejects a read with not-leader", async (t) => {
   const world = await createWorld(3);
-  const [other] = othersThan(world, leaderOf(world));
-  t.is(await confirmed(world, other), "not-leader");
+  const [other] = hostsExcept(world, leaderOf(world));
+  t.is(await readIndexOf(world, other), "not-leader");
 });
 
-test("a leader that is cut off confirms nothing, however its clock stands", async (t) => {
+test("an isolated leader does not confirm reads", async (t) => {
   const world = await createWorld(3);
   const leader = leaderOf(world);
-  cutOff(world, leader);
-  const answer = await confirmed(world, leader);
+  isolate(world, leader);
+  const answer = await readIndexOf(world, leader);
   t.true(answer === "no-quorum" || answer === "not-leader", `${answer}`);
 });
 
-/** Runs for `ms` while reads come to a host more often than heartbeats go. */
+/** Runs for `ms` while a host receives reads more often than it sends
+ * heartbeats. */
 async function runWithReads(world: fuzz.World, host: Host, ms: number) {
   for (let passed = 0; passed < ms; passed += 50) {
     host.runner?.readIndex().catch(() => {});
@@ -346,25 +352,24 @@
   }
 }
 
-// What was seen: a control host that came back with an empty disk was a member
-// only after the next change of the configuration, seconds later, while hosts
-// asked the leader what is in force. Each such round put off the leader's own
-// duties, which it did with its heartbeats: taking in replicas, and stepping
-// down when it is cut off.
-test("reads that keep coming don't keep a new replica out", async (t) => {
+// Guards against reads that starve the leader's periodic duties: each round of
+// heartbeats for a read postponed the tick that adds replicas and steps down
+// without a majority. A control host that returned with an empty disk became a
+// member only seconds later, after the next configuration change.
+test("continuous reads do not keep a new replica from joining", async (t) => {
   const world = await createWorld(5);
   const leader = leaderOf(world);
-  const [lost] = othersThan(world, leader);
+  const [lost] = hostsExcept(world, leader);
   lost.loseDisk();
   lost.start();
   await runWithReads(world, leader, 2000);
   t.true(leader.runner!.replica.members.voters.includes(lost.identity!));
 });
 
-test("a leader that is cut off steps down though reads keep coming", async (t) => {
+test("an isolated leader steps down despite continuous reads", async (t) => {
   const world = await createWorld(3);
   const leader = leaderOf(world);
-  cutOff(world, leader);
+  isolate(world, leader);
   await runWithReads(world, leader, 2000);
   t.is(leader.runner!.replica.state.role === "leader", false);
 });
--- a/src/control/log/snapshots.ts
+++ b/src/control/log/snapshots.ts
@@ -1,5 +1,5 @@
-/** Snapshots: taken when the log has grown, sent in chunks to a follower that
- * lacks what the log no longer holds.
+/** Snapshots: taken when the log has grown, and sent in chunks to followers that
+ * lack entries that the leader has already compacted.
  * @module */
 
 import type * as schema from "../../schema/log_types.ts";
@@ -7,19 +7,22 @@
 import * as entries from "./entries.ts";
 import * as replication from "./replication.ts";
 
-/** Asks the shell for a snapshot once enough was applied since the last. */
+/** Requests a snapshot once enough entries were applied since the last one. */
 export function requestIfDue(draft: drafts.Draft): void {
   const { state } = draft;
   const last = state.snapshot?.position.index ?? 0;
   const since = Math.max(last, state.requestedSnapshot);
-  const { snapshotInterval: least, charactersPerEntry: perEntry } = state.sizes;
+  const { snapshotInterval, charactersPerEntry } = state.sizes;
   const size = state.snapshot?.data.length ?? 0;
-  if (state.applied - since < Math.max(least, size / perEntry)) return;
+  if (
+    state.applied - since <
+      Math.max(snapshotInterval, size / charactersPerEntry)
+  ) return;
   state.requestedSnapshot = state.applied;
   draft.effects.push({ type: "need-snapshot", index: state.applied });
 }
 
-/** Takes the state machine's state and drops entries that it covers. */
+/** Stores the state machine's state as snapshot and compacts the log. */
 export function take(
   draft: drafts.Draft,
   index: number,
@@ -35,16 +38,16 @@
   state.snapshot = { position: { index, term }, members, data };
   const keep = index - state.sizes.trailingEntries;
   if (keep > state.log.base.index) state.log = state.log.compact(keep);
-  forgetMembers(draft, index);
-  persist(draft);
+  dropOldConfigurations(draft, index);
+  persistSnapshot(draft);
 }
 
-/** Sends the next chunk of the snapshot. */
+/** Sends the next chunk of the snapshot to a follower. */
 export function send(draft: drafts.Draft, id: string): void {
   const { state, now } = draft;
   const { position, members, data } = state.snapshot!;
-  const known = replication.progressOf(draft, id).snapshot;
-  const offset = known?.index === position.index ? known.offset : 0;
+  const progress = replication.progressOf(draft, id).snapshot;
+  const offset = progress?.index === position.index ? progress.offset : 0;
   replication.setProgress(draft, id, {
     lastSent: now,
     isMatchKnown: false,
@@ -63,7 +66,7 @@
   });
 }
 
-/** Takes a chunk; installs the snapshot when it is whole. */
+/** Handles a chunk on a follower; installs the snapshot once it is complete. */
 export function handleChunk(
   draft: drafts.Draft,
   from: string,
@@ -71,11 +74,12 @@
 ): void {
   const { state } = draft;
   if (body.index <= state.commit) return acknowledge(draft, from, body);
-  const { incomingSnapshot: arrival } = state;
-  const same = arrival?.leader === from && arrival.term === body.term &&
-    arrival.index === body.index;
-  let parts = same ? arrival.parts : [];
-  let offset = same ? arrival.offset : 0;
+  const { incomingSnapshot: incoming } = state;
+  const continuesTransfer = incoming?.leader === from &&
+    incoming.term === body.term &&
+    incoming.index === body.index;
+  let parts = continuesTransfer ? incoming.parts : [];
+  let offset = continuesTransfer ? incoming.offset : 0;
   if (body.offset === offset) {
     parts = [...parts, body.data];
     offset += body.data.length;
@@ -90,7 +94,7 @@
   acknowledge(draft, from, body);
 }
 
-/** Sends the chunk that a follower asks for. */
+/** Handles a follower's answer to a chunk and sends the next one. */
 export function handleReply(
   draft: drafts.Draft,
   from: string,
@@ -117,19 +121,20 @@
   const snapshot = { position, members, data };
   state.incomingSnapshot = undefined;
   state.snapshot = snapshot;
-  // Entries that follow on the same position may still count.
-  const continues = state.log.term(index) === term;
-  state.log = continues
+  // If the log has the entry at the snapshot's position, the entries after it
+  // are kept: they may be part of the leader's log.
+  const hasSnapshotEntry = state.log.term(index) === term;
+  state.log = hasSnapshotEntry
     ? state.log.compact(index)
     : entries.Entries.create(position);
-  const later = continues
+  const later = hasSnapshotEntry
     ? state.configurations.filter((other) => other.index > index)
     : [];
   state.configurations = [{ index, members }, ...later];
   state.commit = index;
   state.applied = index;
   state.requestedSnapshot = index;
-  persist(draft);
+  persistSnapshot(draft);
   draft.effects.push({ type: "restore", snapshot });
 }
 
@@ -149,7 +154,7 @@
   });
 }
 
-function persist(draft: drafts.Draft): void {
+function persistSnapshot(draft: drafts.Draft): void {
   const { snapshot, log, term, vote } = draft.state;
   const start = snapshot!.position.index + 1;
   drafts.persist(draft, {
@@ -161,7 +166,7 @@
   });
 }
 
-function forgetMembers(draft: drafts.Draft, index: number): void {
+function dropOldConfigurations(draft: drafts.Draft, index: number): void {
   const { state } = draft;
   const first = state.configurations.findLastIndex((configuration) =>
     configuration.index <= index
--- a/src/control/log/state.ts
+++ b/src/control/log/state.ts
@@ -1,4 +1,4 @@
-/** State of a replica, with the events it takes and the effects it gives.
+/** State of a Raft replica, the events it handles and the effects it returns.
  * @module */
 
 import type * as runtime from "../../runtime/mod.ts";
@@ -6,20 +6,22 @@
 import type * as entries from "./entries.ts";
 import type * as members from "./members.ts";
 
-/** Times in milliseconds. `lease` must end before `electionLeast` even on a
- * clock that runs slow against another's by the quotient of the two. */
+/** Time-outs in milliseconds. `lease` must be shorter than `minElectionTimeout`:
+ * their ratio is the largest difference between the rates of two hosts' clocks
+ * under which no other leader is elected while a lease is held. */
 export interface Timing {
+  /** Interval between heartbeats. */
   readonly heartbeat: number;
   readonly minElectionTimeout: number;
   readonly maxElectionTimeout: number;
   readonly lease: number;
-  /** A learner that is silent for so long is dropped, and a voter whose host
-   * the settings no longer name. */
+  /** Time without an answer after which a learner is removed, and a voter
+   * whose host is no longer in the settings. */
   readonly inactivityTimeout: number;
 }
 
-/** Defaults: links of a few milliseconds, clocks that differ by up to a
- * quarter of their rate. */
+/** Default time-outs for network delays of a few milliseconds and clocks whose
+ * rates differ by up to a quarter. */
 export const DEFAULT_TIMING: Timing = {
   heartbeat: 200,
   minElectionTimeout: 600,
@@ -28,26 +30,29 @@
   inactivityTimeout: 10_000,
 };
 
-/** Sizes in entries, but for `characters` and `chunk` in characters. */
+/** Limits on batches, snapshots and the log, in entries unless the name says
+ * characters. */
 export interface Sizes {
-  /** Most entries in one message. */
+  /** Maximum number of entries in one message. */
   readonly maxBatchEntries: number;
-  /** Most of the entries in one message, unless one alone is larger. */
+  /** Maximum size of the entries in one message. A larger single entry is sent
+   * alone. */
   readonly maxBatchCharacters: number;
-  /** Most entries on their way to one follower. */
+  /** Maximum number of unacknowledged entries per follower. */
   readonly maxInFlightEntries: number;
-  /** Entries applied since the last snapshot that call for another. */
+  /** Minimum number of entries applied between two snapshots. */
   readonly snapshotInterval: number;
-  /** Characters of the last snapshot that put the next one off by an entry, so
-   * that large ones are taken less often. */
+  /** The next snapshot is due only after one entry for each so many characters
+   * of the last snapshot, so that large snapshots are taken less often. */
   readonly charactersPerEntry: number;
-  /** Entries kept behind a snapshot for followers that lag. */
+  /** Number of entries before a snapshot that are kept for lagging
+   * followers. */
   readonly trailingEntries: number;
-  /** Most of a snapshot in one message. */
+  /** Maximum size of a snapshot chunk in one message. */
   readonly chunkCharacters: number;
 }
 
-/** Default sizes. */
+/** Default limits. */
 export const DEFAULT_SIZES: Sizes = {
   maxBatchEntries: 256,
   maxBatchCharacters: 256 * 1024,
@@ -58,41 +63,45 @@
   chunkCharacters: 64 * 1024,
 };
 
-/** State machine's state at a position, with the members there. */
+/** State of the state machine at a log position, with the members at that
+ * position. */
 export interface Snapshot {
   readonly position: entries.Position;
   readonly members: schema.Members;
-  /** JSON text. */
+  /** State as JSON text. */
   readonly data: string;
 }
 
-/** What a replica finds on its disk. */
+/** State that a replica recovers from its disk. */
 export interface Durable {
   readonly term: number;
   readonly vote?: string;
   readonly snapshot?: Snapshot;
-  /** Entries that follow on the snapshot. */
+  /** Entries after the snapshot's position. */
   readonly entries: readonly schema.Entry[];
 }
 
-/** What the part of a leader knows of one other replica. */
+/** Leader's view of another replica. */
 export interface Progress {
-  /** Last index known to be durable there. */
+  /** Last index known to be durable on the replica. */
   readonly match: number;
+  /** Index of the next entry to send. */
   readonly next: number;
-  /** Whether `match` is known, so that appends may run ahead of answers. */
+  /** Whether `match` is confirmed, so that appends are pipelined without
+   * waiting for answers. */
   readonly isMatchKnown: boolean;
-  /** Leader's clock in the last message that it has answered. */
+  /** Time on the leader's clock at which the last acknowledged message was
+   * sent. */
   readonly lastAcknowledged: number;
-  /** When entries or a chunk were last sent. */
+  /** Time at which entries or a snapshot chunk were last sent. */
   readonly lastSent: number;
-  /** When the leader first heard of it. */
+  /** Time at which the leader began to track the replica. */
   readonly trackedSince: number;
-  /** Characters of the snapshot at `index` that it has. */
+  /** Number of characters received of the snapshot at `index`. */
   readonly snapshot?: { readonly index: number; readonly offset: number };
 }
 
-/** A snapshot that arrives in chunks. */
+/** A partially received snapshot. */
 export interface IncomingSnapshot {
   readonly leader: string;
   readonly term: number;
@@ -101,22 +110,22 @@
   readonly offset: number;
 }
 
-/** A message that waits until a write is durable. */
+/** A message that is sent once a write is durable. */
 export interface DeferredMessage {
   readonly write: number;
   readonly to: string;
   readonly body: schema.LogMessage;
 }
 
-/** Part that a replica plays now. */
+/** Raft role of a replica. */
 export type Role = "follower" | "pre-candidate" | "candidate" | "leader";
 
-/** Whole state of a replica. */
+/** Complete state of a replica. */
 export interface State {
   readonly id: schema.ReplicaId;
-  /** Hosts that the settings name as voters. */
+  /** Hosts that the settings configure as voters. */
   readonly desiredVoters: readonly string[];
-  /** Other hosts that may hold a replica. */
+  /** Other hosts that may run a replica. */
   readonly knownHosts: readonly string[];
   readonly timing: Timing;
   readonly sizes: Sizes;
@@ -132,86 +141,92 @@
 
   readonly role: Role;
   readonly leader?: string;
-  /** When a leader was last heard, or the replica started. */
+  /** Time of the last message from a leader, initially the replica's start. */
   readonly lastLeaderContact: number;
   readonly electionAt: number;
   readonly votes: readonly string[];
-  /** Whether this replica may found a log on an empty disk. */
+  /** Whether this replica may bootstrap a new log on an empty disk. */
   readonly isBootstrap: boolean;
-  /** Least term of a log that this replica founds. */
+  /** Minimum first term of a log that this replica bootstraps. */
   readonly minBootstrapTerm: number;
-  /** First members while they are being agreed on; all must vote. */
+  /** Voters of a new log during its bootstrap election, which needs the votes
+   * of all of them. */
   readonly initialVoters?: readonly string[];
-  /** Empty folders found by probing, by host. */
+  /** Ids of replicas that reported an empty log when probed, by host. */
   readonly emptyReplicas: Readonly<Record<string, string>>;
   readonly incomingSnapshot?: IncomingSnapshot;
 
   readonly progress: Readonly<Record<string, Progress>>;
   readonly heartbeatAt: number;
-  /** Index of the entry that opened the leader's term. */
+  /** Index of the first entry of the leader's term. */
   readonly termStart: number;
   readonly electedAt: number;
-  /** No answer to a message from before this time counts for the lease. */
+  /** Answers to messages sent before this time don't extend the lease. */
   readonly leaseNotBefore: number;
-  /** When the leader gives up waiting for the one it hands over to. */
+  /** Time at which the leader steps down if a leadership transfer has not
+   * completed; absent without a transfer. */
   readonly transferDeadline?: number;
-  /** The one that was asked to take over. */
+  /** Replica that was asked to take over leadership. */
   readonly transferTarget?: string;
-  /** Folders that have asked the leader to be added, by host. */
+  /** Ids of replicas that have asked the leader to be added, by host. */
   readonly joining: Readonly<Record<string, string>>;
 
-  /** Writes asked for, and how many of them are durable. */
+  /** Number of the last requested write. */
   readonly written: number;
+  /** Number of the last durable write. */
   readonly synced: number;
   readonly deferred: readonly DeferredMessage[];
+  /** Index of the last requested snapshot. */
   readonly requestedSnapshot: number;
 }
 
-/** What happens to a replica. */
+/** Input of a replica. */
 export type Event =
   | { type: "tick" }
   | { type: "message"; host: string; body: schema.LogMessage }
   | { type: "propose"; commands: readonly schema.Command[] }
-  /** All writes up to and including number `write` are durable. */
+  /** Writes up to and including number `write` are durable. */
   | { type: "synced"; write: number }
-  /** The state machine's state at `index`, as asked for. */
+  /** State of the state machine at `index`, in answer to `need-snapshot`. */
   | { type: "snapshot"; index: number; data: string }
-  /** Time has passed that the clock did not count. */
+  /** The host resumed after a pause that the monotonic clock did not count. */
   | { type: "resumed" }
+  /** The configured voters have changed. */
   | { type: "hosts"; hosts: readonly string[] }
+  /** Other hosts that may run a replica have changed. */
   | { type: "contacts"; hosts: readonly string[] }
-  /** Takes a replica out that will not come back. */
+  /** Removes a replica that will not return. */
   | { type: "remove"; id: schema.ReplicaId }
-  /** Asks a majority whether this replica still leads. */
+  /** Starts a round of heartbeats that confirms leadership for reads. */
   | { type: "confirm" }
-  /** Hands leadership over before a stop. */
+  /** Transfers leadership before a shutdown. */
   | { type: "transfer" };
 
-/** Something to be made durable. Entries replace all from the first's index
- * on. */
+/** A record to persist. Entries replace all stored entries from the index of
+ * their first one on. */
 export type LogRecord =
   | { type: "vote"; term: number; vote?: string }
   | { type: "entries"; entries: readonly schema.Entry[] }
   | {
     type: "snapshot";
     snapshot: Snapshot;
-    /** Entries that are kept behind it. */
+    /** Entries after the snapshot. */
     entries: readonly schema.Entry[];
     term: number;
     vote?: string;
   };
 
-/** What the shell must do. */
+/** Output of a replica that the runner carries out. */
 export type Effect =
   | { type: "send"; to: string; body: schema.LogMessage }
   | { type: "persist"; write: number; record: LogRecord }
   | { type: "apply"; entries: readonly schema.Entry[] }
-  /** Replaces the state machine's state. */
+  /** Replaces the state of the state machine by a snapshot. */
   | { type: "restore"; snapshot: Snapshot }
-  /** The commands of the event stand from `index` on. */
+  /** The proposed commands were appended to the log from `index` on. */
   | { type: "appended"; index: number; term: number }
-  /** The commands of the event were not taken. */
+  /** The proposed commands were rejected. */
   | { type: "reject"; reason: "not-leader" | "no-quorum"; leader?: string }
   | { type: "role"; role: Role; term: number; leader?: string }
-  /** The shell answers with a `snapshot` event. */
+  /** Requests a `snapshot` event with the state at `index`. */
   | { type: "need-snapshot"; index: number };
--- a/src/control/log/state_machine.ts
+++ b/src/control/log/state_machine.ts
@@ -1,12 +1,12 @@
-/** What a state machine brings to the log: a plain object of functions.
+/** Interface of the replicated state machine.
  * @module */
 
 import type * as schema from "../../schema/log_types.ts";
 
-/** A command that the log carries without looking into it. */
+/** A command, opaque to the log. */
 export type Command = schema.Command;
 
-/** What a command leads to: the next state, and what the proposer is told. */
+/** Result of a command: the next state, and the reply to the proposer. */
 export interface Outcome<State, Reply> {
   state: State;
   reply: Reply;
@@ -16,15 +16,16 @@
 export interface StateMachine<State, Reply> {
   /** State before the first command. */
   readonly empty: State;
-  /** Applies a committed command; depends on its arguments alone. */
+  /** Applies a committed command. The result must depend only on the
+   * arguments. */
   apply(state: State, command: Command, index: number): Outcome<State, Reply>;
-  /** JSON value of the state for a snapshot. */
+  /** Returns the state as a JSON value for a snapshot. */
   toJSON(state: State): unknown;
-  /** State from what `toJSON` gave. */
+  /** Restores a state from the result of `toJSON`. */
   fromJSON(json: unknown): State;
 }
 
-/** State from the data of a snapshot, or the empty one without. */
+/** Restores a state from snapshot data; the initial state without data. */
 export function restore<State>(
   machine: StateMachine<State, unknown>,
   data: string | undefined,
--- a/src/control/log/transfer.ts
+++ b/src/control/log/transfer.ts
@@ -1,13 +1,13 @@
-/** Handing leadership over before a stop.
+/** Leadership transfer before a shutdown.
  *
- * From then on the leader takes no proposals and holds no lease in its term:
- * the one that it asks need not wait for a lease to end.
+ * From its start the leader accepts no proposals and holds no lease for the rest
+ * of its term, so that the new leader need not wait for a lease to expire.
  * @module */
 
 import * as drafts from "./draft.ts";
 import * as replication from "./replication.ts";
 
-/** Begins to hand over. */
+/** Starts a leadership transfer. */
 export function start(draft: drafts.Draft): void {
   const { state, now } = draft;
   if (state.role !== "leader" || state.transferDeadline !== undefined) return;
@@ -16,7 +16,7 @@
   tryTransfer(draft);
 }
 
-/** Asks the first voter that has the whole log to stand for election. */
+/** Asks the first voter that has the complete log to start an election. */
 export function tryTransfer(draft: drafts.Draft): void {
   const { state } = draft;
   if (state.transferDeadline === undefined || state.transferTarget) return;
--- a/src/control/log/writer.ts
+++ b/src/control/log/writer.ts
@@ -1,4 +1,4 @@
-/** Group commit: records that come while a write runs go out together in the
+/** Group commit: records that arrive during a write are written together in the
  * next one.
  * @module */
 
@@ -6,11 +6,11 @@
 import type * as journals from "./journal.ts";
 import type * as states from "./state.ts";
 
-/** What a writer needs. */
+/** Options of a writer. */
 export interface WriterOptions {
   readonly journal: journals.Journal;
   readonly clock: runtime.Clock;
-  /** All records up to that of number `write` are durable. */
+  /** Called when the records up to number `write` are durable. */
   onSynced(write: number): void;
   onFailure(cause: unknown): void;
 }
@@ -21,35 +21,36 @@
   #records: states.LogRecord[] = [];
   #last = 0;
   #writes = 0;
-  #since?: number;
+  #writeStartedAt?: number;
 
   constructor(options: WriterOptions) {
     this.#options = options;
   }
 
-  /** Whether a write runs. */
+  /** Whether a write is in progress. */
   get isBusy(): boolean {
-    return this.#since !== undefined;
+    return this.#writeStartedAt !== undefined;
   }
 
-  /** Writes begun so far. */
+  /** Number of writes started. */
   get writes(): number {
     return this.#writes;
   }
 
-  /** Milliseconds that the present write has taken. */
+  /** Duration of the current write so far; 0 without one. */
   get currentWriteMs(): number {
-    if (this.#since === undefined) return 0;
-    return this.#options.clock.now() - this.#since;
+    if (this.#writeStartedAt === undefined) return 0;
+    return this.#options.clock.now() - this.#writeStartedAt;
   }
 
-  /** Adds a record; `flush` writes it. */
+  /** Adds a record for the next `flush`. */
   add(write: number, record: states.LogRecord): void {
     this.#records.push(record);
     this.#last = write;
   }
 
-  /** Writes what was added, unless a write runs, which does it at its end. */
+  /** Writes the added records. If a write is in progress, they are written after
+   * it. */
   async flush(): Promise<void> {
     if (this.isBusy) return;
     const { journal, clock, onSynced, onFailure } = this.#options;
@@ -59,11 +60,11 @@
         const last = this.#last;
         this.#records = [];
         this.#writes++;
-        this.#since = clock.now();
+        this.#writeStartedAt = clock.now();
         await journal.write(records);
         onSynced(last);
       }
-      this.#since = undefined;
+      this.#writeStartedAt = undefined;
     } catch (cause) {
       onFailure(cause);
     }
