--- a/src/storage/error.ts
+++ b/src/storage/error.ts
@@ -1,10 +1,10 @@
-/** Errors of storage.
+/** Errors of the storage of a data folder.
  * @module */
 
-/** What went wrong with the data folder. */
+/** Kind of a storage failure. `crashed` occurs only in the in-memory fake. */
 export type StorageFault = "locked" | "failed" | "crashed";
 
-/** A file could not be read, written or synced. */
+/** Failure to open, read, write or sync files of the data folder. */
 export class StorageError extends Error {
   override readonly name = "StorageError";
   readonly kind: StorageFault;
--- a/src/storage/file_storage.ts
+++ b/src/storage/file_storage.ts
@@ -1,45 +1,45 @@
-/** Files on a disk, under one data folder with one writer.
+/** Storage of files in a data folder on disk, with a single writer.
  * @module */
 
 import * as crypto from "node:crypto";
 import * as fs from "node:fs/promises";
 import * as path from "node:path";
 import type * as runtime from "../runtime/mod.ts";
-import * as error from "./error.ts";
+import * as errors from "./error.ts";
 import * as lock from "./lock.ts";
 
-const TEMPORARY = ".tmp";
+const TEMPORARY_SUFFIX = ".tmp";
 
-/** Storage on a file system. An operation that fails to write or sync makes
- * all later ones fail: what the disk then holds is not known. */
+/** Storage on a file system. After a failed write or sync all later writes fail
+ * too, because the state of the disk is then unknown. */
 export class FileStorage implements runtime.Storage {
   readonly #folder: string;
   readonly #lock?: lock.Lock;
   readonly #handles = new Map<string, fs.FileHandle>();
-  #failure?: error.StorageError;
+  #failure?: errors.StorageError;
 
-  private constructor(folder: string, held?: lock.Lock) {
+  private constructor(folder: string, acquired?: lock.Lock) {
     this.#folder = folder;
-    this.#lock = held;
+    this.#lock = acquired;
   }
 
-  /** Opens `folder`, creates it if need be, and locks it, unless the platform
-   * sees to it that no other process has it (`isOwn`). */
+  /** Opens `folder`, creates it if necessary, and locks it, unless the platform
+   * guarantees exclusive access to it (`isOwn`). */
   static async open(
     folder: string,
     { isOwn = false }: { isOwn?: boolean } = {},
   ): Promise<FileStorage> {
     try {
-      const made = await fs.mkdir(folder, { recursive: true });
+      const created = await fs.mkdir(folder, { recursive: true });
       const parent = path.dirname(path.resolve(folder));
-      if (made !== undefined || !isOwn) await syncFolder(parent);
-      const held = isOwn ? undefined : await lock.acquire(folder);
-      const storage = new FileStorage(folder, held);
-      await storage.#clean();
+      if (created !== undefined || !isOwn) await syncFolder(parent);
+      const acquired = isOwn ? undefined : await lock.acquire(folder);
+      const storage = new FileStorage(folder, acquired);
+      await storage.#removeTemporaryFiles();
       return storage;
     } catch (cause) {
-      if (cause instanceof error.StorageError) throw cause;
-      throw failed(`open ${folder}`, cause);
+      if (cause instanceof errors.StorageError) throw cause;
+      throw storageError(`open ${folder}`, cause);
     }
   }
 
@@ -48,13 +48,13 @@
       return await fs.readFile(this.#path(name));
     } catch (cause) {
       if (isMissing(cause)) return undefined;
-      throw failed(`read ${name}`, cause);
+      throw storageError(`read ${name}`, cause);
     }
   }
 
   append(name: string, bytes: Uint8Array): Promise<void> {
     return this.#write(name, async () => {
-      const handle = this.#handles.get(name) ?? await this.#create(name);
+      const handle = this.#handles.get(name) ?? await this.#openHandle(name);
       await handle.appendFile(bytes);
       await handle.datasync();
     });
@@ -62,9 +62,9 @@
 
   replace(name: string, bytes: Uint8Array): Promise<void> {
     return this.#write(name, async () => {
-      await this.#release(name);
+      await this.#closeHandle(name);
       const suffix = crypto.randomBytes(4).toString("hex");
-      const temporary = this.#path(`${name}.${suffix}${TEMPORARY}`);
+      const temporary = this.#path(`${name}.${suffix}${TEMPORARY_SUFFIX}`);
       const handle = await fs.open(temporary, "wx");
       try {
         await handle.writeFile(bytes);
@@ -79,7 +79,7 @@
 
   truncate(name: string, length: number): Promise<void> {
     return this.#write(name, async () => {
-      const handle = this.#handles.get(name) ?? await this.#create(name);
+      const handle = this.#handles.get(name) ?? await this.#openHandle(name);
       await handle.truncate(length);
       await handle.sync();
     });
@@ -87,7 +87,7 @@
 
   remove(name: string): Promise<void> {
     return this.#write(name, async () => {
-      await this.#release(name);
+      await this.#closeHandle(name);
       await fs.rm(this.#path(name), { force: true });
       await syncFolder(this.#folder);
     });
@@ -97,20 +97,22 @@
     try {
       const names = await fs.readdir(this.#folder);
       return names.filter((name) =>
-        !name.endsWith(TEMPORARY) && !lock.isLock(name)
+        !name.endsWith(TEMPORARY_SUFFIX) && !lock.isLock(name)
       ).sort();
     } catch (cause) {
-      throw failed(`list ${this.#folder}`, cause);
+      throw storageError(`list ${this.#folder}`, cause);
     }
   }
 
-  /** Closes all files and lets go of the lock. */
+  /** Closes all files and releases the lock. */
   async close(): Promise<void> {
     try {
-      for (const name of [...this.#handles.keys()]) await this.#release(name);
+      for (const name of [...this.#handles.keys()]) {
+        await this.#closeHandle(name);
+      }
       await this.#lock?.release();
     } catch (cause) {
-      throw failed(`close ${this.#folder}`, cause);
+      throw storageError(`close ${this.#folder}`, cause);
     }
   }
 
@@ -119,27 +121,27 @@
     try {
       await action();
     } catch (cause) {
-      this.#failure ??= failed(`write ${name}`, cause);
+      this.#failure ??= storageError(`write ${name}`, cause);
       throw this.#failure;
     }
   }
 
-  async #create(name: string): Promise<fs.FileHandle> {
+  async #openHandle(name: string): Promise<fs.FileHandle> {
     const handle = await fs.open(this.#path(name), "a");
     this.#handles.set(name, handle);
     await syncFolder(this.#folder);
     return handle;
   }
 
-  async #release(name: string): Promise<void> {
+  async #closeHandle(name: string): Promise<void> {
     const handle = this.#handles.get(name);
     this.#handles.delete(name);
     await handle?.close();
   }
 
-  async #clean(): Promise<void> {
+  async #removeTemporaryFiles(): Promise<void> {
     for (const name of await fs.readdir(this.#folder)) {
-      if (name.endsWith(TEMPORARY)) await fs.rm(this.#path(name));
+      if (name.endsWith(TEMPORARY_SUFFIX)) await fs.rm(this.#path(name));
     }
   }
 
@@ -148,8 +150,8 @@
   }
 }
 
-function failed(action: string, cause: unknown): error.StorageError {
-  return new error.StorageError("failed", `Cannot ${action}`, { cause });
+function storageError(action: string, cause: unknown): errors.StorageError {
+  return new errors.StorageError("failed", `Cannot ${action}`, { cause });
 }
 
 function isMissing(cause: unknown): boolean {
--- a/src/storage/lock.ts
+++ b/src/storage/lock.ts
@@ -1,66 +1,75 @@
-/** One writer of a data folder at a time, by a file that names its process.
+/** Lock of a data folder: a file that identifies the process of its only writer.
  *
- * A lock is stale when no process has its number any more, or when the one
- * that has it started at another time. The right to remove a stale file is
- * itself a file, made exclusively and named after the token of the stale one,
- * and who has it reads the stale file once more before removing it. So of many
- * that find the same stale file one removes it, and none removes a later one. A
- * right whose process has ended is a stale file like any other. A process in
- * another container that shares the folder but not the process numbers is not
- * recognised.
+ * A lock is stale if its process id is not in use, or if the process with that
+ * id started at another time. Before a process removes a stale file, it
+ * exclusively creates a claim file named after the stale file's token, and reads
+ * the stale file again. So of several processes that find the same stale file,
+ * one removes it, and none removes a newer one. A claim whose process has ended
+ * is a stale file itself. Processes in different containers that share the
+ * folder but not the process ids can't detect each other.
  * @module */
 
 import * as crypto from "node:crypto";
 import * as fs from "node:fs/promises";
 import * as path from "node:path";
 import * as timers from "node:timers/promises";
-import * as error from "./error.ts";
+import * as errors from "./error.ts";
 
-const NAME = "lock";
-const MOST_TRIES = 20;
-/** Milliseconds between tries while another removes a stale lock. */
-const PAUSE = 10;
+const LOCK_FILE = "lock";
+const MAX_ATTEMPTS = 20;
+/** Delay between attempts while another process removes a stale lock. */
+const RETRY_DELAY_MS = 10;
 
-/** A lock that is held until it is released. */
+/** A held lock. */
 export interface Lock {
   release(): Promise<void>;
 }
 
 interface Owner {
   process: number;
-  /** Start of the process in clock ticks since boot; empty if not known. */
+  /** Start time of the process in clock ticks since boot; empty if unknown. */
   started: string;
   token: string;
 }
 
-/** Whether `name` is a file of this module. */
+/** Whether `name` is a lock file or a claim. */
 export function isLock(name: string): boolean {
-  return name === NAME || name.startsWith(`${NAME}.`);
+  return name === LOCK_FILE || name.startsWith(`${LOCK_FILE}.`);
 }
 
-/** Locks `folder`, or throws `StorageError` of kind `locked`. */
+/** Locks `folder`. Throws a `StorageError` of kind `locked` if another process
+ * holds the lock. */
 export async function acquire(folder: string): Promise<Lock> {
-  const owner = await describe(process.pid);
-  const file = path.join(folder, NAME);
-  const own = path.join(folder, `${NAME}.${owner.token}`);
-  // Synced, so that after a loss of power no lock is there without its owner.
-  await fs.writeFile(own, JSON.stringify(owner), { flag: "wx", flush: true });
+  const owner = await describeProcess(process.pid);
+  const file = path.join(folder, LOCK_FILE);
+  const ownFile = path.join(folder, `${LOCK_FILE}.${owner.token}`);
+  // Synced before it is linked, so that a power failure leaves no lock file
+  // without its owner.
+  await fs.writeFile(ownFile, JSON.stringify(owner), {
+    flag: "wx",
+    flush: true,
+  });
   try {
-    for (let count = 0; count < MOST_TRIES; count++) {
-      if (await link(own, file)) return { release: () => release(file, owner) };
-      const holder = await removeStale({ file, own });
-      if (holder) throw inUse(folder, holder);
-      if (count > 0) await timers.setTimeout(PAUSE);
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
+      if (await link(ownFile, file)) {
+        return { release: () => release(file, owner) };
+      }
+      const holder = await removeStale({ file, ownFile });
+      if (holder) throw inUseError(folder, holder);
+      if (attempt > 0) await timers.setTimeout(RETRY_DELAY_MS);
     }
   } finally {
-    await fs.rm(own, { force: true });
+    await fs.rm(ownFile, { force: true });
   }
-  throw new error.StorageError("locked", `${folder} is being locked by others`);
+  throw new errors.StorageError(
+    "locked",
+    `${folder} could not be locked because other processes are locking it`,
+  );
 }
 
-function inUse(folder: string, { process }: Owner): error.StorageError {
+function inUseError(folder: string, { process }: Owner): errors.StorageError {
   const message = `${folder} is in use by process ${process}`;
-  return new error.StorageError("locked", message);
+  return new errors.StorageError("locked", message);
 }
 
 async function link(from: string, to: string): Promise<boolean> {
@@ -73,37 +82,40 @@
   }
 }
 
-interface Removal {
-  /** File that may be stale. */
+interface StaleFile {
+  /** Path of the file that may be stale. */
   file: string;
-  /** File of the process that wants to remove it. */
-  own: string;
+  /** Path of this process's own file, which is linked as the claim. */
+  ownFile: string;
 }
 
-/** Removes a stale file; returns the owner of one that is not stale. */
+/** Removes a file if it is stale; returns its owner if it is not. */
 async function removeStale(
-  { file, own }: Removal,
+  { file, ownFile }: StaleFile,
 ): Promise<Owner | undefined> {
-  const owner = await read(file);
+  const owner = await readOwner(file);
   if (owner === undefined) return undefined;
   if (await isAlive(owner)) return owner;
-  const right = path.join(path.dirname(own), `${NAME}.${owner.token}.stale`);
-  if (!await link(own, right)) {
-    await removeStale({ file: right, own });
+  const claim = path.join(
+    path.dirname(ownFile),
+    `${LOCK_FILE}.${owner.token}.stale`,
+  );
+  if (!await link(ownFile, claim)) {
+    await removeStale({ file: claim, ownFile });
     return undefined;
   }
-  // Meanwhile another may have removed it and made it anew.
-  if ((await read(file))?.token === owner.token) await fs.rm(file);
-  await fs.rm(right);
+  // Another process may have removed and recreated the file in the meantime.
+  if ((await readOwner(file))?.token === owner.token) await fs.rm(file);
+  await fs.rm(claim);
   return undefined;
 }
 
 async function release(file: string, owner: Owner): Promise<void> {
-  const found = await read(file);
+  const found = await readOwner(file);
   if (found?.token === owner.token) await fs.rm(file, { force: true });
 }
 
-async function read(file: string): Promise<Owner | undefined> {
+async function readOwner(file: string): Promise<Owner | undefined> {
   try {
     return JSON.parse(await fs.readFile(file, "utf8"));
   } catch {
@@ -117,16 +129,15 @@
   } catch (cause) {
     if ((cause as NodeJS.ErrnoException).code === "ESRCH") return false;
   }
-  const { started } = await describe(owner.process);
+  const { started } = await describeProcess(owner.process);
   return started === "" || owner.started === "" || started === owner.started;
 }
 
-async function describe(number: number): Promise<Owner> {
+async function describeProcess(pid: number): Promise<Owner> {
   const token = crypto.randomBytes(8).toString("hex");
-  const text = await fs.readFile(`/proc/${number}/stat`, "utf8").catch(() =>
-    ""
-  );
-  // Fields after the command name, which stands in parentheses.
+  const text = await fs.readFile(`/proc/${pid}/stat`, "utf8").catch(() => "");
+  // Fields after the command name, which is in parentheses and may contain
+  // blanks.
   const fields = text.slice(text.lastIndexOf(")") + 2).split(" ");
-  return { process: number, started: fields[19] ?? "", token };
+  return { process: pid, started: fields[19] ?? "", token };
 }
--- a/src/storage/memory_storage.ts
+++ b/src/storage/memory_storage.ts
@@ -1,36 +1,37 @@
-/** Files in memory that forget at a crash what was not synced, for tests and
- * for trials.
+/** In-memory storage that loses unsynced writes on a simulated crash, for tests
+ * and benchmarks.
  * @module */
 
 import type * as runtime from "../runtime/mod.ts";
-import * as error from "./error.ts";
+import * as errors from "./error.ts";
 
 type Files = Map<string, Uint8Array>;
 
-interface Write {
+interface PendingWrite {
   name: string;
   apply(files: Files): void;
   resolve(): void;
   reject(cause: Error): void;
 }
 
-/** How much of the first unsynced append a crash leaves behind. */
+/** Part of the first unsynced append that remains after a crash: nothing, its
+ * first `bytes` bytes, or all of it with the first `bytes` bytes zeroed. */
 export type TornWrite =
   | { type: "nothing" }
   | { type: "cut"; bytes: number }
   | { type: "zeros"; bytes: number };
 
-/** Options of a fake. */
+/** Options of an in-memory storage. */
 export interface MemoryStorageOptions {
-  /** Keeps writes unsynced until `sync` is called; false when absent. */
+  /** Whether writes stay unsynced until `sync` is called; defaults to false. */
   manual?: boolean;
 }
 
-/** A fake disk. Writes are synced in order. */
+/** A simulated disk that syncs writes in order. */
 export class MemoryStorage implements runtime.Storage {
   readonly #files: Files;
   readonly #manual: boolean;
-  #waiting: Write[] = [];
+  #pending: PendingWrite[] = [];
   #crashed = false;
   #syncs = 0;
 
@@ -43,19 +44,19 @@
     return new MemoryStorage(new Map(), options.manual ?? false);
   }
 
-  /** Writes that wait for a sync. */
+  /** Number of writes not yet synced. */
   get waiting(): number {
-    return this.#waiting.length;
+    return this.#pending.length;
   }
 
-  /** Writes synced so far. */
+  /** Number of writes synced so far. */
   get syncs(): number {
     return this.#syncs;
   }
 
-  /** Syncs the next waiting write; returns false when there is none. */
+  /** Syncs the next pending write. Returns false if there is none. */
   sync(): boolean {
-    const write = this.#waiting.shift();
+    const write = this.#pending.shift();
     if (write === undefined) return false;
     write.apply(this.#files);
     this.#syncs++;
@@ -63,15 +64,16 @@
     return true;
   }
 
-  /** Ends this process's view; returns the disk as the next one finds it. */
+  /** Simulates a crash of the process: pending writes are rejected and later ones
+   * never complete. Returns the disk as a restarted process finds it. */
   crash(tear: TornWrite = { type: "nothing" }): MemoryStorage {
     const files = new Map(this.#files);
-    const torn = this.#waiting[0] as Append | undefined;
-    if (torn?.bytes) tears[tear.type](files, torn, tear);
-    const lost = new error.StorageError("crashed", "The process has crashed");
+    const torn = this.#pending[0] as PendingAppend | undefined;
+    if (torn?.bytes) tearHandlers[tear.type](files, torn, tear);
+    const lost = new errors.StorageError("crashed", "The process has crashed");
     this.#crashed = true;
-    this.#waiting.forEach((write) => write.reject(lost));
-    this.#waiting = [];
+    this.#pending.forEach((write) => write.reject(lost));
+    this.#pending = [];
     return new MemoryStorage(files, this.#manual);
   }
 
@@ -112,24 +114,26 @@
     return Promise.resolve([...this.#files.keys()].sort());
   }
 
-  #write(change: Change): Promise<void> {
+  #write(request: WriteRequest): Promise<void> {
     return new Promise((resolve, reject) => {
       if (this.#crashed) return;
-      this.#waiting.push({ ...change, resolve, reject });
+      this.#pending.push({ ...request, resolve, reject });
       if (!this.#manual) this.sync();
     });
   }
 }
 
-type Change = Pick<Write, "name" | "apply"> & { bytes?: Uint8Array };
+type WriteRequest = Pick<PendingWrite, "name" | "apply"> & {
+  bytes?: Uint8Array;
+};
 
-interface Append extends Write {
+interface PendingAppend extends PendingWrite {
   bytes: Uint8Array;
 }
 
-const tears: Record<
+const tearHandlers: Record<
   TornWrite["type"],
-  (files: Files, torn: Append, tear: TornWrite) => void
+  (files: Files, torn: PendingAppend, tear: TornWrite) => void
 > = {
   nothing: () => {},
   cut: (files, torn, tear) => {
--- a/src/storage/mod.ts
+++ b/src/storage/mod.ts
@@ -1,5 +1,5 @@
-/** Synced files under one data folder, and a fake that loses what was not
- * synced.
+/** Durable files in a data folder, and an in-memory implementation that loses
+ * unsynced writes on a simulated crash.
  * @module */
 
 export * from "./error.ts";
--- a/src/storage/storage_test.ts
+++ b/src/storage/storage_test.ts
@@ -12,7 +12,7 @@
   return bytes && Buffer.from(bytes).toString();
 }
 
-test("keeps files over closing and opening again", async (t) => {
+test("keeps files after closing and reopening the folder", async (t) => {
   const folder = await createFolder();
   const first = await storage.FileStorage.open(folder);
   await first.append("log", Buffer.from("one "));
@@ -28,7 +28,7 @@
   await second.close();
 });
 
-test("refuses a folder that another writer holds", async (t) => {
+test("rejects a folder that another writer has locked", async (t) => {
   const folder = await createFolder();
   const first = await storage.FileStorage.open(folder);
   const failure = await t.throwsAsync(storage.FileStorage.open(folder));
@@ -37,7 +37,7 @@
   await (await storage.FileStorage.open(folder)).close();
 });
 
-test("turns errors of the file system into its own", async (t) => {
+test("wraps errors of the file system in a StorageError", async (t) => {
   const folder = await createFolder();
   const opened = await storage.FileStorage.open(folder);
   await fs.rm(folder, { recursive: true });
@@ -56,7 +56,7 @@
   await opened.close();
 });
 
-test("takes over the lock of an earlier process of the same number", async (t) => {
+test("takes over the lock of an earlier process with the same id", async (t) => {
   const folder = await createFolder();
   const owner = { process: process.pid, started: "1", token: "gone" };
   await fs.writeFile(path.join(folder, "lock"), JSON.stringify(owner));
@@ -64,7 +64,7 @@
   t.pass();
 });
 
-test("lets one of many take over a stale lock", async (t) => {
+test("only one of several openings takes over a stale lock", async (t) => {
   const folder = await createFolder();
   const owner = { process: 2 ** 22 + 1, started: "1", token: "gone" };
   const lock = path.join(folder, "lock");
@@ -80,7 +80,7 @@
   await opened[0]!.close();
 });
 
-test("removes what an interrupted replacement left behind", async (t) => {
+test("removes temporary files of an interrupted replacement", async (t) => {
   const folder = await createFolder();
   await fs.writeFile(path.join(folder, "log.12ab.tmp"), "half");
   const opened = await storage.FileStorage.open(folder);
@@ -88,7 +88,7 @@
   await opened.close();
 });
 
-test("fails all writes after one that failed", async (t) => {
+test("rejects all writes after a failed one", async (t) => {
   const opened = await storage.FileStorage.open(await createFolder());
   const bytes = Buffer.from("x");
   await t.throwsAsync(opened.append("no/such/folder", bytes));
@@ -97,7 +97,7 @@
   await opened.close();
 });
 
-test("forgets unsynced writes at a crash of the fake", async (t) => {
+test("the in-memory storage loses unsynced writes on a crash", async (t) => {
   const disk = storage.MemoryStorage.create({ manual: true });
   const synced = disk.append("log", Buffer.from("kept "));
   disk.sync();
