--- a/bench/naive_dispatcher.ts
+++ b/bench/naive_dispatcher.ts
@@ -73,7 +73,9 @@
     for (const flight of this.#flights.values()) {
       if (flight.request.deadline > now) continue;
       const { id } = flight.request;
-      const problem = problems.late(flight.sent ? "unknown" : "not-run");
+      const problem = problems.deadlinePassed(
+        flight.sent ? "unknown" : "not-run",
+      );
       this.#flights.delete(id);
       this.#effects.push({ type: "refuse", request: id, problem });
       // Nothing is cancelled: the call runs on, but its place is given back.
--- a/src/admission/controller.ts
+++ b/src/admission/controller.ts
@@ -103,7 +103,7 @@
     return this.#checkLimits(arrived, now) ?? this.#checkDeadline(arrived, now);
   }
 
-  rest(work: policySet.Work): number {
+  remainingTime(work: policySet.Work): number {
     if (this.#admitted.get(work.request.id)?.probe) return 0;
     const { stages } = work.request;
     let remaining = this.predict(work).low;
@@ -259,7 +259,7 @@
   }
 
   #latestStart(work: policySet.Work): number {
-    return work.request.deadline - this.rest(work);
+    return work.request.deadline - this.remainingTime(work);
   }
 }
 
--- a/src/batching/batch_call.ts
+++ b/src/batching/batch_call.ts
@@ -109,8 +109,8 @@
       clock,
       url: `http://${address}`,
       deadline: clock.now() + timeout,
-      silence: timeout,
-      mostBytes: MAX_RESPONSE_BYTES,
+      idleTimeout: timeout,
+      maxBytes: MAX_RESPONSE_BYTES,
       receiver: {
         head(status, headers) {
           head = protocol.decodeReply(status, headers);
@@ -125,7 +125,7 @@
   });
 }
 
-type Break = exchanges.Break;
+type Break = exchanges.ExchangeFailure;
 
 function causeOf(
   reason: Break["reason"],
--- a/src/callers/callers_test.ts
+++ b/src/callers/callers_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import type * as http from "node:http";
 import * as stream from "node:stream";
-import * as ask from "./ask.ts";
+import * as ask from "./request_parser.ts";
 import * as body from "./body.ts";
 import * as problem from "./problem.ts";
 import * as runtime from "../runtime/mod.ts";
@@ -61,7 +61,7 @@
 });
 
 test("reads the terms of a request from its headers", (t) => {
-  t.deepEqual(ask.termsOf({}), {
+  t.deepEqual(ask.metadataOf({}), {
     kind: "default",
     remaining: undefined,
     idempotent: true,
@@ -73,7 +73,7 @@
     "chicoryloft-idempotent": "false",
     "idempotency-key": "k",
   };
-  t.deepEqual(ask.termsOf(headers), {
+  t.deepEqual(ask.metadataOf(headers), {
     kind: "plan",
     remaining: 1500,
     idempotent: false,
@@ -92,7 +92,9 @@
     { "idempotency-key": "x".repeat(256) },
   ];
   for (const headers of wrong) {
-    t.throws(() => ask.termsOf(headers), { instanceOf: problem.CallerError });
+    t.throws(() => ask.metadataOf(headers), {
+      instanceOf: problem.CallerError,
+    });
   }
 });
 
--- a/src/callers/endpoints.ts
+++ b/src/callers/endpoints.ts
@@ -1,7 +1,7 @@
 /** Announcements and leaves of endpoints on the callers' port.
  * @module */
 
-import * as ask from "./ask.ts";
+import * as ask from "./request_parser.ts";
 import * as body from "./body.ts";
 import * as endpoint from "../schema/endpoint_validators.ts";
 import type * as endpointTypes from "../schema/endpoint_types.ts";
--- a/src/callers/http_reply.ts
+++ b/src/callers/http_reply.ts
@@ -29,7 +29,7 @@
     this.#options = options;
   }
 
-  get gone(): boolean {
+  get isDisconnected(): boolean {
     return this.#response.destroyed;
   }
 
@@ -58,7 +58,7 @@
     send(this.#response, { status, headers: all, body });
   }
 
-  repeat(answer: request.StoredAnswer): void {
+  replay(answer: request.StoredAnswer): void {
     send(this.#response, answer);
   }
 
@@ -104,7 +104,7 @@
 }
 
 /** A whole answer. */
-export interface Whole {
+export interface FullResponse {
   status: number;
   headers: Record<string, string>;
   body: string | Uint8Array;
@@ -113,7 +113,7 @@
 /** Sends a whole answer. */
 export function send(
   response: http.ServerResponse,
-  { status, headers, body }: Whole,
+  { status, headers, body }: FullResponse,
 ): void {
   if (response.headersSent || response.destroyed) return;
   const length = String(Buffer.byteLength(body));
--- a/src/callers/ask.ts
+++ b/src/callers/request_parser.ts
@@ -9,7 +9,7 @@
 import * as problem from "./problem.ts";
 
 /** What the headers of a request say. */
-export interface Terms {
+export interface RequestMetadata {
   kind: string;
   /** Milliseconds left, when the caller says so. */
   remaining: number | undefined;
@@ -23,7 +23,7 @@
 const KEY = /^[\x21-\x7e]{1,255}$/;
 
 /** Reads the headers that callers may send. */
-export function termsOf(headers: http.IncomingHttpHeaders): Terms {
+export function metadataOf(headers: http.IncomingHttpHeaders): RequestMetadata {
   const kind = one(headers, "chicoryloft-kind") ?? "default";
   demand(NAME.test(kind), "Chicoryloft-Kind is not a name");
   const deadline = one(headers, "chicoryloft-deadline");
--- a/src/callers/requests.ts
+++ b/src/callers/requests.ts
@@ -1,7 +1,7 @@
 /** Routes of requests: pipelines and plain services.
  * @module */
 
-import * as ask from "./ask.ts";
+import * as ask from "./request_parser.ts";
 import * as body from "./body.ts";
 import type * as catalogue from "../request/catalogue.ts";
 import * as httpReply from "./http_reply.ts";
@@ -74,16 +74,16 @@
   if (account === undefined) {
     throw new problem.CallerError("unauthorized", "The token names no account");
   }
-  const terms = ask.termsOf(incoming.headers);
+  const terms = ask.metadataOf(incoming.headers);
   function read(target: catalogue.Target): Promise<Buffer> {
-    const allowed = intake.allowed({ ...terms, account: account!, target });
+    const allowed = intake.timeBudget({ ...terms, account: account!, target });
     const { bodyBytes: bytes = BODY_BYTES } = settings.limits ?? {};
     const time = Math.min(BODY_TIME, allowed);
     return body.read(incoming, { clock, bytes, time });
   }
   function submit(target: catalogue.Target, work: Work): void {
     const { payload, stream: streaming } = work;
-    const id = intake.id();
+    const id = intake.nextId();
     const reply = new httpReply.HttpReply(response, {
       id,
       streaming,
--- a/src/callers/tls_test.ts
+++ b/src/callers/tls_test.ts
@@ -28,7 +28,7 @@
 test("serves callers over TLS and takes no plain call there", async (t) => {
   const settings = fakePath.settingsOf();
   settings.listen.callers = { port: 0, tls };
-  const started = await fakePath.start(fakePath.whole, { settings });
+  const started = await fakePath.start(fakePath.allEndpoints, { settings });
   t.teardown(() => started.stop());
   const plain = `${started.url}/v1/pipelines/short`;
   const secure = plain.replace("http:", "https:");
--- a/src/endpoint_calls/call.ts
+++ b/src/endpoint_calls/call.ts
@@ -72,7 +72,7 @@
   deadline: number;
   priority: number;
   /** Milliseconds without a byte after which the connection is given up. */
-  silence: number;
+  idleTimeout: number;
   input: Input;
 }
 
--- a/src/endpoint_calls/connections.ts
+++ b/src/endpoint_calls/connections.ts
@@ -42,7 +42,7 @@
 
   /** Breaks the connections to an address off: who was there has started again,
    * and what was under way is lost. */
-  async cut(address: string): Promise<void> {
+  async abort(address: string): Promise<void> {
     const lost = new undici.errors.SocketError("The endpoint started again");
     await this.#take(address)?.destroy(lost);
   }
--- a/src/endpoint_calls/connections_test.ts
+++ b/src/endpoint_calls/connections_test.ts
@@ -59,7 +59,7 @@
   const address = await serve(t);
   const kept = createConnections(t);
   await ask(kept, address);
-  await kept.cut(address);
+  await kept.abort(address);
   t.deepEqual(kept.addresses, []);
   t.is(await ask(kept, address), "2");
 });
@@ -69,7 +69,7 @@
   const kept = createConnections(t);
   const open = ask(kept, address, "/slow");
   await new Promise((resolve) => setTimeout(resolve, 20));
-  void kept.cut(address);
+  void kept.abort(address);
   await t.throwsAsync(open, { message: /started again/ });
 });
 
--- a/src/endpoint_calls/connector.ts
+++ b/src/endpoint_calls/connector.ts
@@ -43,7 +43,7 @@
 
 /** Resolves with whether the connection whose end is being handled has ended
  * in order; undefined when no end is being handled. */
-export function currentEnding(): Promise<boolean> | undefined {
+export function currentEndCheck(): Promise<boolean> | undefined {
   return ending;
 }
 
--- a/src/endpoint_calls/connector_test.ts
+++ b/src/endpoint_calls/connector_test.ts
@@ -45,8 +45,8 @@
         clock: runtime.systemClock,
         url,
         deadline: runtime.systemClock.now() + 2000,
-        silence: 2000,
-        mostBytes: 1000,
+        idleTimeout: 2000,
+        maxBytes: 1000,
         receiver: {
           head() {},
           data: (part) => void (body += part),
--- a/src/endpoint_calls/endpoint_client.ts
+++ b/src/endpoint_calls/endpoint_client.ts
@@ -22,7 +22,7 @@
   /** Largest answer in bytes; 16 MiB when absent. */
   answerBytes?: number;
   /** Milliseconds to make a connection; 1000 when absent. */
-  connectTime?: number;
+  connectTimeout?: number;
 }
 
 const ANSWER_BYTES = 16 * 1024 * 1024;
@@ -45,7 +45,7 @@
 
   private constructor(options: Options) {
     this.#options = options;
-    const { connectTime = CONNECT_TIME } = options;
+    const { connectTimeout: connectTime = CONNECT_TIME } = options;
     // No pipelining: a connection carries one call at a time.
     this.#agent = new undici.Agent({
       pipelining: 1,
@@ -75,8 +75,8 @@
       clock,
       url: made.url,
       deadline: made.deadline,
-      silence: made.silence,
-      mostBytes: answerBytes,
+      idleTimeout: made.idleTimeout,
+      maxBytes: answerBytes,
       receiver: hears,
     });
     hears.attach(started);
--- a/src/endpoint_calls/endpoint_client_test.ts
+++ b/src/endpoint_calls/endpoint_client_test.ts
@@ -76,7 +76,7 @@
     url,
     deadline: 60_000,
     priority: 5,
-    silence: 30_000,
+    idleTimeout: 30_000,
     input: inputs.plain,
     ...fields,
   };
@@ -240,7 +240,7 @@
   });
   const { pool } = create(clock);
   const arrived = new Promise<void>((resolve) => heard = resolve);
-  const first = start(pool, callOf(server.url, { silence: 400 }));
+  const first = start(pool, callOf(server.url, { idleTimeout: 400 }));
   await arrived;
   clock.advance(400);
   t.like(await first.end, {
--- a/src/endpoint_calls/published.ts
+++ b/src/endpoint_calls/endpoint_events.ts
@@ -18,7 +18,7 @@
 }
 
 /** Reads a load report; undefined when it is malformed. */
-export function loadOf(data: string): LoadReport | undefined {
+export function parseLoad(data: string): LoadReport | undefined {
   const read = parse(data);
   const { at, running, waiting, kvUsed = 0 } = read;
   if (!isNumber(at) || !isAmount(running) || !isAmount(waiting)) {
@@ -29,7 +29,7 @@
 }
 
 /** Reads a change of a cache; undefined when it is malformed. */
-export function cacheOf(data: string): CacheReport | undefined {
+export function parseCache(data: string): CacheReport | undefined {
   const { sequence, stored = [], removed = [] } = parse(data);
   if (!Number.isSafeInteger(sequence)) return undefined;
   if (!areHashes(stored) || !areHashes(removed)) return undefined;
--- a/src/endpoint_calls/engine.ts
+++ b/src/endpoint_calls/engine.ts
@@ -27,7 +27,7 @@
       "resume_from": attempt.offset,
     });
   },
-  read: (made, _head, token) => new EngineReader(made, token),
+  createReader: (made, _head, token) => new EngineReader(made, token),
 };
 
 const DONE = "[DONE]";
@@ -56,7 +56,7 @@
     this.#parser.feed(this.#decoder.write(chunk));
   }
 
-  end(): handler.Read {
+  end(): handler.ParsedAnswer {
     if (!this.#done || !this.#finished || this.#usage === undefined) {
       throw new call.CallError("broken-stream", "The stream is not whole");
     }
--- a/src/endpoint_calls/exchange.ts
+++ b/src/endpoint_calls/exchange.ts
@@ -14,7 +14,7 @@
 export type Headers = Readonly<Record<string, string | string[] | undefined>>;
 
 /** Why an exchange ended without its whole answer. */
-export interface Break {
+export interface ExchangeFailure {
   reason: request.FailureReason;
   outcome: request.Outcome;
 }
@@ -24,11 +24,11 @@
   head(status: number, headers: Headers): void;
   data(chunk: Buffer): void;
   end(): void;
-  fail(broken: Break): void;
+  fail(broken: ExchangeFailure): void;
 }
 
 /** What is sent. */
-export interface Sent {
+export interface OutgoingRequest {
   method: string;
   path: string;
   headers: Record<string, string>;
@@ -44,9 +44,9 @@
   /** Milliseconds of the clock. */
   deadline: number;
   /** Milliseconds without a byte. */
-  silence: number;
+  idleTimeout: number;
   /** Most bytes of an answer's body. */
-  mostBytes: number;
+  maxBytes: number;
   receiver: Receiver;
 }
 
@@ -72,11 +72,11 @@
   private constructor(options: Options) {
     this.#options = options;
     this.#heard = options.clock.now();
-    this.#silence = options.silence;
+    this.#silence = options.idleTimeout;
   }
 
   /** Sends, and tells the receiver what comes. */
-  static start(sent: Sent, options: Options): Exchange {
+  static start(sent: OutgoingRequest, options: Options): Exchange {
     const exchange = new Exchange(options);
     exchange.#watch();
     exchange.#send(sent);
@@ -91,7 +91,7 @@
   }
 
   /** Gives it up after so many milliseconds without a byte, from now on. */
-  expectWithin(silence: number): void {
+  setIdleTimeout(silence: number): void {
     if (this.#done) return;
     this.#silence = silence;
     this.#cancelTimer();
@@ -138,14 +138,14 @@
     if (this.#done) return;
     this.#heard = this.#options.clock.now();
     this.#bytes += chunk.length;
-    if (this.#bytes > this.#options.mostBytes) return this.break("error");
+    if (this.#bytes > this.#options.maxBytes) return this.break("error");
     this.#options.receiver.data(chunk);
   }
 
   onResponseEnd(): void {
     if (this.#done) return;
     if (this.#isFramed) return this.#end();
-    const ending = connector.currentEnding();
+    const ending = connector.currentEndCheck();
     if (ending === undefined) return this.break("broken-stream");
     void ending.then((isInOrder) => {
       if (this.#done) return;
@@ -163,7 +163,7 @@
     this.#options.receiver.end();
   }
 
-  #send(sent: Sent): void {
+  #send(sent: OutgoingRequest): void {
     this.#isHead = sent.method === "HEAD";
     if (this.#done) return;
     const { dispatcher, url } = this.#options;
--- a/src/endpoint_calls/exchange_test.ts
+++ b/src/endpoint_calls/exchange_test.ts
@@ -14,14 +14,14 @@
   const receiver = { head() {}, data() {}, end() {} };
   for (let call = 0; call < 500; call++) {
     clock.advance(random.next() * 100);
-    let broken: exchanges.Break | undefined;
+    let broken: exchanges.ExchangeFailure | undefined;
     exchanges.Exchange.start({ method: "GET", path: "/", headers: {} }, {
       dispatcher: SILENT,
       clock,
       url: "http://10.0.0.1:80",
       deadline: Infinity,
-      silence: 1000 * random.next(),
-      mostBytes: 1,
+      idleTimeout: 1000 * random.next(),
+      maxBytes: 1,
       receiver: { ...receiver, fail: (each) => void (broken = each) },
     });
     clock.step();
--- a/src/endpoint_calls/handler.ts
+++ b/src/endpoint_calls/handler.ts
@@ -12,7 +12,7 @@
 }
 
 /** A whole answer, read. */
-export interface Read {
+export interface ParsedAnswer {
   result: call.Result;
   usage: request.Usage;
 }
@@ -21,7 +21,7 @@
 export interface Reader {
   feed(chunk: Buffer): void;
   /** Throws a `CallError` when the answer is not whole or not ours. */
-  end(): Read;
+  end(): ParsedAnswer;
 }
 
 /** Takes a token as it comes. */
@@ -30,8 +30,8 @@
 /** Talks to one kind of endpoint. */
 export interface Handler<I extends call.Input = call.Input> {
   /** What is sent, less the headers that every call carries. */
-  build(input: I, made: call.Call): exchange.Sent;
-  read(made: call.Call, head: Head, token: TakeToken): Reader;
+  build(input: I, made: call.Call): exchange.OutgoingRequest;
+  createReader(made: call.Call, head: Head, token: TakeToken): Reader;
   /** Whether a status other than 2xx is an answer like any other. */
-  anyStatus?: boolean;
+  acceptsAnyStatus?: boolean;
 }
--- a/src/endpoint_calls/json.ts
+++ b/src/endpoint_calls/json.ts
@@ -24,25 +24,25 @@
 /** Talks to encoders. */
 export const encoder: handler.Handler<call.Input & { type: "encoder" }> = {
   build: ({ model, texts }) => post("/v1/embeddings", { model, input: texts }),
-  read: (made) => new JsonReader(made, parseEmbeddings),
+  createReader: (made) => new JsonReader(made, parseEmbeddings),
 };
 
 /** Talks to retrievers. */
 export const retriever: handler.Handler<call.Input & { type: "retriever" }> = {
   build: ({ embedding, text, top }) =>
     post("/v1/retrieve", { embedding, text, top }),
-  read: (made) => new JsonReader(made, parseDocuments),
+  createReader: (made) => new JsonReader(made, parseDocuments),
 };
 
 /** Talks to rerankers. */
 export const reranker: handler.Handler<call.Input & { type: "reranker" }> = {
   build: ({ query, documents, top }) =>
     post("/v1/rerank", { query, documents, "top_n": top }),
-  read: (made) => new JsonReader(made, parseRanks),
+  createReader: (made) => new JsonReader(made, parseRanks),
 };
 
 /** A POST of a JSON document. */
-export function post(path: string, body: unknown): exchange.Sent {
+export function post(path: string, body: unknown): exchange.OutgoingRequest {
   const headers = { "content-type": "application/json" };
   return { method: "POST", path, headers, body: JSON.stringify(body) };
 }
@@ -80,7 +80,7 @@
     this.#chunks.push(chunk);
   }
 
-  end(): handler.Read {
+  end(): handler.ParsedAnswer {
     const body = parse(Buffer.concat(this.#chunks).toString()) as Body | null;
     if (body?.id !== call.idOf(this.#made)) {
       throw new call.CallError("mismatch", "The answer is another call's");
--- a/src/endpoint_calls/mod.ts
+++ b/src/endpoint_calls/mod.ts
@@ -3,5 +3,5 @@
 
 export * from "./endpoint_client.ts";
 export * from "./call.ts";
-export type { Heard, Publisher } from "./subscription.ts";
+export type { EndpointEvent, Publisher } from "./subscription.ts";
 export { Subscriptions } from "./subscriptions.ts";
--- a/src/endpoint_calls/plain.ts
+++ b/src/endpoint_calls/plain.ts
@@ -36,12 +36,12 @@
 
 /** Talks to plain services. */
 export const plain: handler.Handler<call.PlainInput> = {
-  anyStatus: true,
+  acceptsAnyStatus: true,
   build({ method, path, headers, body }) {
     const sent = { method, path, headers: passed(headers) };
     return body.length > 0 ? { ...sent, body } : sent;
   },
-  read: (made, head) => new PlainReader(made, head),
+  createReader: (made, head) => new PlainReader(made, head),
 };
 
 class PlainReader implements handler.Reader {
@@ -58,7 +58,7 @@
     this.#chunks.push(chunk);
   }
 
-  end(): handler.Read {
+  end(): handler.ParsedAnswer {
     const { status } = this.#head;
     const headers = passed(this.#head.headers);
     const body = Buffer.concat(this.#chunks);
--- a/src/endpoint_calls/receiver.ts
+++ b/src/endpoint_calls/receiver.ts
@@ -48,8 +48,8 @@
       return this.#give("refused", "not-run");
     }
     const fine = status >= 200 && status < 300;
-    if (!fine && !handler.anyStatus) return this.#give("error");
-    this.#reader = handler.read(
+    if (!fine && !handler.acceptsAnyStatus) return this.#give("error");
+    this.#reader = handler.createReader(
       this.#made,
       { status, headers },
       (offset, text) => this.#token(offset, text),
@@ -68,7 +68,7 @@
   end(): void {
     if (this.#failed) return;
     const { listener, clock, metrics } = this.#options;
-    let read: handler.Read;
+    let read: handler.ParsedAnswer;
     try {
       read = this.#reader!.end();
     } catch (error) {
@@ -79,7 +79,7 @@
     listener.answer(read.result, read.usage);
   }
 
-  fail({ reason, outcome }: exchange.Break): void {
+  fail({ reason, outcome }: exchange.ExchangeFailure): void {
     if (this.#failed) return;
     this.#failed = true;
     const { listener, metrics } = this.#options;
--- a/src/endpoint_calls/subscription.ts
+++ b/src/endpoint_calls/subscription.ts
@@ -6,13 +6,13 @@
 import type * as undici from "undici";
 import * as clockOffset from "./clock_offset.ts";
 import * as exchange from "./exchange.ts";
-import * as published from "./published.ts";
+import * as published from "./endpoint_events.ts";
 import type * as request from "../request/event.ts";
 import type * as runtime from "../runtime/mod.ts";
 import type * as telemetry from "../telemetry/mod.ts";
 
 /** Events that a dispatcher is told of. */
-export type Heard = request.Event & { type: "load" | "cache" };
+export type EndpointEvent = request.Event & { type: "load" | "cache" };
 
 /** Parts of subscriptions. */
 export interface Options {
@@ -20,7 +20,7 @@
   clock: runtime.Clock;
   random: runtime.Random;
   metrics: telemetry.Metrics;
-  take(heard: Heard): void;
+  take(heard: EndpointEvent): void;
 }
 
 /** An endpoint that may publish. */
@@ -98,7 +98,7 @@
     this.#reopen();
   }
 
-  fail(_broken: exchange.Break): void {
+  fail(_broken: exchange.ExchangeFailure): void {
     this.#reopen();
   }
 
@@ -114,8 +114,8 @@
       clock,
       url: this.url,
       deadline: Infinity,
-      silence: SILENCE,
-      mostBytes: Infinity,
+      idleTimeout: SILENCE,
+      maxBytes: Infinity,
       receiver: this,
     });
   }
@@ -146,7 +146,7 @@
 
   readonly #takers: Readonly<Record<string, Take>> = {
     load: (data) => {
-      const read = published.loadOf(data);
+      const read = published.parseLoad(data);
       if (read === undefined) return false;
       const { clock, take } = this.#options;
       const at = this.#offset.toHost(read.at, clock.now());
@@ -155,7 +155,7 @@
       return true;
     },
     cache: (data) => {
-      const read = published.cacheOf(data);
+      const read = published.parseCache(data);
       if (read === undefined) return false;
       const { metrics, take } = this.#options;
       const { sequence } = read;
--- a/src/endpoint_calls/subscriptions_test.ts
+++ b/src/endpoint_calls/subscriptions_test.ts
@@ -45,7 +45,7 @@
 function create(t: ava.ExecutionContext) {
   const clock = new runtime.FakeClock();
   const tally = new telemetry.Tally();
-  const heard: endpointCalls.Heard[] = [];
+  const heard: endpointCalls.EndpointEvent[] = [];
   let wake = () => {};
   const pool = endpointCalls.EndpointClient.create({ clock, metrics: tally });
   const subscriptions = pool.listen({
@@ -59,7 +59,7 @@
     subscriptions.close();
     return pool.close();
   });
-  async function hear(count: number): Promise<endpointCalls.Heard[]> {
+  async function hear(count: number): Promise<endpointCalls.EndpointEvent[]> {
     while (heard.length < count) {
       await new Promise<void>((resolve) => wake = resolve);
     }
--- a/src/fleet/entry_host.ts
+++ b/src/fleet/entry_host.ts
@@ -320,7 +320,7 @@
     const { logger } = this.#options;
     logger.info({ endpoint: id, service, address, isReborn }, "Endpoint ended");
     try {
-      if (isReborn) await this.#connections.cut(address);
+      if (isReborn) await this.#connections.abort(address);
       else await this.#connections.retire(address);
     } catch (error) {
       logger.warn({ err: error, endpoint: id }, "Connections were not closed");
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -108,8 +108,8 @@
       clock,
       url: `http://${endpoint.identity.address}`,
       deadline: options.deadline,
-      silence: options.idleTimeout,
-      mostBytes: MAX_ANSWER_BYTES,
+      idleTimeout: options.idleTimeout,
+      maxBytes: MAX_ANSWER_BYTES,
       receiver: attempt,
     });
     return attempt;
@@ -124,7 +124,7 @@
 
   /** Changes the idle timeout, counted from now. */
   setIdleTimeout(idleTimeout: number): void {
-    this.#exchange?.expectWithin(idleTimeout);
+    this.#exchange?.setIdleTimeout(idleTimeout);
   }
 
   head(
@@ -160,7 +160,7 @@
     this.#finish({ type: "answer", head, body: Buffer.concat(this.#chunks) });
   }
 
-  fail({ reason, outcome }: endpointCalls.Break): void {
+  fail({ reason, outcome }: endpointCalls.ExchangeFailure): void {
     if (this.#isFinished) return;
     // The head alone marks an answer as a refusal, so one whose body is cut off
     // still counts.
@@ -224,7 +224,7 @@
   return head.lacksInput ? "lacks-input" : "full";
 }
 
-type BreakReason = endpointCalls.Break["reason"];
+type BreakReason = endpointCalls.ExchangeFailure["reason"];
 
 function failureCause(reason: BreakReason): FailureCause {
   const causes: Partial<Record<BreakReason, FailureCause>> = {
--- a/src/node/node_test.ts
+++ b/src/node/node_test.ts
@@ -142,7 +142,7 @@
 });
 
 test("the request path hears that an endpoint has started again", async (t) => {
-  const policySet = request.createPlainPolicies();
+  const policySet = request.createBaselinePolicies();
   const heard = new Set<number | undefined>();
   policySet.choice.endpoints = (endpoints) => {
     for (const { generation } of endpoints) heard.add(generation);
--- a/src/request/accounting.ts
+++ b/src/request/accounting.ts
@@ -3,14 +3,14 @@
 
 import * as attainment from "./attainment.ts";
 import type * as effect from "./effect.ts";
-import type * as execution from "./execution.ts";
+import type * as execution from "./executor.ts";
 import type * as request from "./request.ts";
 import type * as runtime from "../runtime/mod.ts";
 import type * as telemetry from "../telemetry/mod.ts";
 
 /** Why a call's result was not used: it failed or hung and was made again, it
  * lost a race, or its request ended first. */
-export type Waste = "retry" | "hedge" | "cancelled";
+export type WasteCause = "retry" | "hedge" | "cancelled";
 
 /** What it is made from. */
 export interface Options {
@@ -54,7 +54,7 @@
 
   /** Counts the time of a call whose result is not used; an upper bound, since
    * the endpoint does not say what it spent. */
-  waste(job: execution.Job, attempt: request.Attempt, fate: Waste): void {
+  waste(job: execution.Job, attempt: request.Attempt, fate: WasteCause): void {
     const labels = { ...labelsOf(job, attempt), fate };
     const elapsed = this.#clock.now() - attempt.started;
     this.#metrics.count("cost.wasted_calls", 1, labels);
--- a/src/request/plain_policies.ts
+++ b/src/request/baseline_policies.ts
@@ -30,7 +30,7 @@
       admit: (arrived, _now, fleet) => admit(arrived, fleet, inFlight),
     },
     choice: { choose: (work, pool) => chooseLeast(work, pool) },
-    estimate: { rest: () => 0 },
+    estimate: { remainingTime: () => 0 },
     retries: createRetries(attempts),
     hedge: { delay: () => undefined, allow: () => false },
     priority: () => PRIORITY,
--- a/src/request/calls.ts
+++ b/src/request/calls.ts
@@ -3,7 +3,7 @@
 
 import type * as effect from "./effect.ts";
 import type * as fleet from "./fleet.ts";
-import type * as flight from "./flight.ts";
+import type * as flight from "./request_state.ts";
 import type * as notifier from "./notifier.ts";
 import type * as request from "./request.ts";
 
@@ -17,7 +17,7 @@
 }
 
 /** Where a call goes. */
-export interface Place {
+export interface Destination {
   pool: fleet.Pool;
   member: fleet.Member;
   hedge: boolean;
@@ -35,7 +35,11 @@
     return new Calls(options);
   }
 
-  start(of: flight.Flight, place: Place, now: number): request.Attempt {
+  start(
+    of: flight.RequestState,
+    place: Destination,
+    now: number,
+  ): request.Attempt {
     const { notifier, priority, emit } = this.#options;
     const { pool, member, hedge } = place;
     const attempt: request.Attempt = {
@@ -49,7 +53,7 @@
     };
     of.phase = "running";
     of.calls.push({ attempt, pool, member });
-    pool.shift(member, 1);
+    pool.addCalls(member, 1);
     const { deadline } = of.request;
     emit({ type: "call", attempt, deadline, priority: priority(of.request) });
     notifier.started(attempt, of, now);
@@ -57,7 +61,7 @@
   }
 
   answered(
-    of: flight.Flight,
+    of: flight.RequestState,
     call: flight.Call,
     { usage, now }: { usage: request.Usage; now: number },
   ): void {
@@ -66,7 +70,7 @@
   }
 
   failed(
-    of: flight.Flight,
+    of: flight.RequestState,
     call: flight.Call,
     { failure, now }: { failure: request.Failure; now: number },
   ): void {
@@ -77,7 +81,7 @@
   }
 
   /** Cancels a call that hangs, which counts as a failure of its endpoint. */
-  give(of: flight.Flight, call: flight.Call, now: number): void {
+  cancelHung(of: flight.RequestState, call: flight.Call, now: number): void {
     const { attempt } = call;
     this.#options.emit({ type: "cancel", attempt, hung: true });
     const { received } = of;
@@ -86,7 +90,11 @@
   }
 
   /** Cancels all calls of a request but `kept`. */
-  cancel(of: flight.Flight, kept: flight.Call | undefined, now: number): void {
+  cancel(
+    of: flight.RequestState,
+    kept: flight.Call | undefined,
+    now: number,
+  ): void {
     const { emit, notifier } = this.#options;
     for (const call of of.calls) {
       if (call === kept) continue;
@@ -97,12 +105,12 @@
   }
 
   #release(
-    of: flight.Flight,
+    of: flight.RequestState,
     call: flight.Call,
     outcome: request.Outcome,
   ): void {
     of.end(call, outcome);
-    call.pool.shift(call.member, -1);
+    call.pool.addCalls(call.member, -1);
     this.#options.freed(call.pool.service);
   }
 }
--- a/src/request/dispatcher.ts
+++ b/src/request/dispatcher.ts
@@ -8,13 +8,13 @@
  * when it is given up, and never after its deadline.
  * @module */
 
-import * as schedule from "./schedule.ts";
+import * as schedule from "./request_timers.ts";
 import * as calls from "./calls.ts";
 import type * as effect from "./effect.ts";
 import type * as event from "./event.ts";
 import * as fleet from "./fleet.ts";
-import type * as flight from "./flight.ts";
-import * as flights from "./flights.ts";
+import type * as flight from "./request_state.ts";
+import * as flights from "./request_states.ts";
 import * as queueSet from "./queue_set.ts";
 import * as notifier from "./notifier.ts";
 import type * as policySet from "./policy_set.ts";
@@ -44,10 +44,10 @@
 export class Dispatcher implements policySet.Fleet {
   readonly #policies: policySet.PolicySet;
   readonly #notify: notifier.Notifier;
-  readonly #flights = flights.Flights.create();
+  readonly #flights = flights.RequestStates.create();
   readonly #queues: queueSet.QueueSet;
   readonly #pools = fleet.Pools.create();
-  readonly #schedule = schedule.Schedule.create();
+  readonly #schedule = schedule.RequestTimers.create();
   readonly #calls: calls.Calls;
   readonly #runningCalls: runningCalls.RunningCalls;
   #effects: effect.Effect[] = [];
@@ -61,7 +61,7 @@
       notifier: this.#notify,
       priority: policySet.priority,
       emit: (asked) => this.#effects.push(asked),
-      freed: (service) => this.#queues.touch(service),
+      freed: (service) => this.#queues.mark(service),
     });
     this.#runningCalls = runningCalls.RunningCalls.create({
       policySet,
@@ -103,7 +103,7 @@
     // After the event: it may have ended what a hedge or a retry is due for.
     this.#runDue(now);
     this.#queues.visit((service, queue) => this.#serve(service, queue, now));
-    const wake = this.#schedule.arm(now, this.#queues.nextAt(now));
+    const wake = this.#schedule.nextWake(now, this.#queues.nextAt(now));
     if (wake !== undefined) this.#effects.push({ type: "wake", at: wake });
     return this.#effects;
   }
@@ -131,21 +131,21 @@
     endpoints: ({ endpoints }, now) => {
       this.#pools.replace(endpoints);
       this.#notify.endpoints(endpoints, now);
-      this.#queues.touchAll();
+      this.#queues.markAll();
     },
     load: ({ endpoint, load }, now) => {
       this.#notify.load(endpoint, load, now);
       const service = this.#pools.serviceOf(endpoint);
-      if (service !== undefined) this.#queues.touch(service);
+      if (service !== undefined) this.#queues.mark(service);
     },
     cache: (change, now) => this.#notify.cache(change, now),
     policies: ({ policies }, now) => {
       this.#notify.policies(policies, now);
-      this.#queues.touchAll();
+      this.#queues.markAll();
     },
     wake: () => {
-      this.#schedule.woken();
-      this.#queues.touchAll();
+      this.#schedule.clearWake();
+      this.#queues.markAll();
     },
     drain: () => {
       this.#draining = true;
@@ -170,14 +170,14 @@
     now: number,
   ): effect.Problem | undefined {
     if (this.#draining) return problems.stopping();
-    if (now >= arrived.deadline) return problems.late("not-run");
+    if (now >= arrived.deadline) return problems.deadlinePassed("not-run");
     return this.#policies.admission.admit(arrived, now, this);
   }
 
   #progress(happened: event.Event & { type: "progress" }, now: number): void {
     const found = this.#flights.current(happened.attempt);
     if (found === undefined) return;
-    const { owner, call } = found;
+    const { state: owner, call } = found;
     this.#calls.cancel(owner, call, now);
     owner.received = Math.max(owner.received, happened.received);
     owner.progressed = now;
@@ -187,7 +187,7 @@
   #answer(happened: event.Event & { type: "answer" }, now: number): void {
     const found = this.#flights.current(happened.attempt);
     if (found === undefined) return;
-    const { owner, call } = found;
+    const { state: owner, call } = found;
     this.#calls.answered(owner, call, { usage: happened.usage, now });
     this.#calls.cancel(owner, undefined, now);
     if (now >= owner.request.deadline) {
@@ -202,19 +202,21 @@
     const { attempt, failure } = happened;
     const found = this.#flights.current(attempt);
     if (found === undefined) return;
-    const { owner, call } = found;
+    const { state: owner, call } = found;
     this.#calls.failed(owner, call, { failure, now });
     if (owner.calls.length === 0) this.#retry(owner, failure, now);
   }
 
-  #retry(of: flight.Flight, failure: request.Failure, now: number): void {
+  #retry(of: flight.RequestState, failure: request.Failure, now: number): void {
     if (!of.request.idempotent) {
       return this.#refuse(of, problems.unrepeatable(of, failure), now);
     }
     const { retries, estimate } = this.#policies;
     const delay = retries.delay(of, failure, now);
     const left = of.request.deadline - now;
-    if (delay === undefined || delay + estimate.rest(of, now) >= left) {
+    if (
+      delay === undefined || delay + estimate.remainingTime(of, now) >= left
+    ) {
       return this.#refuse(of, problems.failed(of, failure), now);
     }
     of.since = now;
@@ -240,14 +242,14 @@
       const work = queue.shift(now);
       if (work === undefined) return;
       const left = work.request.deadline - now;
-      if (this.#policies.estimate.rest(work, now) > left) {
+      if (this.#policies.estimate.remainingTime(work, now) > left) {
         this.#drop(work, now);
         continue;
       }
       const chosen = this.#policies.choice.choose(work, pool, now);
       if (chosen === undefined) {
         queue.unshift(work, now);
-        return this.#queues.again(service, now + LOOK_AGAIN);
+        return this.#queues.visitAt(service, now + LOOK_AGAIN);
       }
       this.#runningCalls.start(this.#flights.of(work), pool, { chosen, now });
     }
@@ -257,11 +259,11 @@
   #drop(work: policySet.Work, now: number): void {
     const dropped = this.#flights.of(work);
     dropped.phase = "pausing";
-    this.#refuse(dropped, problems.hopeless(dropped.outcome), now);
+    this.#refuse(dropped, problems.deadlineUnreachable(dropped.outcome), now);
   }
 
   #refuse(
-    refused: flight.Flight,
+    refused: flight.RequestState,
     problem: effect.Problem,
     now: number,
   ): void {
@@ -275,7 +277,7 @@
     this.#finish(refused, "refused", now);
   }
 
-  #finish(of: flight.Flight, how: policySet.Ending, now: number): void {
+  #finish(of: flight.RequestState, how: policySet.Ending, now: number): void {
     this.#flights.remove(of);
     this.#notify.finished(of.request, how, now);
   }
@@ -287,13 +289,13 @@
   }
 
   readonly #dueHandlers: Record<
-    schedule.Due["type"],
-    (due: schedule.Due, now: number) => void
+    schedule.DueTimer["type"],
+    (due: schedule.DueTimer, now: number) => void
   > = {
-    deadline: ({ flight }, now) =>
+    deadline: ({ state: flight }, now) =>
       this.#refuse(flight, problems.expired(flight), now),
-    retry: ({ flight }, now) => this.#queues.push(flight, now),
-    hedge: ({ flight }, now) => this.#runningCalls.hedge(flight, now),
-    look: (due, now) => this.#runningCalls.look(due, now),
+    retry: ({ state: flight }, now) => this.#queues.push(flight, now),
+    hedge: ({ state: flight }, now) => this.#runningCalls.hedge(flight, now),
+    look: (due, now) => this.#runningCalls.checkHung(due, now),
   };
 }
--- a/src/request/dispatcher_model_test.ts
+++ b/src/request/dispatcher_model_test.ts
@@ -3,7 +3,7 @@
 import type * as effect from "./effect.ts";
 import type * as event from "./event.ts";
 import * as dispatcher from "./dispatcher.ts";
-import * as plain from "./plain_policies.ts";
+import * as plain from "./baseline_policies.ts";
 import type * as request from "./request.ts";
 
 const SEED = 20_260_412;
--- a/src/request/dispatcher_test.ts
+++ b/src/request/dispatcher_test.ts
@@ -2,7 +2,7 @@
 import type * as effect from "./effect.ts";
 import type * as event from "./event.ts";
 import * as dispatcher from "./dispatcher.ts";
-import * as plain from "./plain_policies.ts";
+import * as plain from "./baseline_policies.ts";
 import type * as policySet from "./policy_set.ts";
 import type * as request from "./request.ts";
 
@@ -260,7 +260,7 @@
 });
 
 test("drops queued work that can't finish any more", (t) => {
-  const estimate = { rest: () => 300 };
+  const estimate = { remainingTime: () => 300 };
   const core = create([endpointOf("g1")], { estimate });
   const [call] = calls(core.step(arrive(requestOf("a")), 0));
   core.step(arrive(requestOf("b")), 0);
--- a/src/request/execution.ts
+++ b/src/request/executor.ts
@@ -54,7 +54,7 @@
 const SILENCE_SHARE = 0.5;
 
 /** Executes the requests of one host. */
-export class Execution {
+export class Executor {
   readonly #options: Options;
   readonly #accounting: accounting.Accounting;
   readonly #entries = new Map<string, Entry>();
@@ -73,8 +73,8 @@
     });
   }
 
-  static create(options: Options): Execution {
-    return new Execution(options);
+  static create(options: Options): Executor {
+    return new Executor(options);
   }
 
   /** Requests without a final answer. */
@@ -155,7 +155,7 @@
       url,
       deadline,
       priority,
-      silence: this.#silence(entry.job.request),
+      idleTimeout: this.#silence(entry.job.request),
       input: entry.job.data.input(step),
     };
     // Registered first: a call may fail before `call` returns.
@@ -222,7 +222,7 @@
     entry.records.push(this.#record(attempt, step));
     entry.usage.inputTokens += usage.inputTokens;
     entry.usage.outputTokens += usage.outputTokens;
-    job.data.take(result, tokens.join(""));
+    job.data.store(result, tokens.join(""));
     entry.tokens = [];
     const next = steps[attempt.stage + 1];
     const { size, prefix } = next === undefined
--- a/src/request/fake_path.ts
+++ b/src/request/fake_path.ts
@@ -267,7 +267,7 @@
 }
 
 /** One endpoint for each service of the pipeline. */
-export const whole = {
+export const allEndpoints = {
   enc: encode,
   ret: retrieve,
   rank: rerank,
--- a/src/request/fleet.ts
+++ b/src/request/fleet.ts
@@ -37,14 +37,14 @@
   }
 
   /** The member that a policy chose. */
-  own({ endpoint: { id } }: policySet.Member): Member {
+  resolve({ endpoint: { id } }: policySet.Member): Member {
     const member = this.#all.get(id);
     if (member !== undefined) return member;
     throw new errors.DispatchError(`The chosen ${id} is not in its pool`);
   }
 
   /** Counts a call out to, or back from, a member. */
-  shift(member: Member, change: 1 | -1): void {
+  addCalls(member: Member, change: 1 | -1): void {
     const known = this.#all.get(member.endpoint.id) === member;
     const before = member.free;
     member.inFlight += change;
--- a/src/request/intake.ts
+++ b/src/request/intake.ts
@@ -7,8 +7,8 @@
 import type * as catalogue from "./catalogue.ts";
 import type * as effect from "./effect.ts";
 import type * as event from "./event.ts";
-import type * as execution from "./execution.ts";
-import * as keptReply from "./kept_reply.ts";
+import type * as execution from "./executor.ts";
+import * as keptReply from "./recorded_reply.ts";
 import * as stageData from "./stage_data.ts";
 import type * as pathOptions from "./path_options.ts";
 import type * as reply from "./reply.ts";
@@ -16,7 +16,7 @@
 import type * as runtime from "../runtime/mod.ts";
 
 /** A checked request of a known account. */
-export interface Ask {
+export interface IncomingRequest {
   account: string;
   kind: string;
   target: catalogue.Target;
@@ -28,14 +28,14 @@
   idempotent: boolean;
   key: string | undefined;
   streaming: boolean;
-  reply: IntakeReply;
+  reply: ReplayableReply;
 }
 
 /** Also takes the answer that an earlier request with the same key got. */
-export interface IntakeReply extends reply.Reply {
+export interface ReplayableReply extends reply.Reply {
   /** Whether the caller went away. */
-  readonly gone: boolean;
-  repeat(answer: pathOptions.StoredAnswer): void;
+  readonly isDisconnected: boolean;
+  replay(answer: pathOptions.StoredAnswer): void;
 }
 
 /** Parts of an intake. */
@@ -44,7 +44,7 @@
   clock: runtime.Clock;
   random: runtime.Random;
   accounting: accounting.Accounting;
-  execution: execution.Execution;
+  execution: execution.Executor;
   claims: pathOptions.Claims | undefined;
 }
 
@@ -75,14 +75,14 @@
   }
 
   /** A new id. */
-  id(): string {
+  nextId(): string {
     return `${this.#prefix}-${(this.#count++).toString(BASE)}`;
   }
 
   /** Milliseconds that a request may take: the least of what the caller, its
    * target and the table's cells for its account and kind say. */
-  allowed({ account, kind, target, remaining }: Pick<
-    Ask,
+  timeBudget({ account, kind, target, remaining }: Pick<
+    IncomingRequest,
     "account" | "kind" | "target" | "remaining"
   >): number {
     const rows = [`account/${account}`, `kind/${kind}`];
@@ -93,7 +93,7 @@
   }
 
   /** Lets a request in, or refuses it. */
-  submit(id: string, ask: Ask): void {
+  submit(id: string, ask: IncomingRequest): void {
     const made = this.#request(id, ask);
     const job = {
       request: made,
@@ -121,7 +121,7 @@
     reply.refuse(problem);
   }
 
-  #request(id: string, ask: Ask): request.Request {
+  #request(id: string, ask: IncomingRequest): request.Request {
     const { account, kind, target, payload, arrived, key, streaming } = ask;
     const first = stageData.StageData.create(payload).measure(target.steps[0]);
     return {
@@ -132,7 +132,7 @@
       stages: target.steps,
       size: first.size,
       arrived,
-      deadline: arrived + this.allowed(ask),
+      deadline: arrived + this.timeBudget(ask),
       idempotent: ask.idempotent && target.idempotent,
       key,
       streaming,
@@ -143,7 +143,7 @@
   #claim(
     claims: pathOptions.Claims,
     job: execution.Job,
-    answer: IntakeReply,
+    answer: ReplayableReply,
   ): void {
     const { clock, execution } = this.#options;
     const claim: pathOptions.Claim = {
@@ -164,14 +164,16 @@
     const handlers: ClaimHandlers = {
       granted: () => {
         // Nobody waits any more: the claim goes back, and nothing runs.
-        if (late || answer.gone) return claims.settle(claim, undefined);
-        const kept = keptReply.KeptReply.create(job.reply, {
+        if (late || answer.isDisconnected) {
+          return claims.settle(claim, undefined);
+        }
+        const kept = keptReply.RecordedReply.create(job.reply, {
           id: claim.request,
           settle: (stored) => claims.settle(claim, stored),
         });
         execution.submit({ ...job, reply: kept });
       },
-      answered: (found) => answer.repeat(found.answer),
+      answered: (found) => answer.replay(found.answer),
       // The key's first request may run: this one alone did not.
       "in-progress": () =>
         this.#deny(job, {
--- a/src/request/mod.ts
+++ b/src/request/mod.ts
@@ -12,4 +12,4 @@
 export type * from "./request.ts";
 export { Dispatcher } from "./dispatcher.ts";
 export { RequestPath } from "./path.ts";
-export { create as createPlainPolicies } from "./plain_policies.ts";
+export { create as createBaselinePolicies } from "./baseline_policies.ts";
--- a/src/request/notifier.ts
+++ b/src/request/notifier.ts
@@ -2,12 +2,12 @@
  * @module */
 
 import type * as event from "./event.ts";
-import type * as flight from "./flight.ts";
+import type * as flight from "./request_state.ts";
 import type * as policySet from "./policy_set.ts";
 import type * as request from "./request.ts";
 
 /** How an attempt ended, less what the call itself says. */
-export interface End {
+export interface CallEnd {
   result: policySet.Report["result"];
   usage?: request.Usage;
   failure?: request.Failure;
@@ -77,7 +77,7 @@
     for (const part of this.#parts) part.progressed?.(attempt, received, now);
   }
 
-  ended(work: flight.Flight, call: flight.Call, end: End): void {
+  ended(work: flight.RequestState, call: flight.Call, end: CallEnd): void {
     const { attempt } = call;
     const { now, result, usage, failure } = end;
     const elapsed = now - attempt.started;
--- a/src/request/path.ts
+++ b/src/request/path.ts
@@ -8,10 +8,10 @@
 import * as catalogue from "./catalogue.ts";
 import * as dispatcher from "./dispatcher.ts";
 import type * as event from "./event.ts";
-import * as execution from "./execution.ts";
+import * as execution from "./executor.ts";
 import * as intake from "./intake.ts";
 import type * as pathOptions from "./path_options.ts";
-import * as plainPolicies from "./plain_policies.ts";
+import * as plainPolicies from "./baseline_policies.ts";
 
 /** Milliseconds after the longest deadline that a stop waits at most. */
 const STOP_GRACE = 2000;
@@ -23,7 +23,7 @@
   readonly #endpointCalls: endpointCalls.EndpointClient;
   readonly #accounting: accounting.Accounting;
   readonly #subscriptions: endpointCalls.Subscriptions;
-  readonly #execution: execution.Execution;
+  readonly #execution: execution.Executor;
   readonly #intake: intake.Intake;
   readonly #server: callers.Server;
   #draining = false;
@@ -44,7 +44,7 @@
       answerBytes: limits.answerBytes,
     });
     this.#accounting = accounting.Accounting.create({ clock, metrics });
-    this.#execution = execution.Execution.create({
+    this.#execution = execution.Executor.create({
       dispatcher: this.#dispatcher,
       endpointCalls: this.#endpointCalls,
       clock,
--- a/src/request/path_refusals_test.ts
+++ b/src/request/path_refusals_test.ts
@@ -4,7 +4,7 @@
 import * as runtime from "../runtime/mod.ts";
 
 test("refuses bad input without any dispatch", async (t) => {
-  const started = await fakePath.start(fakePath.whole);
+  const started = await fakePath.start(fakePath.allEndpoints);
   const pipeline = `${started.url}/v1/pipelines/plan`;
   const good = { input: { text: "a" } };
   const cases: [string, number, Promise<fakePath.Posted>][] = [
--- a/src/request/path_test.ts
+++ b/src/request/path_test.ts
@@ -4,7 +4,7 @@
 import type * as pathOptions from "./path_options.ts";
 
 test("runs a pipeline from the caller to all endpoints and back", async (t) => {
-  const started = await fakePath.start(fakePath.whole);
+  const started = await fakePath.start(fakePath.allEndpoints);
   const input = { text: "hull history", question: "which hull" };
   const answer = await fakePath.post(`${started.url}/v1/pipelines/plan`, {
     input,
--- a/src/request/policy_set.ts
+++ b/src/request/policy_set.ts
@@ -123,7 +123,7 @@
 /** How long a stage is expected to take. */
 export interface Estimate extends Observer {
   /** Least milliseconds the rest of the request needs; 0 when unknown. */
-  rest(work: Work, now: number): number;
+  remainingTime(work: Work, now: number): number;
 }
 
 /** Whether a failed stage may be tried again. */
--- a/src/request/queue_set.ts
+++ b/src/request/queue_set.ts
@@ -1,7 +1,7 @@
 /** Queues of work by service, and which of them are worth a look.
  * @module */
 
-import type * as flight from "./flight.ts";
+import type * as flight from "./request_state.ts";
 import type * as policySet from "./policy_set.ts";
 
 /** All queues of a dispatcher. */
@@ -24,7 +24,7 @@
     return this.#queues.get(service)?.size ?? 0;
   }
 
-  push(work: flight.Flight, now: number): void {
+  push(work: flight.RequestState, now: number): void {
     const { service } = work;
     const known = this.#queues.get(service);
     const queue = known ?? this.#maker.create(service);
@@ -34,21 +34,21 @@
     this.#touched.add(service);
   }
 
-  remove(work: flight.Flight): void {
+  remove(work: flight.RequestState): void {
     this.#queues.get(work.service)?.remove(work.request.id);
   }
 
   /** Marks the queue of a service as worth a look. */
-  touch(service: string): void {
+  mark(service: string): void {
     this.#touched.add(service);
   }
 
-  touchAll(): void {
+  markAll(): void {
     for (const service of this.#queues.keys()) this.#touched.add(service);
   }
 
   /** Asks for a look at a queue at that time, if not earlier. */
-  again(service: string, at: number): void {
+  visitAt(service: string, at: number): void {
     this.#again.set(service, at);
   }
 
--- a/src/request/kept_reply.ts
+++ b/src/request/recorded_reply.ts
@@ -15,7 +15,7 @@
 }
 
 /** Passes everything on and keeps the end. */
-export class KeptReply implements reply.Reply {
+export class RecordedReply implements reply.Reply {
   readonly #reply: reply.Reply;
   readonly #options: Options;
 
@@ -24,8 +24,8 @@
     this.#options = options;
   }
 
-  static create(to: reply.Reply, options: Options): KeptReply {
-    return new KeptReply(to, options);
+  static create(to: reply.Reply, options: Options): RecordedReply {
+    return new RecordedReply(to, options);
   }
 
   token(offset: number, text: string): void {
--- a/src/request/flight.ts
+++ b/src/request/request_state.ts
@@ -22,7 +22,7 @@
 export type Phase = "queued" | "running" | "pausing" | "ended";
 
 /** One request in the host; also the work that waits for an endpoint. */
-export class Flight implements policySet.Work {
+export class RequestState implements policySet.Work {
   readonly request: request.Request;
   phase: Phase = "queued";
   stage = 0;
@@ -46,8 +46,8 @@
     this.since = now;
   }
 
-  static create(arrived: request.Request, now: number): Flight {
-    return new Flight(arrived, now);
+  static create(arrived: request.Request, now: number): RequestState {
+    return new RequestState(arrived, now);
   }
 
   get service(): string {
--- a/src/request/running_calls.ts
+++ b/src/request/running_calls.ts
@@ -2,10 +2,10 @@
  * is raced against a second, a hung one is given up for a new one.
  * @module */
 
-import type * as schedules from "./schedule.ts";
+import type * as schedules from "./request_timers.ts";
 import type * as calls from "./calls.ts";
 import type * as fleet from "./fleet.ts";
-import type * as flight from "./flight.ts";
+import type * as flight from "./request_state.ts";
 import type * as policySet from "./policy_set.ts";
 
 /** What running calls are made from. */
@@ -13,7 +13,7 @@
   policySet: policySet.PolicySet;
   pools: fleet.Pools;
   calls: calls.Calls;
-  schedule: schedules.Schedule;
+  schedule: schedules.RequestTimers;
 }
 
 /** Milliseconds until another look at what could not be helped now. */
@@ -39,12 +39,12 @@
 
   /** Starts a call of a stage at a chosen endpoint. */
   start(
-    of: flight.Flight,
+    of: flight.RequestState,
     pool: fleet.Pool,
     { chosen, now }: { chosen: policySet.Member; now: number },
   ): void {
     const { calls, schedule, policySet: { hedge } } = this.#options;
-    const member = pool.own(chosen);
+    const member = pool.resolve(chosen);
     const attempt = calls.start(of, { pool, member, hedge: false }, now);
     if (!of.request.idempotent) return;
     const delay = hedge.delay(of, attempt, now);
@@ -53,7 +53,7 @@
   }
 
   /** Races a second call against a slow one, where the policy allows it. */
-  hedge(slow: flight.Flight, now: number): void {
+  hedge(slow: flight.RequestState, now: number): void {
     if (slow.calls.length !== 1 || slow.received > 0) return;
     const { calls, policySet: { hedge } } = this.#options;
     const place = this.#other(slow, now);
@@ -65,7 +65,7 @@
   }
 
   /** Gives a call up for a new one when it hangs; else looks again later. */
-  look({ flight, at }: schedules.Due, now: number): void {
+  checkHung({ state: flight, at }: schedules.DueTimer, now: number): void {
     const [call, other] = flight.calls;
     if (call === undefined) return;
     const late = now - at > LATE;
@@ -80,40 +80,44 @@
     }
   }
 
-  #replace(hung: flight.Flight, call: flight.Call, now: number): boolean {
+  #replace(hung: flight.RequestState, call: flight.Call, now: number): boolean {
     const { calls, policySet: { hedge } } = this.#options;
     // Maybe the same endpoint: a new connection may work where one hangs.
     const place = this.#other(hung, now);
     if (place === undefined || !hedge.replace?.(hung, now)) return false;
-    calls.give(hung, call, now);
+    calls.cancelHung(hung, call, now);
     this.start(hung, place.pool, { chosen: place.member, now });
     return true;
   }
 
   #other(
-    of: flight.Flight,
+    of: flight.RequestState,
     now: number,
-  ): Omit<calls.Place, "hedge"> | undefined {
+  ): Omit<calls.Destination, "hedge"> | undefined {
     const { pools, policySet: { choice } } = this.#options;
     const pool = pools.get(of.service);
     if (pool === undefined || pool.free === 0) return undefined;
     const chosen = choice.choose(of, pool, now);
-    return chosen && { pool, member: pool.own(chosen) };
+    return chosen && { pool, member: pool.resolve(chosen) };
   }
 
-  #watch(of: flight.Flight, call: flight.Call, now: number): void {
+  #watch(of: flight.RequestState, call: flight.Call, now: number): void {
     const at = Math.min(this.#hangsAt(of, call, now), now + LONGEST);
     if (at < of.request.deadline) this.#lookAt(of, at);
   }
 
-  #hangsAt(of: flight.Flight, { attempt }: flight.Call, now: number): number {
+  #hangsAt(
+    of: flight.RequestState,
+    { attempt }: flight.Call,
+    now: number,
+  ): number {
     const { hedge } = this.#options.policySet;
     const receiving = of.received > attempt.offset;
     const at = receiving ? of.progressed : attempt.started;
     return hedge.hangsAt?.(of, { attempt, at, receiving }, now) ?? Infinity;
   }
 
-  #lookAt(of: flight.Flight, at: number): void {
+  #lookAt(of: flight.RequestState, at: number): void {
     if (this.#options.policySet.hedge.hangsAt === undefined) return;
     this.#options.schedule.set(at, "look", of);
   }
--- a/src/request/running_calls_test.ts
+++ b/src/request/running_calls_test.ts
@@ -2,7 +2,7 @@
 import type * as effect from "./effect.ts";
 import type * as event from "./event.ts";
 import * as dispatcher from "./dispatcher.ts";
-import * as plain from "./plain_policies.ts";
+import * as plain from "./baseline_policies.ts";
 import type * as request from "./request.ts";
 
 const HANG = 100;
--- a/src/request/stage_data.ts
+++ b/src/request/stage_data.ts
@@ -35,7 +35,7 @@
   embedding: readonly number[] = [];
   documents: readonly string[] = [];
   /** Text of the last engine stage that ended. */
-  draft = "";
+  generatedText = "";
   plain: endpointCalls.PlainResult | undefined;
 
   private constructor(payload: Payload) {
@@ -55,7 +55,7 @@
   }
 
   /** Keeps what a stage made; `text` is what an engine generated. */
-  take(result: endpointCalls.Result, text: string): void {
+  store(result: endpointCalls.Result, text: string): void {
     const taker = takers[result.type] as Taker<endpointCalls.Result["type"]>;
     taker(this, result, text);
   }
@@ -64,7 +64,7 @@
   measure(step: catalogue.Step): Measure {
     const input = this.input(step);
     const size = tokens(makers[step.kind].characters(input));
-    const prefix = input.type === "engine" ? prefixOf(input.prompt) : [];
+    const prefix = input.type === "engine" ? prefixHashes(input.prompt) : [];
     return { size, prefix };
   }
 
@@ -75,7 +75,7 @@
 }
 
 /** Hashes of the prefix blocks of a prompt, longest prefix last. */
-export function prefixOf(prompt: string): string[] {
+export function prefixHashes(prompt: string): string[] {
   const hashes: string[] = [];
   let last = "";
   const end = prompt.length - BLOCK_CHARACTERS;
@@ -169,7 +169,7 @@
     data.documents = order.map(({ index }) => documents[index]);
   },
   engine(data, _result, text) {
-    data.draft = text;
+    data.generatedText = text;
   },
   plain(data, result) {
     data.plain = result;
@@ -183,7 +183,7 @@
   encoder: ({ embedding }) => ({ embedding }),
   retriever: ({ documents }) => ({ documents }),
   reranker: ({ documents }) => ({ documents }),
-  engine: ({ draft }) => ({ text: draft }),
+  engine: ({ generatedText: draft }) => ({ text: draft }),
   plain: ({ plain }) => ({ text: Buffer.from(plain?.body ?? []).toString() }),
 };
 
@@ -194,7 +194,7 @@
   { instruction }: catalogue.Step,
 ): string {
   const { text, question } = asked(data);
-  const parts = [instruction, text, ...data.documents, data.draft];
+  const parts = [instruction, text, ...data.documents, data.generatedText];
   if (question !== undefined) parts.push(`Question: ${question}`);
   return parts.filter((part) => part !== "").join("\n\n");
 }
--- a/src/request/timers.ts
+++ b/src/request/timer_heap.ts
@@ -8,12 +8,12 @@
 }
 
 /** Items by due time, then by order of insertion. */
-export class Timers<T> {
+export class TimerHeap<T> {
   readonly #heap: Entry<T>[] = [];
   #order = 0;
 
-  static create<T>(): Timers<T> {
-    return new Timers();
+  static create<T>(): TimerHeap<T> {
+    return new TimerHeap();
   }
 
   get size(): number {
