--- a/src/request/accounting.ts
+++ b/src/request/accounting.ts
@@ -1,18 +1,18 @@
-/** Counts what requests came to and what they cost.
+/** Metrics of the results and the cost of requests.
  * @module */
 
 import * as attainment from "./attainment.ts";
 import type * as effect from "./effect.ts";
-import type * as execution from "./executor.ts";
+import type * as executor from "./executor.ts";
 import type * as request from "./request.ts";
 import type * as runtime from "../runtime/mod.ts";
 import type * as telemetry from "../telemetry/mod.ts";
 
-/** Why a call's result was not used: it failed or hung and was made again, it
- * lost a race, or its request ended first. */
+/** Why a call's result was not used: it failed or hung and was retried, it lost
+ * the race against a hedge, or its request ended first. */
 export type WasteCause = "retry" | "hedge" | "cancelled";
 
-/** What it is made from. */
+/** Dependencies of the accounting. */
 export interface Options {
   clock: runtime.Clock;
   metrics: telemetry.Metrics;
@@ -42,9 +42,9 @@
     else if (attempt.attempt > 1) this.#metrics.count("call.retried");
   }
 
-  /** Counts what an answered call used. */
-  charge(job: execution.Job, attempt: request.Attempt, usage: request.Usage) {
-    const labels = labelsOf(job, attempt);
+  /** Counts the resource usage of an answered call. */
+  charge(job: executor.Job, attempt: request.Attempt, usage: request.Usage) {
+    const labels = callLabelsOf(job, attempt);
     const metrics = this.#metrics;
     metrics.count("cost.engine_time", usage.engineTime, labels);
     metrics.count("cost.input_tokens", usage.inputTokens, labels);
@@ -52,25 +52,25 @@
     metrics.count("cost.cached_tokens", usage.cachedTokens, labels);
   }
 
-  /** Counts the time of a call whose result is not used; an upper bound, since
-   * the endpoint does not say what it spent. */
-  waste(job: execution.Job, attempt: request.Attempt, fate: WasteCause): void {
-    const labels = { ...labelsOf(job, attempt), fate };
+  /** Counts the time of a call whose result is not used. This is an upper bound,
+   * since the endpoint does not report what it spent. */
+  waste(job: executor.Job, attempt: request.Attempt, fate: WasteCause): void {
+    const labels = { ...callLabelsOf(job, attempt), fate };
     const elapsed = this.#clock.now() - attempt.started;
     this.#metrics.count("cost.wasted_calls", 1, labels);
     this.#metrics.count("cost.wasted_time", elapsed, labels);
   }
 
-  /** Counts a call that was given up since it hangs. */
-  hung({ target }: execution.Job, attempt: request.Attempt): void {
+  /** Counts a call that was cancelled because it hung. */
+  hung({ target }: executor.Job, attempt: request.Attempt): void {
     const { service } = target.steps[attempt.stage];
     this.#metrics.count("call.hung", 1, { service });
   }
 
-  completed({ request }: execution.Job): void {
+  completed({ request }: executor.Job): void {
     const now = this.#clock.now();
     const metrics = this.#metrics;
-    const labels = flowOf(request);
+    const labels = requestLabelsOf(request);
     const onTime = now < request.deadline;
     this.#attainment.count(request.account, onTime ? "onTime" : "late");
     metrics.count("request.completed", 1, labels);
@@ -90,20 +90,20 @@
     this.#metrics.count("request.refused", 1, { ...labels, problem: name });
   }
 
-  /** Ends of requests by account, for the state dump. */
+  /** Request counts by account and result, for the state dump. */
   dump(): unknown {
     return this.#attainment.toJSON();
   }
 }
 
-function flowOf({ account, kind }: request.Request): telemetry.Labels {
+function requestLabelsOf({ account, kind }: request.Request): telemetry.Labels {
   return { account, kind };
 }
 
-function labelsOf(
-  { target, request }: execution.Job,
+function callLabelsOf(
+  { target, request }: executor.Job,
   attempt: request.Attempt,
 ): telemetry.Labels {
   const { service, name } = target.steps[attempt.stage];
-  return { service, stage: name, ...flowOf(request) };
+  return { service, stage: name, ...requestLabelsOf(request) };
 }
--- a/src/request/accounting_test.ts
+++ b/src/request/accounting_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import * as fakePath from "./fake_path.ts";
 
-test("counts ends by account, and what was wasted by fate", async (t) => {
+test("counts results by account and wasted calls by cause", async (t) => {
   const broken = fakePath.generate({ breakAt: 3 });
   const serves = { "lm-pool@1": broken, "lm-pool@2": fakePath.generate() };
   const started = await fakePath.start(serves);
@@ -15,10 +15,10 @@
     },
   });
   const { counts } = started.tally.toJSON();
-  const flow = "account=kivu-crew,";
-  const stage = "kind=default,service=lm-pool,stage=generate";
-  t.is(counts[`request.on_time{${flow}kind=default}`], 1);
-  t.is(counts[`cost.wasted_calls{${flow}fate=retry,${stage}}`], 1);
-  t.is(counts[`cost.output_tokens{${flow}${stage}}`], 6);
+  const accountLabel = "account=kivu-crew,";
+  const callLabels = "kind=default,service=lm-pool,stage=generate";
+  t.is(counts[`request.on_time{${accountLabel}kind=default}`], 1);
+  t.is(counts[`cost.wasted_calls{${accountLabel}fate=retry,${callLabels}}`], 1);
+  t.is(counts[`cost.output_tokens{${accountLabel}${callLabels}}`], 6);
   await started.stop();
 });
--- a/src/request/attainment.ts
+++ b/src/request/attainment.ts
@@ -1,17 +1,17 @@
-/** How many requests of each account were answered in time.
+/** Counts of requests by account and result, such as answered in time.
  * @module */
 
-/** How a request ended, for its account. */
+/** Result of a request. */
 export type End = "onTime" | "late" | "refused" | "abandoned";
 
-/** Requests of one account by end. */
+/** Request counts of one account by result. */
 export type Ends = Record<End, number>;
 
-/** Most accounts; others are counted under `OTHERS`. */
-const MOST = 1000;
-const OTHERS = "others";
+/** Limit of accounts; further ones are counted under `OTHER_ACCOUNTS`. */
+const MAX_ACCOUNTS = 1000;
+const OTHER_ACCOUNTS = "others";
 
-/** Ends of requests by account; changed in place. */
+/** Request counts by account and result. */
 export class Attainment {
   readonly #accounts = new Map<string, Ends>();
 
@@ -20,8 +20,9 @@
   }
 
   count(account: string, end: End): void {
-    const full = !this.#accounts.has(account) && this.#accounts.size >= MOST;
-    const name = full ? OTHERS : account;
+    const isFull = !this.#accounts.has(account) &&
+      this.#accounts.size >= MAX_ACCOUNTS;
+    const name = isFull ? OTHER_ACCOUNTS : account;
     const ends = this.#accounts.get(name) ?? createEnds();
     this.#accounts.set(name, ends);
     ends[end]++;
--- a/src/request/baseline_policies.ts
+++ b/src/request/baseline_policies.ts
@@ -1,29 +1,30 @@
-/** The plain decisions: first come first served, least own calls in flight,
- * two retries at once, no estimate and no hedge. They are the twin that better
- * ones are measured against.
+/** Baseline policies: first come, first served queues, the endpoint with the
+ * fewest of this host's calls in flight, two immediate retries, no estimate and
+ * no hedging. Other policies are compared with them.
  * @module */
 
 import type * as effect from "./effect.ts";
 import type * as policySet from "./policy_set.ts";
 import type * as request from "./request.ts";
 
-/** Knobs of the plain decisions. */
+/** Options of the baseline policies. */
 export interface Options {
-  /** Requests in the host at once; 1000 when absent. */
+  /** Limit of requests in flight in the host; 1000 when absent. */
   inFlight?: number;
-  /** Attempts of one stage; 3 when absent. */
+  /** Limit of attempts of one stage; 3 when absent. */
   attempts?: number;
 }
 
-const IN_FLIGHT = 1000;
-const ATTEMPTS = 3;
-/** Milliseconds after which a refused caller should ask again. */
-const RETRY_AFTER = 1000;
-const PRIORITY = 5;
+const DEFAULT_MAX_IN_FLIGHT = 1000;
+const DEFAULT_ATTEMPTS = 3;
+/** Time after which a refused caller should retry. */
+const RETRY_AFTER_MS = 1000;
+const DEFAULT_PRIORITY = 5;
 
-/** A policy set of plain decisions. */
+/** Creates the baseline policies. */
 export function create(options: Options = {}): policySet.PolicySet {
-  const { inFlight = IN_FLIGHT, attempts = ATTEMPTS } = options;
+  const { inFlight = DEFAULT_MAX_IN_FLIGHT, attempts = DEFAULT_ATTEMPTS } =
+    options;
   return {
     queues: { create: () => FirstComeQueue.create() },
     admission: {
@@ -33,11 +34,11 @@
     estimate: { remainingTime: () => 0 },
     retries: createRetries(attempts),
     hedge: { delay: () => undefined, allow: () => false },
-    priority: () => PRIORITY,
+    priority: () => DEFAULT_PRIORITY,
   };
 }
 
-/** First come, first served. */
+/** First come, first served queue. */
 export class FirstComeQueue implements policySet.Queue {
   readonly #works = new Map<string, policySet.Work>();
   #front: policySet.Work[] = [];
@@ -76,7 +77,8 @@
   }
 }
 
-/** The free member with the least calls from this host, failed ones last. */
+/** Chooses the member with a free slot and the fewest of this host's calls in
+ * flight; endpoints that failed the stage come last. */
 export function chooseLeast(
   work: policySet.Work,
   pool: policySet.Pool,
@@ -98,10 +100,10 @@
 function admit(
   arrived: request.Request,
   fleet: policySet.Fleet,
-  most: number,
+  limit: number,
 ): effect.Problem | undefined {
-  if (fleet.inFlight >= most) {
-    return refusal("overloaded", `${most} requests are in this host already`);
+  if (fleet.inFlight >= limit) {
+    return refusal("overloaded", `${limit} requests are in this host already`);
   }
   const missing = arrived.stages.find((stage) =>
     !fleet.pool(stage.service)?.members.length
@@ -111,15 +113,15 @@
 }
 
 function refusal(name: effect.ProblemName, detail: string): effect.Problem {
-  return { name, outcome: "not-run", detail, retryAfter: RETRY_AFTER };
+  return { name, outcome: "not-run", detail, retryAfter: RETRY_AFTER_MS };
 }
 
 function createRetries(attempts: number): policySet.Retries {
   const counts = new WeakMap<policySet.Work, { stage: number; left: number }>();
   function delay(work: policySet.Work): number | undefined {
-    const known = counts.get(work);
-    const count = known?.stage === work.stage
-      ? known
+    const existing = counts.get(work);
+    const count = existing?.stage === work.stage
+      ? existing
       : { stage: work.stage, left: attempts - 1 };
     counts.set(work, count);
     return count.left-- > 0 ? 0 : undefined;
--- a/src/request/calls.ts
+++ b/src/request/calls.ts
@@ -1,29 +1,29 @@
-/** Starts and ends the calls of requests, and accounts for slots.
+/** Starts and ends calls of requests, and keeps the slot counts of endpoints.
  * @module */
 
 import type * as effect from "./effect.ts";
 import type * as fleet from "./fleet.ts";
-import type * as flight from "./request_state.ts";
+import type * as requestState from "./request_state.ts";
 import type * as notifier from "./notifier.ts";
 import type * as request from "./request.ts";
 
-/** What it is made from. */
+/** Dependencies of `Calls`. */
 export interface Options {
   notifier: notifier.Notifier;
-  priority(of: request.Request): number;
-  emit(asked: effect.Effect): void;
-  /** Told that a service has a free slot again. */
-  freed(service: string): void;
+  priority(request: request.Request): number;
+  emit(effect: effect.Effect): void;
+  /** Called when a slot of a service becomes free. */
+  onSlotFreed(service: string): void;
 }
 
-/** Where a call goes. */
+/** Endpoint that a call is sent to. */
 export interface Destination {
   pool: fleet.Pool;
   member: fleet.Member;
   hedge: boolean;
 }
 
-/** Calls that are out. */
+/** Calls in flight of all requests. */
 export class Calls {
   readonly #options: Options;
 
@@ -36,81 +36,98 @@
   }
 
   start(
-    of: flight.RequestState,
-    place: Destination,
+    state: requestState.RequestState,
+    destination: Destination,
     now: number,
   ): request.Attempt {
     const { notifier, priority, emit } = this.#options;
-    const { pool, member, hedge } = place;
+    const { pool, member, hedge } = destination;
     const attempt: request.Attempt = {
-      request: of.request.id,
-      stage: of.stage,
-      attempt: ++of.attempts,
+      request: state.request.id,
+      stage: state.stage,
+      attempt: ++state.attempts,
       endpoint: member.endpoint.id,
       started: now,
       hedge,
-      offset: of.received,
+      offset: state.received,
     };
-    of.phase = "running";
-    of.calls.push({ attempt, pool, member });
+    state.phase = "running";
+    state.calls.push({ attempt, pool, member });
     pool.addCalls(member, 1);
-    const { deadline } = of.request;
-    emit({ type: "call", attempt, deadline, priority: priority(of.request) });
-    notifier.started(attempt, of, now);
+    const { deadline } = state.request;
+    emit({
+      type: "call",
+      attempt,
+      deadline,
+      priority: priority(state.request),
+    });
+    notifier.started(attempt, state, now);
     return attempt;
   }
 
   answered(
-    of: flight.RequestState,
-    call: flight.Call,
+    state: requestState.RequestState,
+    call: requestState.Call,
     { usage, now }: { usage: request.Usage; now: number },
   ): void {
-    this.#release(of, call, "ran");
-    this.#options.notifier.ended(of, call, { result: "answered", usage, now });
+    this.#release(state, call, "ran");
+    this.#options.notifier.ended(state, call, {
+      result: "answered",
+      usage,
+      now,
+    });
   }
 
   failed(
-    of: flight.RequestState,
-    call: flight.Call,
+    state: requestState.RequestState,
+    call: requestState.Call,
     { failure, now }: { failure: request.Failure; now: number },
   ): void {
-    this.#release(of, call, failure.outcome);
-    of.fail(call.attempt.endpoint);
-    of.received = Math.max(of.received, failure.received);
-    this.#options.notifier.ended(of, call, { result: "failed", failure, now });
+    this.#release(state, call, failure.outcome);
+    state.fail(call.attempt.endpoint);
+    state.received = Math.max(state.received, failure.received);
+    this.#options.notifier.ended(state, call, {
+      result: "failed",
+      failure,
+      now,
+    });
   }
 
-  /** Cancels a call that hangs, which counts as a failure of its endpoint. */
-  cancelHung(of: flight.RequestState, call: flight.Call, now: number): void {
+  /** Cancels a call that hangs and counts it as a failure of its endpoint. */
+  cancelHung(
+    state: requestState.RequestState,
+    call: requestState.Call,
+    now: number,
+  ): void {
     const { attempt } = call;
     this.#options.emit({ type: "cancel", attempt, hung: true });
-    const { received } = of;
+    const { received } = state;
     const failure = { reason: "silent", outcome: "unknown", received } as const;
-    this.failed(of, call, { failure, now });
+    this.failed(state, call, { failure, now });
   }
 
-  /** Cancels all calls of a request but `kept`. */
+  /** Cancels all calls of a request except `kept`. */
   cancel(
-    of: flight.RequestState,
-    kept: flight.Call | undefined,
+    state: requestState.RequestState,
+    kept: requestState.Call | undefined,
     now: number,
   ): void {
     const { emit, notifier } = this.#options;
-    for (const call of of.calls) {
+    for (const call of state.calls) {
       if (call === kept) continue;
-      this.#release(of, call, "unknown");
+      this.#release(state, call, "unknown");
       emit({ type: "cancel", attempt: call.attempt });
-      notifier.ended(of, call, { result: "cancelled", now });
+      notifier.ended(state, call, { result: "cancelled", now });
     }
   }
 
   #release(
-    of: flight.RequestState,
-    call: flight.Call,
+    state: requestState.RequestState,
+    call: requestState.Call,
     outcome: request.Outcome,
   ): void {
-    of.end(call, outcome);
+    state.end(call, outcome);
     call.pool.addCalls(call.member, -1);
-    this.#options.freed(call.pool.service);
+    this.#options.onSlotFreed(call.pool.service);
   }
 }
--- a/src/request/catalogue.ts
+++ b/src/request/catalogue.ts
@@ -1,33 +1,34 @@
-/** Pipelines and services as the settings name them.
+/** Pipelines and plain services that the settings define.
  * @module */
 
 import type * as request from "./request.ts";
 import type * as settings from "../schema/settings_types.ts";
 
-/** One stage with what its handler needs. */
+/** One stage with the parameters of its handler. */
 export interface Step extends request.Stage {
   model: string;
-  /** Documents that are kept. */
+  /** Number of documents to return. */
   top: number;
   instruction: string;
 }
 
-/** A pipeline, or a plain service as a pipeline of one stage. */
+/** A pipeline; a plain service is one with a single stage. */
 export interface Target {
   name: string;
-  /** Milliseconds, also the most that a caller may name. */
+  /** Default and upper bound of a request's deadline, in milliseconds. */
   deadline: number;
   steps: readonly Step[];
-  /** False when a stage may not be repeated. */
+  /** False when any stage may not be repeated. */
   idempotent: boolean;
 }
 
-/** Milliseconds of a plain call when the caller names none, and at most. */
+/** Default and upper bound of the deadline of calls to plain services, in
+ * milliseconds. */
 export const SERVICE_DEADLINE = 30_000;
-const TOP = 8;
-const MAX_TOKENS = 256;
+const DEFAULT_TOP = 8;
+const DEFAULT_MAX_TOKENS = 256;
 
-/** Targets of requests by name. */
+/** Request targets by name. */
 export class Catalogue {
   readonly #pipelines = new Map<string, Target>();
   readonly #services = new Map<string, Target>();
@@ -50,13 +51,13 @@
     return this.#pipelines.get(name);
   }
 
-  /** A plain service. */
+  /** Finds a plain service by name. */
   service(name: string): Target | undefined {
     return this.#services.get(name);
   }
 }
 
-/** The settings name a service that they don't describe. */
+/** A pipeline uses a service that the settings do not define. */
 export class CatalogueError extends Error {
   override readonly name = "CatalogueError";
 }
@@ -70,13 +71,13 @@
     const found = services.get(stage.service);
     if (found !== undefined) return found;
     throw new CatalogueError(
-      `Pipeline ${pipeline.name} uses ${stage.service}, which is no service`,
+      `Pipeline ${pipeline.name} uses undefined service ${stage.service}`,
     );
   });
   return {
     name: pipeline.name,
     deadline: pipeline.deadline,
-    steps: stages.map((stage, pos) => stepOf(stage, used[pos])),
+    steps: stages.map((stage, index) => stepOf(stage, used[index])),
     idempotent: used.every((service) => service.idempotent !== false),
   };
 }
@@ -93,9 +94,9 @@
     name: stage.name,
     service: stage.service,
     kind: service.kind,
-    maxTokens: generates ? stage.maxTokens ?? MAX_TOKENS : 0,
+    maxTokens: generates ? stage.maxTokens ?? DEFAULT_MAX_TOKENS : 0,
     model: service.model ?? "",
-    top: stage.top ?? TOP,
+    top: stage.top ?? DEFAULT_TOP,
     instruction: stage.instruction ?? "",
   };
 }
--- a/src/request/dispatch_error.ts
+++ b/src/request/dispatch_error.ts
@@ -1,7 +1,7 @@
-/** Error of the dispatcher's layer.
+/** Error of the dispatcher.
  * @module */
 
-/** An event, or a decision of a policy, that can't be. */
+/** An event or a policy decision that contradicts the dispatcher's state. */
 export class DispatchError extends Error {
   override readonly name = "DispatchError";
 }
--- a/src/request/dispatcher.ts
+++ b/src/request/dispatcher.ts
@@ -1,20 +1,21 @@
-/** The core of the request path: takes events, returns effects.
+/** State machine of the request path: takes events and returns effects.
  *
- * It reads no clock and opens no socket; payloads stay in the shell. Its
- * containers are changed in place, since a copy for each decision among
- * thousands of endpoints costs more than the decision.
+ * It reads no clock and opens no socket; the executor holds the payloads and
+ * performs the effects. Its containers are changed in place, since a copy for
+ * each decision among thousands of endpoints costs more than the decision.
  *
- * Each request that arrives gets exactly one `complete` or `refuse`: at once
- * when it is given up, and never after its deadline.
+ * Each request that arrives gets exactly one `complete` or `refuse`. A refusal
+ * is issued as soon as the request can't succeed; a `complete` is never issued
+ * after the deadline.
  * @module */
 
-import * as schedule from "./request_timers.ts";
+import * as requestTimers from "./request_timers.ts";
 import * as calls from "./calls.ts";
 import type * as effect from "./effect.ts";
 import type * as event from "./event.ts";
 import * as fleet from "./fleet.ts";
-import type * as flight from "./request_state.ts";
-import * as flights from "./request_states.ts";
+import type * as requestState from "./request_state.ts";
+import * as requestStates from "./request_states.ts";
 import * as queueSet from "./queue_set.ts";
 import * as notifier from "./notifier.ts";
 import type * as policySet from "./policy_set.ts";
@@ -22,32 +23,32 @@
 import type * as request from "./request.ts";
 import * as runningCalls from "./running_calls.ts";
 
-/** What a dispatcher is made from. */
+/** Options of a dispatcher. */
 export interface Options {
   policySet: policySet.PolicySet;
-  /** Further parts that only watch. */
+  /** Observers in addition to the policies. */
   observers?: readonly policySet.Observer[];
 }
 
 type Handlers = {
   [T in event.Event["type"]]: (
-    happened: event.Event & { type: T },
+    event: event.Event & { type: T },
     now: number,
   ) => void;
 };
 
-/** Milliseconds after which work is looked at again that found no endpoint
- * though slots are free: what was reported of others fades. */
-const LOOK_AGAIN = 50;
+/** Delay before a queue is visited again whose work found no endpoint although
+ * slots are free: load that other endpoints reported decays with time. */
+const REVISIT_DELAY_MS = 50;
 
 /** Dispatcher of one host. */
 export class Dispatcher implements policySet.Fleet {
   readonly #policies: policySet.PolicySet;
-  readonly #notify: notifier.Notifier;
-  readonly #flights = flights.RequestStates.create();
+  readonly #notifier: notifier.Notifier;
+  readonly #requests = requestStates.RequestStates.create();
   readonly #queues: queueSet.QueueSet;
   readonly #pools = fleet.Pools.create();
-  readonly #schedule = schedule.RequestTimers.create();
+  readonly #timers = requestTimers.RequestTimers.create();
   readonly #calls: calls.Calls;
   readonly #runningCalls: runningCalls.RunningCalls;
   #effects: effect.Effect[] = [];
@@ -55,19 +56,19 @@
 
   private constructor({ policySet, observers }: Options) {
     this.#policies = policySet;
-    this.#notify = notifier.Notifier.create(policySet, observers);
+    this.#notifier = notifier.Notifier.create(policySet, observers);
     this.#queues = queueSet.QueueSet.create(policySet.queues);
     this.#calls = calls.Calls.create({
-      notifier: this.#notify,
+      notifier: this.#notifier,
       priority: policySet.priority,
-      emit: (asked) => this.#effects.push(asked),
-      freed: (service) => this.#queues.mark(service),
+      emit: (effect) => this.#effects.push(effect),
+      onSlotFreed: (service) => this.#queues.mark(service),
     });
     this.#runningCalls = runningCalls.RunningCalls.create({
       policySet,
       pools: this.#pools,
       calls: this.#calls,
-      schedule: this.#schedule,
+      schedule: this.#timers,
     });
   }
 
@@ -76,12 +77,12 @@
   }
 
   get inFlight(): number {
-    return this.#flights.size;
+    return this.#requests.size;
   }
 
-  /** Events about attempts that were no longer current. */
+  /** Number of events that referred to calls no longer in flight. */
   get stale(): number {
-    return this.#flights.stale;
+    return this.#requests.stale;
   }
 
   pool(service: string): fleet.Pool | undefined {
@@ -92,59 +93,62 @@
     return this.#queues.size(service);
   }
 
-  /** Takes an event at `now` and returns what it asks for, in order. */
-  step(happened: event.Event, now: number): readonly effect.Effect[] {
+  /** Handles an event at `now` and returns its effects in order. */
+  step(event: event.Event, now: number): readonly effect.Effect[] {
     this.#effects = [];
-    const handle = this.#handlers[happened.type] as (
-      happened: event.Event,
+    const handle = this.#handlers[event.type] as (
+      event: event.Event,
       now: number,
     ) => void;
-    handle(happened, now);
-    // After the event: it may have ended what a hedge or a retry is due for.
-    this.#runDue(now);
-    this.#queues.visit((service, queue) => this.#serve(service, queue, now));
-    const wake = this.#schedule.nextWake(now, this.#queues.nextAt(now));
+    handle(event, now);
+    // After the event, since it may have ended the call or stage that a timer is
+    // set for.
+    this.#runDueTimers(now);
+    this.#queues.visit((service, queue) =>
+      this.#dispatchQueued(service, queue, now)
+    );
+    const wake = this.#timers.nextWake(now, this.#queues.nextAt(now));
     if (wake !== undefined) this.#effects.push({ type: "wake", at: wake });
     return this.#effects;
   }
 
-  /** Plain JSON of the present state. */
+  /** Current state as plain JSON. */
   dump(now: number): unknown {
     return {
       draining: this.#draining,
-      inFlight: this.#flights.size,
+      inFlight: this.#requests.size,
       stale: this.stale,
-      timers: this.#schedule.size,
+      timers: this.#timers.size,
       queues: this.#queues.dump(),
       pools: this.#pools.dump(),
-      policies: this.#notify.dump(now),
-      requests: this.#flights.dump(now),
+      policies: this.#notifier.dump(now),
+      requests: this.#requests.dump(now),
     };
   }
 
   readonly #handlers: Handlers = {
     arrive: ({ request }, now) => this.#arrive(request, now),
-    progress: (happened, now) => this.#progress(happened, now),
-    answer: (happened, now) => this.#answer(happened, now),
-    fail: (happened, now) => this.#fail(happened, now),
+    progress: (event, now) => this.#progress(event, now),
+    answer: (event, now) => this.#answer(event, now),
+    fail: (event, now) => this.#fail(event, now),
     abandon: ({ request }, now) => this.#abandon(request, now),
     endpoints: ({ endpoints }, now) => {
       this.#pools.replace(endpoints);
-      this.#notify.endpoints(endpoints, now);
+      this.#notifier.endpoints(endpoints, now);
       this.#queues.markAll();
     },
     load: ({ endpoint, load }, now) => {
-      this.#notify.load(endpoint, load, now);
+      this.#notifier.load(endpoint, load, now);
       const service = this.#pools.serviceOf(endpoint);
       if (service !== undefined) this.#queues.mark(service);
     },
-    cache: (change, now) => this.#notify.cache(change, now),
+    cache: (change, now) => this.#notifier.cache(change, now),
     policies: ({ policies }, now) => {
-      this.#notify.policies(policies, now);
+      this.#notifier.policies(policies, now);
       this.#queues.markAll();
     },
     wake: () => {
-      this.#schedule.clearWake();
+      this.#timers.clearWake();
       this.#queues.markAll();
     },
     drain: () => {
@@ -153,19 +157,19 @@
   };
 
   #arrive(arrived: request.Request, now: number): void {
-    this.#notify.arrived(arrived, now);
-    const problem = this.#objection(arrived, now);
+    this.#notifier.arrived(arrived, now);
+    const problem = this.#checkArrival(arrived, now);
     if (problem !== undefined) {
       this.#effects.push({ type: "refuse", request: arrived.id, problem });
       return;
     }
-    const entered = this.#flights.add(arrived, now);
-    this.#notify.admitted(arrived, now);
-    this.#schedule.set(arrived.deadline, "deadline", entered);
-    this.#queues.push(entered, now);
+    const state = this.#requests.add(arrived, now);
+    this.#notifier.admitted(arrived, now);
+    this.#timers.set(arrived.deadline, "deadline", state);
+    this.#queues.push(state, now);
   }
 
-  #objection(
+  #checkArrival(
     arrived: request.Request,
     now: number,
   ): effect.Problem | undefined {
@@ -174,128 +178,139 @@
     return this.#policies.admission.admit(arrived, now, this);
   }
 
-  #progress(happened: event.Event & { type: "progress" }, now: number): void {
-    const found = this.#flights.current(happened.attempt);
+  #progress(event: event.Event & { type: "progress" }, now: number): void {
+    const found = this.#requests.current(event.attempt);
     if (found === undefined) return;
-    const { state: owner, call } = found;
-    this.#calls.cancel(owner, call, now);
-    owner.received = Math.max(owner.received, happened.received);
-    owner.progressed = now;
-    this.#notify.progressed(happened.attempt, happened.received, now);
+    const { state, call } = found;
+    this.#calls.cancel(state, call, now);
+    state.received = Math.max(state.received, event.received);
+    state.progressed = now;
+    this.#notifier.progressed(event.attempt, event.received, now);
   }
 
-  #answer(happened: event.Event & { type: "answer" }, now: number): void {
-    const found = this.#flights.current(happened.attempt);
+  #answer(event: event.Event & { type: "answer" }, now: number): void {
+    const found = this.#requests.current(event.attempt);
     if (found === undefined) return;
-    const { state: owner, call } = found;
-    this.#calls.answered(owner, call, { usage: happened.usage, now });
-    this.#calls.cancel(owner, undefined, now);
-    if (now >= owner.request.deadline) {
-      return this.#refuse(owner, problems.expired(owner), now);
+    const { state, call } = found;
+    this.#calls.answered(state, call, { usage: event.usage, now });
+    this.#calls.cancel(state, undefined, now);
+    if (now >= state.request.deadline) {
+      return this.#refuse(state, problems.expired(state), now);
     }
-    if (owner.advance(happened, now)) return this.#queues.push(owner, now);
-    this.#effects.push({ type: "complete", request: owner.request.id });
-    this.#finish(owner, "completed", now);
+    if (state.advance(event, now)) return this.#queues.push(state, now);
+    this.#effects.push({ type: "complete", request: state.request.id });
+    this.#finish(state, "completed", now);
   }
 
-  #fail(happened: event.Event & { type: "fail" }, now: number): void {
-    const { attempt, failure } = happened;
-    const found = this.#flights.current(attempt);
+  #fail(event: event.Event & { type: "fail" }, now: number): void {
+    const { attempt, failure } = event;
+    const found = this.#requests.current(attempt);
     if (found === undefined) return;
-    const { state: owner, call } = found;
-    this.#calls.failed(owner, call, { failure, now });
-    if (owner.calls.length === 0) this.#retry(owner, failure, now);
+    const { state, call } = found;
+    this.#calls.failed(state, call, { failure, now });
+    if (state.calls.length === 0) this.#retry(state, failure, now);
   }
 
-  #retry(of: flight.RequestState, failure: request.Failure, now: number): void {
-    if (!of.request.idempotent) {
-      return this.#refuse(of, problems.unrepeatable(of, failure), now);
+  #retry(
+    state: requestState.RequestState,
+    failure: request.Failure,
+    now: number,
+  ): void {
+    if (!state.request.idempotent) {
+      return this.#refuse(state, problems.unrepeatable(state, failure), now);
     }
     const { retries, estimate } = this.#policies;
-    const delay = retries.delay(of, failure, now);
-    const left = of.request.deadline - now;
+    const delay = retries.delay(state, failure, now);
+    const remaining = state.request.deadline - now;
     if (
-      delay === undefined || delay + estimate.remainingTime(of, now) >= left
+      delay === undefined ||
+      delay + estimate.remainingTime(state, now) >= remaining
     ) {
-      return this.#refuse(of, problems.failed(of, failure), now);
+      return this.#refuse(state, problems.failed(state, failure), now);
     }
-    of.since = now;
-    if (delay === 0) return this.#queues.push(of, now);
-    of.phase = "pausing";
-    this.#schedule.set(now + delay, "retry", of);
+    state.since = now;
+    if (delay === 0) return this.#queues.push(state, now);
+    state.phase = "pausing";
+    this.#timers.set(now + delay, "retry", state);
   }
 
   #abandon(id: string, now: number): void {
-    const left = this.#flights.get(id);
-    if (left === undefined) return;
-    // What may not be repeated and is out runs on: its answer may be kept
-    // for a resend, and a cut connection would only hide what it did.
-    if (!left.request.idempotent && left.calls.length > 0) return;
-    this.#refuse(left, problems.abandoned(left.outcome), now);
+    const abandoned = this.#requests.get(id);
+    if (abandoned === undefined) return;
+    // A call that is not idempotent continues: its answer may be stored for a
+    // resend, and closing the connection would only hide its outcome.
+    if (!abandoned.request.idempotent && abandoned.calls.length > 0) return;
+    this.#refuse(abandoned, problems.abandoned(abandoned.outcome), now);
   }
 
-  /** Starts what waits for a service, as far as there are slots. */
-  #serve(service: string, queue: policySet.Queue, now: number): void {
-    for (const work of queue.expired?.(now) ?? []) this.#drop(work, now);
+  /** Starts queued work of a service while slots are free. */
+  #dispatchQueued(service: string, queue: policySet.Queue, now: number): void {
+    for (const work of queue.expired?.(now) ?? []) {
+      this.#refuseQueued(work, now);
+    }
     const pool = this.#pools.get(service);
     while (pool !== undefined && pool.free > 0 && queue.size > 0) {
       const work = queue.shift(now);
       if (work === undefined) return;
-      const left = work.request.deadline - now;
-      if (this.#policies.estimate.remainingTime(work, now) > left) {
-        this.#drop(work, now);
+      const remaining = work.request.deadline - now;
+      if (this.#policies.estimate.remainingTime(work, now) > remaining) {
+        this.#refuseQueued(work, now);
         continue;
       }
       const chosen = this.#policies.choice.choose(work, pool, now);
       if (chosen === undefined) {
         queue.unshift(work, now);
-        return this.#queues.visitAt(service, now + LOOK_AGAIN);
+        return this.#queues.visitAt(service, now + REVISIT_DELAY_MS);
       }
-      this.#runningCalls.start(this.#flights.of(work), pool, { chosen, now });
+      this.#runningCalls.start(this.#requests.of(work), pool, { chosen, now });
     }
   }
 
-  /** Refuses work that was taken out of its queue. */
-  #drop(work: policySet.Work, now: number): void {
-    const dropped = this.#flights.of(work);
-    dropped.phase = "pausing";
-    this.#refuse(dropped, problems.deadlineUnreachable(dropped.outcome), now);
+  /** Refuses work that has been removed from its queue. */
+  #refuseQueued(work: policySet.Work, now: number): void {
+    const state = this.#requests.of(work);
+    state.phase = "pausing";
+    this.#refuse(state, problems.deadlineUnreachable(state.outcome), now);
   }
 
   #refuse(
-    refused: flight.RequestState,
+    state: requestState.RequestState,
     problem: effect.Problem,
     now: number,
   ): void {
-    if (refused.phase === "queued") this.#queues.remove(refused);
-    this.#calls.cancel(refused, undefined, now);
+    if (state.phase === "queued") this.#queues.remove(state);
+    this.#calls.cancel(state, undefined, now);
     this.#effects.push({
       type: "refuse",
-      request: refused.request.id,
+      request: state.request.id,
       problem,
     });
-    this.#finish(refused, "refused", now);
+    this.#finish(state, "refused", now);
   }
 
-  #finish(of: flight.RequestState, how: policySet.Ending, now: number): void {
-    this.#flights.remove(of);
-    this.#notify.finished(of.request, how, now);
+  #finish(
+    state: requestState.RequestState,
+    ending: policySet.Ending,
+    now: number,
+  ): void {
+    this.#requests.remove(state);
+    this.#notifier.finished(state.request, ending, now);
   }
 
-  #runDue(now: number): void {
-    for (let due; (due = this.#schedule.take(now)) !== undefined;) {
-      this.#dueHandlers[due.type](due, now);
+  #runDueTimers(now: number): void {
+    for (let due; (due = this.#timers.take(now)) !== undefined;) {
+      this.#timerHandlers[due.type](due, now);
     }
   }
 
-  readonly #dueHandlers: Record<
-    schedule.DueTimer["type"],
-    (due: schedule.DueTimer, now: number) => void
+  readonly #timerHandlers: Record<
+    requestTimers.DueTimer["type"],
+    (due: requestTimers.DueTimer, now: number) => void
   > = {
-    deadline: ({ state: flight }, now) =>
-      this.#refuse(flight, problems.expired(flight), now),
-    retry: ({ state: flight }, now) => this.#queues.push(flight, now),
-    hedge: ({ state: flight }, now) => this.#runningCalls.hedge(flight, now),
+    deadline: ({ state }, now) =>
+      this.#refuse(state, problems.expired(state), now),
+    retry: ({ state }, now) => this.#queues.push(state, now),
+    hedge: ({ state }, now) => this.#runningCalls.hedge(state, now),
     look: (due, now) => this.#runningCalls.checkHung(due, now),
   };
 }
--- a/src/request/dispatcher_model_test.ts
+++ b/src/request/dispatcher_model_test.ts
@@ -3,21 +3,21 @@
 import type * as effect from "./effect.ts";
 import type * as event from "./event.ts";
 import * as dispatcher from "./dispatcher.ts";
-import * as plain from "./baseline_policies.ts";
+import * as baselinePolicies from "./baseline_policies.ts";
 import type * as request from "./request.ts";
 
 const SEED = 20_260_412;
 const RUNS = 400;
 const SERVICES = ["enc", "lm-pool"] as const;
-const ENDPOINTS = 3;
-const SLOTS = 2;
-const ATTEMPTS = 3;
-/** Hung calls that the policy pays to replace, for each request. */
-const REPLACED = 2;
-/** Milliseconds without progress that make a hang. */
-const HANG = 30;
+const ENDPOINTS_PER_SERVICE = 3;
+const SLOTS_PER_ENDPOINT = 2;
+const MAX_ATTEMPTS = 3;
+/** Hung calls that the policy replaces, per request. */
+const MAX_REPLACEMENTS = 2;
+/** Time without progress after which a call counts as hung. */
+const HANG_TIMEOUT_MS = 30;
 
-/** What may happen; `pick` chooses among what is there. */
+/** A step of the test; `pick` selects among the existing calls or requests. */
 type Command =
   | { type: "arrive"; stages: number; deadline: number; idempotent: boolean }
   | { type: "answer" | "progress" | "replay"; pick: number }
@@ -27,16 +27,16 @@
   | { type: "sleep"; time: number; wake: boolean }
   | { type: "drain" };
 
-interface Seen {
+interface RequestRecord {
   request: request.Request;
   attempts: request.Attempt[];
   /** Attempts that an endpoint may have run. */
   ran: Set<request.Attempt>;
   answered: number;
   ends: number;
-  /** Hung calls that the policy let be replaced. */
+  /** Hung calls that the policy replaced. */
   replaced: number;
-  /** Tokens of the present stage that came from current calls. */
+  /** Tokens of the current stage received from calls in flight. */
   received: number;
 }
 
@@ -75,7 +75,7 @@
   fc.record({ type: fc.constant("drain" as const) }),
   fc.record({
     type: fc.constant("endpoints" as const),
-    mask: fc.nat(4 ** (ENDPOINTS * SERVICES.length) - 1),
+    mask: fc.nat(4 ** (ENDPOINTS_PER_SERVICE * SERVICES.length) - 1),
   }),
   {
     weight: 4,
@@ -87,51 +87,51 @@
   },
 );
 
-/** Plays callers and endpoints, and checks what the core asks for. */
-class World {
+/** Simulates callers and endpoints, and checks the dispatcher's effects. */
+class Simulation {
   readonly #core: dispatcher.Dispatcher;
-  readonly #seen = new Map<string, Seen>();
-  readonly #past: request.Attempt[] = [];
-  #out: request.Attempt[] = [];
+  readonly #records = new Map<string, RequestRecord>();
+  readonly #pastCalls: request.Attempt[] = [];
+  #inFlight: request.Attempt[] = [];
   #endpoints: event.Endpoint[] = [];
   #now = 0;
-  #drained = false;
-  /** Attempt that the present event ends. */
-  #ending: request.Attempt | undefined;
+  #isDraining = false;
+  /** Attempt that the current event ends. */
+  #endingCall: request.Attempt | undefined;
 
   constructor(hedged: boolean) {
     const hedge = {
       delay: () => hedged ? 20 : undefined,
       allow: () => hedged,
-      hangsAt: (_work: unknown, { at }: { at: number }) => at + HANG,
+      hangsAt: (_work: unknown, { at }: { at: number }) => at + HANG_TIMEOUT_MS,
       replace: (work: { request: request.Request }) => {
-        const seen = this.#seen.get(work.request.id)!;
-        return seen.replaced < REPLACED && ++seen.replaced > 0;
+        const record = this.#records.get(work.request.id)!;
+        return record.replaced < MAX_REPLACEMENTS && ++record.replaced > 0;
       },
     };
-    const retries = plain.create({ attempts: ATTEMPTS }).retries;
-    const policySet = { ...plain.create(), hedge, retries };
+    const retries = baselinePolicies.create({ attempts: MAX_ATTEMPTS }).retries;
+    const policySet = { ...baselinePolicies.create(), hedge, retries };
     this.#core = dispatcher.Dispatcher.create({ policySet });
     this.#setEndpoints(0);
   }
 
-  run(asked: Command): void {
+  run(command: Command): void {
     const runners: {
-      [T in Command["type"]]: (asked: Command & { type: T }) => void;
+      [T in Command["type"]]: (command: Command & { type: T }) => void;
     } = {
-      arrive: (asked) => this.#arrive(asked),
-      answer: ({ pick }) => this.#answer(choose(this.#out, pick)),
-      replay: ({ pick }) => this.#answer(choose(this.#past, pick)),
+      arrive: (command) => this.#arrive(command),
+      answer: ({ pick }) => this.#answer(choose(this.#inFlight, pick)),
+      replay: ({ pick }) => this.#answer(choose(this.#pastCalls, pick)),
       progress: ({ pick }) => {
-        const attempt = choose(this.#out, pick);
+        const attempt = choose(this.#inFlight, pick);
         if (attempt === undefined) return;
         const received = pick % 5;
         this.#receive(attempt, received);
         this.#step({ type: "progress", attempt, received });
       },
-      fail: (asked) => this.#fail(asked),
+      fail: (command) => this.#fail(command),
       abandon: ({ pick }) => {
-        const found = choose([...this.#seen.keys()], pick);
+        const found = choose([...this.#records.keys()], pick);
         if (found !== undefined) {
           this.#step({ type: "abandon", request: found });
         }
@@ -142,37 +142,44 @@
         if (wake) this.#step({ type: "wake" });
       },
       drain: () => {
-        this.#drained = true;
+        this.#isDraining = true;
         this.#step({ type: "drain" });
       },
     };
-    const run = runners[asked.type] as (asked: Command) => void;
-    run(asked);
+    const run = runners[command.type] as (command: Command) => void;
+    run(command);
   }
 
-  /** After all deadlines every request has ended and every slot is free. */
+  /** Checks that after all deadlines every request has ended and every slot is
+   * free. */
   finish(): void {
     this.#now += 1000;
     this.#step({ type: "wake" });
-    check(this.#core.inFlight === 0, "a request never ended");
-    check(this.#out.length === 0, "a call was never ended");
-    for (const each of this.#seen.values()) {
-      check(each.ends === 1, `${each.ends} ends of one request`);
+    check(this.#core.inFlight === 0, "a request has not ended");
+    check(this.#inFlight.length === 0, "a call has not ended");
+    for (const each of this.#records.values()) {
+      check(
+        each.ends === 1,
+        `a request ended ${each.ends} times, expected once`,
+      );
     }
     for (const service of SERVICES) {
       const pool = this.#core.pool(service);
-      const slots = (pool?.members.length ?? 0) * SLOTS;
-      check((pool?.free ?? 0) === slots, "a slot was lost");
+      const slots = (pool?.members.length ?? 0) * SLOTS_PER_ENDPOINT;
+      check(
+        (pool?.free ?? 0) === slots,
+        "the free slots differ from all slots",
+      );
     }
   }
 
-  #arrive(asked: Command & { type: "arrive" }): void {
+  #arrive(command: Command & { type: "arrive" }): void {
     const arrived: request.Request = {
-      id: `r${this.#seen.size}`,
+      id: `r${this.#records.size}`,
       account: "entries",
       kind: "roster",
       target: "assign",
-      stages: SERVICES.slice(-asked.stages).map((service) => ({
+      stages: SERVICES.slice(-command.stages).map((service) => ({
         name: service,
         service,
         kind: "engine",
@@ -180,17 +187,20 @@
       })),
       size: 1,
       arrived: this.#now,
-      deadline: this.#now + asked.deadline,
-      idempotent: asked.idempotent,
+      deadline: this.#now + command.deadline,
+      idempotent: command.idempotent,
       streaming: false,
       prefix: [],
     };
-    const seen = { attempts: [], ran: new Set<request.Attempt>() };
+    const record = { attempts: [], ran: new Set<request.Attempt>() };
     const counts = { answered: 0, ends: 0, replaced: 0, received: 0 };
-    const entered = { request: arrived, ...seen, ...counts };
-    this.#seen.set(arrived.id, entered);
+    const entered = { request: arrived, ...record, ...counts };
+    this.#records.set(arrived.id, entered);
     this.#step({ type: "arrive", request: arrived });
-    check(!this.#drained || entered.ends === 1, "entered a draining host");
+    check(
+      !this.#isDraining || entered.ends === 1,
+      "a draining host admitted a request",
+    );
   }
 
   #answer(attempt: request.Attempt | undefined): void {
@@ -202,45 +212,45 @@
       engineTime: 0,
     };
     const current = this.#end(attempt);
-    const seen = this.#seen.get(attempt.request)!;
-    const late = this.#now >= seen.request.deadline;
+    const record = this.#records.get(attempt.request)!;
+    const late = this.#now >= record.request.deadline;
     if (current && !late) {
-      seen.answered++;
-      seen.received = 0;
+      record.answered++;
+      record.received = 0;
     }
     this.#step({ type: "answer", attempt, usage, size: 1, prefix: [] });
   }
 
-  #fail(asked: Command & { type: "fail" }): void {
-    const attempt = choose(this.#out, asked.pick);
+  #fail(command: Command & { type: "fail" }): void {
+    const attempt = choose(this.#inFlight, command.pick);
     if (attempt === undefined) return;
-    const { outcome, received } = asked;
+    const { outcome, received } = command;
     this.#receive(attempt, received);
     this.#end(attempt);
-    const { ran } = this.#seen.get(attempt.request)!;
+    const { ran } = this.#records.get(attempt.request)!;
     if (outcome === "not-run") ran.delete(attempt);
     const failure = { reason: "connection" as const, outcome, received };
     this.#step({ type: "fail", attempt, failure });
   }
 
   #receive({ request }: request.Attempt, received: number): void {
-    const seen = this.#seen.get(request)!;
-    seen.received = Math.max(seen.received, received);
+    const record = this.#records.get(request)!;
+    record.received = Math.max(record.received, received);
   }
 
-  /** Whether the attempt was out until now. */
+  /** Removes an attempt; returns whether it was in flight. */
   #end(attempt: request.Attempt): boolean {
-    const before = this.#out.length;
-    this.#out = this.#out.filter((other) => other !== attempt);
-    this.#ending = attempt;
-    return this.#out.length < before;
+    const before = this.#inFlight.length;
+    this.#inFlight = this.#inFlight.filter((other) => other !== attempt);
+    this.#endingCall = attempt;
+    return this.#inFlight.length < before;
   }
 
   #setEndpoints(mask: number): void {
     const endpoints: event.Endpoint[] = [];
     let rest = mask;
     for (const service of SERVICES) {
-      for (let pos = 0; pos < ENDPOINTS; pos++) {
+      for (let pos = 0; pos < ENDPOINTS_PER_SERVICE; pos++) {
         const state = rest % 4;
         rest = Math.floor(rest / 4);
         if (state === 3) continue;
@@ -249,7 +259,7 @@
           service,
           kind: "engine",
           dataCentre: "ba-vi",
-          slots: SLOTS,
+          slots: SLOTS_PER_ENDPOINT,
           role: "both",
           state: state === 2 ? "draining" : "ready",
         });
@@ -259,58 +269,90 @@
     this.#step({ type: "endpoints", endpoints });
   }
 
-  #step(happened: event.Event): void {
-    const effects = this.#core.step(happened, this.#now);
+  #step(event: event.Event): void {
+    const effects = this.#core.step(event, this.#now);
     for (const each of effects) this.#check(each);
-    this.#ending = undefined;
+    this.#endingCall = undefined;
   }
 
-  #check(asked: effect.Effect): void {
-    if (asked.type === "call") this.#called(asked.attempt);
-    if (asked.type === "cancel") {
-      // A call may end in the very step that gives its request up.
-      const known = this.#end(asked.attempt) || asked.attempt === this.#ending;
-      check(known, "a cancel of no call");
+  #check(command: effect.Effect): void {
+    if (command.type === "call") this.#called(command.attempt);
+    if (command.type === "cancel") {
+      // A call may end in the step that refuses its request.
+      const wasInFlight = this.#end(command.attempt) ||
+        command.attempt === this.#endingCall;
+      check(wasInFlight, "a call that was not in flight was cancelled");
     }
-    if (asked.type === "complete") {
-      const seen = this.#seen.get(asked.request)!;
-      seen.ends++;
-      check(this.#now < seen.request.deadline, "a late completion");
-      const { stages } = seen.request;
-      check(seen.answered === stages.length, "a stage result is missing");
+    if (command.type === "complete") {
+      const record = this.#records.get(command.request)!;
+      record.ends++;
+      check(
+        this.#now < record.request.deadline,
+        "a request completed after its deadline",
+      );
+      const { stages } = record.request;
+      check(
+        record.answered === stages.length,
+        "a request completed without the results of all stages",
+      );
     }
-    if (asked.type === "refuse") {
-      const seen = this.#seen.get(asked.request)!;
-      seen.ends++;
-      const notRun = asked.problem.outcome === "not-run";
-      check(!notRun || seen.ran.size === 0, "not-run, but a call may have run");
+    if (command.type === "refuse") {
+      const record = this.#records.get(command.request)!;
+      record.ends++;
+      const notRun = command.problem.outcome === "not-run";
+      check(
+        !notRun || record.ran.size === 0,
+        "a refusal says not-run although a call may have run",
+      );
     }
   }
 
   #called(attempt: request.Attempt): void {
-    const seen = this.#seen.get(attempt.request)!;
-    const { request, attempts, answered } = seen;
-    check(seen.ends === 0, "a call for a request that ended");
+    const record = this.#records.get(attempt.request)!;
+    const { request, attempts, answered } = record;
+    check(record.ends === 0, "a call started for a request that has ended");
     check(
       attempt.stage === answered,
-      "a call before the earlier stage's answer",
+      "a call started before the previous stage was answered",
+    );
+    const stageAttempts = attempts.filter(({ stage }) =>
+      stage === attempt.stage
+    );
+    check(
+      request.idempotent || stageAttempts.length === 0,
+      "a request that is not idempotent was dispatched twice",
+    );
+    const attemptCount = stageAttempts.filter(({ hedge }) => !hedge).length;
+    const limit = MAX_ATTEMPTS + record.replaced;
+    check(
+      attempt.hedge || attemptCount < limit,
+      "a stage has more attempts than allowed",
+    );
+    check(
+      attempt.offset === record.received,
+      "a call does not resume at the first missing token",
+    );
+    const inFlight = this.#inFlight.filter(({ request }) =>
+      request === attempt.request
+    );
+    check(
+      inFlight.length <= (attempt.hedge ? 1 : 0),
+      "a request has too many calls in flight",
     );
-    const same = attempts.filter(({ stage }) => stage === attempt.stage);
-    check(request.idempotent || same.length === 0, "a second dispatch");
-    const tries = same.filter(({ hedge }) => !hedge).length;
-    const most = ATTEMPTS + seen.replaced;
-    check(attempt.hedge || tries < most, "too many attempts");
-    check(attempt.offset === seen.received, "a token is missing or twice");
-    const out = this.#out.filter(({ request }) => request === attempt.request);
-    check(out.length <= (attempt.hedge ? 1 : 0), "too many calls at once");
     const endpoint = this.#endpoints.find(({ id }) => id === attempt.endpoint);
-    check(endpoint?.state === "ready", "a call to an endpoint that left");
+    check(
+      endpoint?.state === "ready",
+      "a call started at an endpoint that is not ready",
+    );
     const { service } = request.stages[attempt.stage];
-    check(endpoint?.service === service, "a call to another service");
+    check(
+      endpoint?.service === service,
+      "a call started at an endpoint of another service",
+    );
     attempts.push(attempt);
-    seen.ran.add(attempt);
-    this.#out.push(attempt);
-    this.#past.push(attempt);
+    record.ran.add(attempt);
+    this.#inFlight.push(attempt);
+    this.#pastCalls.push(attempt);
   }
 }
 
@@ -322,12 +364,12 @@
   if (!holds) throw new Error(message);
 }
 
-test("holds its invariants whatever callers and endpoints do", (t) => {
+test("keeps its invariants under random events", (t) => {
   const commands = fc.array(command, { minLength: 5, maxLength: 80 });
   const property = fc.property(commands, fc.boolean(), (all, hedged) => {
-    const world = new World(hedged);
-    for (const each of all) world.run(each);
-    world.finish();
+    const simulation = new Simulation(hedged);
+    for (const each of all) simulation.run(each);
+    simulation.finish();
   });
   fc.assert(property, { seed: SEED, numRuns: RUNS });
   t.pass();
--- a/src/request/dispatcher_test.ts
+++ b/src/request/dispatcher_test.ts
@@ -2,7 +2,7 @@
 import type * as effect from "./effect.ts";
 import type * as event from "./event.ts";
 import * as dispatcher from "./dispatcher.ts";
-import * as plain from "./baseline_policies.ts";
+import * as baselinePolicies from "./baseline_policies.ts";
 import type * as policySet from "./policy_set.ts";
 import type * as request from "./request.ts";
 
@@ -51,7 +51,7 @@
   endpoints: readonly event.Endpoint[],
   overrides: Partial<policySet.PolicySet> = {},
 ): dispatcher.Dispatcher {
-  const set = { ...plain.create(), ...overrides };
+  const set = { ...baselinePolicies.create(), ...overrides };
   const created = dispatcher.Dispatcher.create({ policySet: set });
   created.step({ type: "endpoints", endpoints }, 0);
   return created;
@@ -97,7 +97,7 @@
   return { type: "arrive", request: arriving };
 }
 
-test("completes a request once its last stage is answered", (t) => {
+test("completes a request when its last stage is answered", (t) => {
   const stages: request.Stage[] = [
     { name: "encode", service: "enc", kind: "encoder", maxTokens: 0 },
     { name: "generate", service: "lm-pool", kind: "engine", maxTokens: 9 },
@@ -115,7 +115,7 @@
   t.is(core.inFlight, 0);
 });
 
-test("queues what finds no free slot and starts it in order", (t) => {
+test("queues requests without a free slot and starts them in order", (t) => {
   const core = create([endpointOf("g1")]);
   const [first] = calls(core.step(arrive(requestOf("a")), 0));
   t.deepEqual(calls(core.step(arrive(requestOf("b")), 1)), []);
@@ -124,7 +124,7 @@
   t.deepEqual(next.map((each) => each.request), ["b"]);
 });
 
-test("spreads calls over the endpoints with the least in flight", (t) => {
+test("sends each call to the endpoint with the fewest calls in flight", (t) => {
   const core = create([
     endpointOf("g1", { slots: 2 }),
     endpointOf("g2", { slots: 2 }),
@@ -135,7 +135,7 @@
   t.deepEqual(chosen, ["g1", "g2", "g1", "g2"]);
 });
 
-test("gives a draining endpoint no new call", (t) => {
+test("sends no new call to a draining endpoint", (t) => {
   const core = create([endpointOf("g1"), endpointOf("g2")]);
   const endpoints = [endpointOf("g1", { state: "draining" }), endpointOf("g2")];
   core.step({ type: "endpoints", endpoints }, 1);
@@ -144,7 +144,7 @@
   t.deepEqual(calls(core.step(arrive(requestOf("b")), 2)), []);
 });
 
-test("refuses at the deadline what still waits, as not run", (t) => {
+test("refuses a queued request at its deadline as not run", (t) => {
   const core = create([endpointOf("g1")]);
   core.step(arrive(requestOf("a", { deadline: 5000 })), 0);
   const waiting = core.step(arrive(requestOf("b")), 0);
@@ -155,7 +155,7 @@
   });
 });
 
-test("asks for another wake when one comes early", (t) => {
+test("requests another wake when one arrives early", (t) => {
   const core = create([endpointOf("g1")]);
   core.step(arrive(requestOf("a")), 0);
   const effects = core.step({ type: "wake" }, 999.5);
@@ -179,14 +179,14 @@
   t.false(effects.some((each) => each.type === "complete"));
 });
 
-test("retries repeatable work on another endpoint", (t) => {
+test("retries an idempotent request on another endpoint", (t) => {
   const core = create([endpointOf("g1"), endpointOf("g2")]);
   const [first] = calls(core.step(arrive(requestOf("a")), 0));
   const [second] = calls(core.step(failure(first, { received: 4 }), 5));
   t.like(second, { endpoint: "g2", attempt: 2, offset: 4 });
 });
 
-test("gives up at once when the retries are spent", (t) => {
+test("refuses a request as soon as its retries are used up", (t) => {
   const core = create([endpointOf("g1")]);
   let [call] = calls(core.step(arrive(requestOf("a")), 0));
   [call] = calls(core.step(failure(call), 1));
@@ -196,7 +196,7 @@
   t.true(problem.retryAfter! > 0);
 });
 
-test("dispatches what may not be repeated only once", (t) => {
+test("dispatches a request that is not idempotent only once", (t) => {
   const core = create([endpointOf("g1"), endpointOf("g2")]);
   const once = requestOf("a", { idempotent: false });
   const [call] = calls(core.step(arrive(once), 0));
@@ -205,7 +205,7 @@
   t.like(refusals(effects)[0], { name: "outcome-unknown", outcome: "unknown" });
 });
 
-test("says not-run when the only dispatch provably did not start", (t) => {
+test("reports not-run when the only call provably did not start", (t) => {
   const core = create([endpointOf("g1")]);
   const once = requestOf("a", { idempotent: false });
   const [call] = calls(core.step(arrive(once), 0));
@@ -213,7 +213,7 @@
   t.is(refusals(effects)[0].outcome, "not-run");
 });
 
-test("drops and counts what is no longer current", (t) => {
+test("ignores and counts events of calls no longer in flight", (t) => {
   const core = create([endpointOf("g1"), endpointOf("g2")]);
   const [first] = calls(core.step(arrive(requestOf("a")), 0));
   const [second] = calls(core.step(failure(first), 1));
@@ -223,7 +223,7 @@
   t.deepEqual(effects, [{ type: "complete", request: "a" }]);
 });
 
-test("cancels the calls of a caller that went away", (t) => {
+test("cancels the calls of a request whose caller disconnects", (t) => {
   const core = create([endpointOf("g1")]);
   const [call] = calls(core.step(arrive(requestOf("a")), 0));
   const effects = core.step({ type: "abandon", request: "a" }, 1);
@@ -231,7 +231,7 @@
   t.is(refusals(effects)[0].name, "abandoned");
 });
 
-test("lets a dispatched booking run on when its caller goes away", (t) => {
+test("does not cancel a call that is not idempotent when its caller disconnects", (t) => {
   const core = create([endpointOf("g1")]);
   const once = requestOf("a", { idempotent: false });
   const [call] = calls(core.step(arrive(once), 0));
@@ -239,7 +239,7 @@
   t.is(core.step(answer(call), 2)[0].type, "complete");
 });
 
-test("refuses new requests while it drains, and finishes the others", (t) => {
+test("refuses new requests while draining and completes the others", (t) => {
   const core = create([endpointOf("g1")]);
   const [call] = calls(core.step(arrive(requestOf("a")), 0));
   core.step({ type: "drain" }, 1);
@@ -248,7 +248,7 @@
   t.is(core.step(answer(call), 3)[0].type, "complete");
 });
 
-test("races a hedge and cancels the loser", (t) => {
+test("starts a hedge and cancels the slower call", (t) => {
   const hedge = { delay: () => 100, allow: () => true };
   const core = create([endpointOf("g1"), endpointOf("g2")], { hedge });
   const [first] = calls(core.step(arrive(requestOf("a")), 0));
@@ -259,7 +259,7 @@
   t.is(effects.filter((each) => each.type === "complete").length, 1);
 });
 
-test("drops queued work that can't finish any more", (t) => {
+test("refuses queued work that can't meet its deadline", (t) => {
   const estimate = { remainingTime: () => 300 };
   const core = create([endpointOf("g1")], { estimate });
   const [call] = calls(core.step(arrive(requestOf("a")), 0));
--- a/src/request/effect.ts
+++ b/src/request/effect.ts
@@ -1,4 +1,4 @@
-/** Effects that the dispatcher asks its shell for.
+/** Effects that the dispatcher returns and the executor performs.
  * @module */
 
 import type * as request from "./request.ts";
@@ -21,7 +21,7 @@
   | "stopping"
   | "abandoned";
 
-/** Why a request gets no answer. */
+/** Reason for which a request is refused. */
 export interface Problem {
   name: ProblemName;
   outcome: request.Outcome;
@@ -30,7 +30,7 @@
   retryAfter?: number;
 }
 
-/** What a dispatcher asks for. */
+/** One effect of a dispatcher. */
 export type Effect =
   | {
     type: "call";
@@ -42,7 +42,7 @@
   | {
     type: "cancel";
     attempt: request.Attempt;
-    /** Set when the call is given up since it hangs. */
+    /** Set when the call is cancelled because it hangs. */
     hung?: true;
   }
   | { type: "complete"; request: string }
--- a/src/request/event.ts
+++ b/src/request/event.ts
@@ -1,4 +1,4 @@
-/** Events that the dispatcher takes.
+/** Events that the dispatcher handles.
  * @module */
 
 import type * as endpoint from "../schema/endpoint_types.ts";
@@ -13,38 +13,38 @@
   slots: number;
   role: endpoint.EngineRole;
   state: "ready" | "draining";
-  /** Run of the endpoint, where it is known; a later one has empty caches. */
+  /** Incarnation of the endpoint, when known; a new one has empty caches. */
   generation?: number;
 }
 
-/** Load as an endpoint last reported it. */
+/** Last reported load of an endpoint. */
 export interface Load {
   running: number;
   waiting: number;
   /** Share of KV memory in use, 0 to 1. */
   kvUsed: number;
-  /** When the report was made, on the host's clock, as far as known. */
+  /** Estimated time of the report on the host's clock. */
   at: number;
 }
 
 /** Weights and limits of one account or request kind, from the table. */
 export interface Policy {
   weight?: number;
-  /** Requests a second, this host's share. */
+  /** Requests per second, this host's share. */
   rate?: number;
   /** Requests in flight, this host's share. */
   concurrency?: number;
   /** Milliseconds. */
   deadline?: number;
   priority?: number;
-  /** Share of extra cost that may be spent on attainment, 0 to 1. */
+  /** Extra cost that may be spent to meet deadlines, as a ratio from 0 to 1. */
   spend?: number;
 }
 
 /** Policies by row of the table, such as `account/kivu-crew`. */
 export type Policies = ReadonlyMap<string, Policy>;
 
-/** What happens to a dispatcher. */
+/** One event of a dispatcher. */
 export type Event =
   | { type: "arrive"; request: request.Request }
   | { type: "progress"; attempt: request.Attempt; received: number }
@@ -52,7 +52,7 @@
     type: "answer";
     attempt: request.Attempt;
     usage: request.Usage;
-    /** Size in tokens of the next stage's input. */
+    /** Size of the next stage's input in tokens. */
     size: number;
     /** Prefix blocks of the next stage's prompt. */
     prefix: readonly string[];
--- a/src/request/executor.ts
+++ b/src/request/executor.ts
@@ -1,9 +1,9 @@
-/** The shell around the dispatcher: holds payloads, makes the calls that the
- * core asks for, and tells callers what became of their requests.
+/** Performs the effects of the dispatcher: holds payloads, makes calls and
+ * replies to callers.
  *
- * It runs on one thread, and the loop performs the effects of an event before
- * it takes the next. So a call that is still listed here is current in the
- * core as well, and what it brings is kept for its own request only.
+ * Everything runs on one thread, and the loop performs the effects of an event
+ * before it handles the next one. A call that is registered here is therefore
+ * also in flight in the dispatcher, and its result belongs to its own request.
  * @module */
 
 import type * as endpointCalls from "../endpoint_calls/mod.ts";
@@ -18,7 +18,7 @@
 import type * as request from "./request.ts";
 import type * as runtime from "../runtime/mod.ts";
 
-/** A request with its payload and its caller. */
+/** A request with its payload and the reply to its caller. */
 export interface Job {
   request: request.Request;
   target: catalogue.Target;
@@ -26,7 +26,7 @@
   reply: reply.Reply;
 }
 
-/** Parts of an execution. */
+/** Dependencies of an executor. */
 export interface Options {
   dispatcher: dispatcher.Dispatcher;
   endpointCalls: endpointCalls.EndpointClient;
@@ -36,24 +36,24 @@
 
 interface Entry {
   job: Job;
-  /** Tokens of the present stage. */
+  /** Tokens of the current stage. */
   tokens: string[];
   records: reply.StageRecord[];
   usage: { inputTokens: number; outputTokens: number };
-  /** Calls of the present stage, by attempt. */
+  /** Cancel functions of the current stage's calls, by attempt. */
   calls: Map<number, runtime.Cancel>;
 }
 
 type Performers = {
-  [T in effect.Effect["type"]]: (asked: effect.Effect & { type: T }) => void;
+  [T in effect.Effect["type"]]: (effect: effect.Effect & { type: T }) => void;
 };
 
-/** Least milliseconds after which a connection counts as silent. */
-const LEAST_SILENCE = 500;
-/** Share of the time left after which a connection counts as silent. */
-const SILENCE_SHARE = 0.5;
+/** Minimum time without a byte after which a call fails. */
+const MIN_IDLE_TIMEOUT_MS = 500;
+/** Time without a byte after which a call fails, relative to the time left. */
+const IDLE_TIMEOUT_RATIO = 0.5;
 
-/** Executes the requests of one host. */
+/** Executor of one host. */
 export class Executor {
   readonly #options: Options;
   readonly #accounting: accounting.Accounting;
@@ -61,15 +61,15 @@
   readonly #loop: loop.Loop<event.Event, effect.Effect>;
   readonly #urls = new Map<string, string>();
   #cancelWake: runtime.Cancel = () => {};
-  #idle: (() => void)[] = [];
+  #idleWaiters: (() => void)[] = [];
 
   private constructor(options: Options) {
     this.#options = options;
     const { dispatcher, clock } = options;
     this.#accounting = options.accounting;
     this.#loop = loop.Loop.start<event.Event, effect.Effect>({
-      step: (happened) => dispatcher.step(happened, clock.now()),
-      perform: (asked) => this.#perform(asked),
+      step: (event) => dispatcher.step(event, clock.now()),
+      perform: (effect) => this.#perform(effect),
     });
   }
 
@@ -94,44 +94,44 @@
     this.#accounting.inFlight(this.#entries.size);
   }
 
-  /** The caller went away. */
+  /** Abandons a request whose caller has disconnected. */
   abandon(id: string): void {
     this.#loop.push({ type: "abandon", request: id });
   }
 
-  /** Takes the present endpoints in place of the old ones. */
+  /** Replaces the set of known endpoints. */
   setEndpoints(endpoints: readonly (event.Endpoint & { url: string })[]): void {
     this.#urls.clear();
     for (const { id, url } of endpoints) this.#urls.set(id, url);
     this.#loop.push({ type: "endpoints", endpoints });
   }
 
-  /** Passes an event of another part on. */
-  push(happened: event.Event): void {
-    this.#loop.push(happened);
+  /** Passes an event on to the dispatcher. */
+  push(event: event.Event): void {
+    this.#loop.push(event);
   }
 
   /** Resolves once no request is in flight. */
   idle(): Promise<void> {
     if (this.#entries.size === 0) return Promise.resolve();
-    return new Promise((resolve) => this.#idle.push(resolve));
+    return new Promise((resolve) => this.#idleWaiters.push(resolve));
   }
 
-  /** Forgets the wake that is on its way; the host is stopping. */
+  /** Cancels the pending wake when the host stops. */
   close(): void {
     this.#cancelWake();
   }
 
-  #perform(asked: effect.Effect): void {
-    const perform = this.#performers[asked.type] as (
-      asked: effect.Effect,
+  #perform(effect: effect.Effect): void {
+    const perform = this.#performers[effect.type] as (
+      effect: effect.Effect,
     ) => void;
-    perform(asked);
+    perform(effect);
   }
 
   readonly #performers: Performers = {
-    call: (asked) => this.#call(asked),
-    cancel: (asked) => this.#cancel(asked),
+    call: (effect) => this.#call(effect),
+    cancel: (effect) => this.#cancel(effect),
     complete: ({ request }) => this.#complete(request),
     refuse: ({ request, problem }) => this.#refuse(request, problem),
     wake: ({ at }) => {
@@ -142,25 +142,25 @@
     },
   };
 
-  #call(asked: effect.Effect & { type: "call" }): void {
-    const { attempt, deadline, priority } = asked;
+  #call(effect: effect.Effect & { type: "call" }): void {
+    const { attempt, deadline, priority } = effect;
     const entry = this.#entries.get(attempt.request)!;
     const step = entry.job.target.steps[attempt.stage];
     const url = this.#urls.get(attempt.endpoint);
     this.#accounting.called(attempt);
     if (url === undefined) return this.#unreachable(attempt);
-    const made: endpointCalls.Call = {
+    const call: endpointCalls.Call = {
       attempt,
       stage: step.name,
       url,
       deadline,
       priority,
-      idleTimeout: this.#silence(entry.job.request),
+      idleTimeout: this.#idleTimeout(entry.job.request),
       input: entry.job.data.input(step),
     };
-    // Registered first: a call may fail before `call` returns.
+    // Registered first, since a call may fail before `call` returns.
     entry.calls.set(attempt.attempt, () => {});
-    const cancel = this.#options.endpointCalls.call(made, {
+    const cancel = this.#options.endpointCalls.call(call, {
       token: (offset, text) => this.#token(attempt, offset, text),
       answer: (result, usage) => this.#answer(attempt, result, usage),
       fail: (failure) => this.#fail(attempt, failure),
@@ -178,11 +178,12 @@
     });
   }
 
-  /** What may not be repeated gains nothing from being given up early. */
-  #silence({ idempotent, deadline }: request.Request): number {
+  /** Infinite for a request that is not idempotent: it can't be retried, so
+   * there is no use in failing its call early. */
+  #idleTimeout({ idempotent, deadline }: request.Request): number {
     if (!idempotent) return Infinity;
-    const left = deadline - this.#options.clock.now();
-    return Math.max(LEAST_SILENCE, left * SILENCE_SHARE);
+    const remaining = deadline - this.#options.clock.now();
+    return Math.max(MIN_IDLE_TIMEOUT_MS, remaining * IDLE_TIMEOUT_RATIO);
   }
 
   #cancel({ attempt, hung }: effect.Effect & { type: "cancel" }): void {
@@ -191,13 +192,13 @@
     if (entry === undefined || cancel === undefined) return;
     entry.calls.delete(attempt.attempt);
     if (hung) this.#accounting.hung(entry.job, attempt);
-    const lost = attempt.hedge ? "hedge" : "cancelled";
-    this.#accounting.waste(entry.job, attempt, hung ? "retry" : lost);
+    const cause = attempt.hedge ? "hedge" : "cancelled";
+    this.#accounting.waste(entry.job, attempt, hung ? "retry" : cause);
     cancel();
   }
 
   #token(attempt: request.Attempt, offset: number, text: string): void {
-    const entry = this.#current(attempt);
+    const entry = this.#currentEntry(attempt);
     if (entry === undefined) return;
     const { job, tokens } = entry;
     if (offset !== tokens.length) return;
@@ -212,7 +213,7 @@
     result: endpointCalls.Result,
     usage: request.Usage,
   ): void {
-    const entry = this.#current(attempt);
+    const entry = this.#currentEntry(attempt);
     if (entry === undefined) return;
     entry.calls.delete(attempt.attempt);
     const { job, tokens } = entry;
@@ -232,7 +233,7 @@
   }
 
   #fail(attempt: request.Attempt, failure: request.Failure): void {
-    const entry = this.#current(attempt);
+    const entry = this.#currentEntry(attempt);
     if (entry === undefined) return;
     entry.calls.delete(attempt.attempt);
     if (failure.outcome !== "not-run") {
@@ -241,14 +242,14 @@
     this.#loop.push({ type: "fail", attempt, failure });
   }
 
-  /** The entry of a call that is still out. */
-  #current(attempt: request.Attempt): Entry | undefined {
+  /** Entry of a call that is still in flight. */
+  #currentEntry(attempt: request.Attempt): Entry | undefined {
     const entry = this.#entries.get(attempt.request);
     return entry?.calls.has(attempt.attempt) ? entry : undefined;
   }
 
   #complete(id: string): void {
-    const entry = this.#end(id);
+    const entry = this.#removeEntry(id);
     if (entry === undefined) return;
     const { job, records, usage } = entry;
     this.#accounting.completed(job);
@@ -264,19 +265,19 @@
   }
 
   #refuse(id: string, problem: effect.Problem): void {
-    const entry = this.#end(id);
+    const entry = this.#removeEntry(id);
     if (entry === undefined) return;
     this.#accounting.refused(entry.job.request, problem);
     entry.job.reply.refuse(problem);
   }
 
-  #end(id: string): Entry | undefined {
+  #removeEntry(id: string): Entry | undefined {
     const entry = this.#entries.get(id);
     if (entry === undefined) return undefined;
     this.#entries.delete(id);
     this.#accounting.inFlight(this.#entries.size);
     if (this.#entries.size === 0) {
-      for (const resolve of this.#idle.splice(0)) resolve();
+      for (const resolve of this.#idleWaiters.splice(0)) resolve();
     }
     return entry;
   }
--- a/src/request/fake_path.ts
+++ b/src/request/fake_path.ts
@@ -11,10 +11,10 @@
 import type * as settings from "../schema/settings_types.ts";
 import * as telemetry from "../telemetry/mod.ts";
 
-/** Token of the only account. */
+/** Bearer token of the only account. */
 export const TOKEN = "crew-token";
 
-/** Answers one call. */
+/** Handler of one call. */
 export type Serve = (
   incoming: http.IncomingMessage,
   response: http.ServerResponse,
@@ -28,11 +28,10 @@
   close: () => void;
 }
 
-/** Listens on a free port; answers no subscription to events. */
+/** Starts an endpoint on a free port; it publishes no events. */
 export function listen(serve: Serve): Promise<Endpoint> {
   let calls = 0;
   const server = http.createServer((incoming, response) => {
-    // It publishes no events.
     if (incoming.url === "/v1/events") {
       return void response.writeHead(404).end();
     }
@@ -69,18 +68,18 @@
 
 function json(make: (body: Record<string, unknown>) => object): Serve {
   return (incoming, response, body) => {
-    const made = make(JSON.parse(body));
+    const created = make(JSON.parse(body));
     const usage = { "prompt_tokens": 3, "engine_ms": 1 };
-    response.end(JSON.stringify({ id: idOf(incoming), ...made, usage }));
+    response.end(JSON.stringify({ id: idOf(incoming), ...created, usage }));
   };
 }
 
-/** An encoder. */
+/** Handler of an encoder. */
 export const encode = json(({ input }) => ({
   data: (input as string[]).map((_, index) => ({ index, embedding: [index] })),
 }));
 
-/** A retriever. */
+/** Handler of a retriever. */
 export const retrieve = json(({ embedding, text }) => ({
   documents: ["a", "b"].map((id, pos) => ({
     id,
@@ -89,7 +88,7 @@
   })),
 }));
 
-/** A reranker. */
+/** Handler of a reranker. */
 export const rerank = json(({ documents }) => ({
   results: (documents as string[]).map((_, index) => ({
     index,
@@ -97,13 +96,13 @@
   })),
 }));
 
-/** How a fake engine behaves. */
+/** Options of a fake engine. */
 export interface Generation {
-  /** Tokens after which the connection breaks. */
+  /** Number of tokens after which the connection breaks. */
   breakAt?: number;
 }
 
-/** Generates the first six words of the prompt. */
+/** Handler of an engine that generates the first six words of the prompt. */
 export function generate({ breakAt = Infinity }: Generation = {}): Serve {
   return (incoming, response, body) => {
     const { prompt, resume_from: from } = JSON.parse(body);
@@ -127,7 +126,7 @@
   };
 }
 
-/** Settings of a host alone. */
+/** Settings of a fleet of one host. */
 export function settingsOf(): settings.Settings {
   return {
     host: "gisenyi-1",
@@ -165,7 +164,7 @@
   };
 }
 
-/** A path that runs. */
+/** A started request path with its endpoints. */
 export interface Started {
   url: string;
   path: path.RequestPath;
@@ -182,7 +181,8 @@
   billing: "plain",
 } as const;
 
-/** Starts a path with an endpoint for each entry, `SERVICE` or `SERVICE@N`. */
+/** Starts a path with an endpoint for each entry of `serves`, whose key is
+ * `SERVICE` or `SERVICE@N`. */
 export async function start(
   serves: Record<string, Serve>,
   options: Partial<pathOptions.PathOptions> = {},
@@ -190,7 +190,7 @@
   const tally = new telemetry.Tally();
   const tokenHash = crypto.createHash("sha256").update(TOKEN).digest("hex");
   const account = { name: "kivu-crew", tokenHash };
-  const made = path.RequestPath.create({
+  const created = path.RequestPath.create({
     settings: settingsOf(),
     clock: runtime.systemClock,
     random: runtime.createRandom(1),
@@ -204,7 +204,7 @@
   for (const [id, serve] of Object.entries(serves)) {
     fleet[id] = await listen(serve);
   }
-  made.setEndpoints(
+  created.setEndpoints(
     Object.keys(serves).map((id) => {
       const service = id.replace(/@.*/, "") as keyof typeof kinds;
       return {
@@ -219,20 +219,20 @@
       };
     }),
   );
-  await made.start();
+  await created.start();
   return {
-    url: `http://127.0.0.1:${made.port}`,
-    path: made,
+    url: `http://127.0.0.1:${created.port}`,
+    path: created,
     tally,
     fleet,
     stop: async () => {
-      await made.stop();
+      await created.stop();
       for (const each of Object.values(fleet)) each.close();
     },
   };
 }
 
-/** An answer, read whole. */
+/** A complete answer. */
 export interface Posted {
   status: number;
   headers: Record<string, unknown>;
@@ -241,7 +241,7 @@
   body: any;
 }
 
-/** Sends a request of the only account. */
+/** Sends a request with the token of the only account. */
 export async function post(
   url: string,
   body: unknown,
@@ -266,7 +266,7 @@
   };
 }
 
-/** One endpoint for each service of the pipeline. */
+/** One endpoint for each service of the pipeline `plan`. */
 export const allEndpoints = {
   enc: encode,
   ret: retrieve,
--- a/src/request/fleet.ts
+++ b/src/request/fleet.ts
@@ -1,11 +1,13 @@
-/** Endpoints by service, with the calls that this host has out to each.
+/** Endpoint pools by service, with this host's calls in flight to each
+ * endpoint.
  * @module */
 
-import * as errors from "./dispatch_error.ts";
+import * as dispatchErrors from "./dispatch_error.ts";
 import type * as event from "./event.ts";
 import type * as policySet from "./policy_set.ts";
 
-/** One endpoint; replaced in place when it is announced anew. */
+/** An endpoint and its calls in flight; a new announcement updates it in
+ * place. */
 export class Member implements policySet.Member {
   endpoint: event.Endpoint;
   inFlight = 0;
@@ -14,7 +16,7 @@
     this.endpoint = endpoint;
   }
 
-  /** Slots that take another call; none while it drains. */
+  /** Free slots; 0 while the endpoint drains. */
   get free(): number {
     if (this.endpoint.state !== "ready") return 0;
     return Math.max(0, this.endpoint.slots - this.inFlight);
@@ -36,22 +38,24 @@
     return this.#all.get(id);
   }
 
-  /** The member that a policy chose. */
+  /** Finds the member that a policy chose. */
   resolve({ endpoint: { id } }: policySet.Member): Member {
     const member = this.#all.get(id);
     if (member !== undefined) return member;
-    throw new errors.DispatchError(`The chosen ${id} is not in its pool`);
+    throw new dispatchErrors.DispatchError(
+      `The chosen endpoint ${id} is not in the pool`,
+    );
   }
 
-  /** Counts a call out to, or back from, a member. */
+  /** Adds to a member's calls in flight and updates the free slots. */
   addCalls(member: Member, change: 1 | -1): void {
-    const known = this.#all.get(member.endpoint.id) === member;
-    const before = member.free;
+    const isCurrent = this.#all.get(member.endpoint.id) === member;
+    const freeBefore = member.free;
     member.inFlight += change;
-    if (known) this.free += member.free - before;
+    if (isCurrent) this.free += member.free - freeBefore;
   }
 
-  /** Takes the present endpoints of this service in place of the old. */
+  /** Replaces the endpoints of this service; known ones keep their counts. */
   replace(endpoints: readonly event.Endpoint[]): void {
     const kept = new Map(this.#all);
     this.#all.clear();
@@ -65,7 +69,7 @@
     this.free = this.members.reduce((sum, member) => sum + member.free, 0);
   }
 
-  /** Plain JSON for the state dump. */
+  /** State as plain JSON for the state dump. */
   dump(): unknown {
     return [...this.#all.values()].map((member) => ({
       id: member.endpoint.id,
@@ -88,7 +92,7 @@
     return this.#pools.get(service);
   }
 
-  /** Service of an endpoint. */
+  /** Finds the service of an endpoint. */
   serviceOf(endpoint: string): string | undefined {
     for (const [service, pool] of this.#pools) {
       if (pool.member(endpoint) !== undefined) return service;
--- a/src/request/intake.ts
+++ b/src/request/intake.ts
@@ -1,5 +1,5 @@
-/** Lets checked requests in: gives them ids and deadlines, claims their keys,
- * and hands them to the execution.
+/** Accepts validated requests: assigns ids and deadlines, claims idempotency
+ * keys, and submits the requests to the executor.
  * @module */
 
 import * as crypto from "node:crypto";
@@ -7,23 +7,23 @@
 import type * as catalogue from "./catalogue.ts";
 import type * as effect from "./effect.ts";
 import type * as event from "./event.ts";
-import type * as execution from "./executor.ts";
-import * as keptReply from "./recorded_reply.ts";
+import type * as executor from "./executor.ts";
+import * as recordedReply from "./recorded_reply.ts";
 import * as stageData from "./stage_data.ts";
 import type * as pathOptions from "./path_options.ts";
 import type * as reply from "./reply.ts";
 import type * as request from "./request.ts";
 import type * as runtime from "../runtime/mod.ts";
 
-/** A checked request of a known account. */
+/** A validated request of an authenticated account. */
 export interface IncomingRequest {
   account: string;
   kind: string;
   target: catalogue.Target;
   payload: stageData.Payload;
-  /** When its head came, on the host's clock. */
+  /** When its head was received, on the host's clock. */
   arrived: number;
-  /** Milliseconds left at that time, when the caller says so. */
+  /** Milliseconds left at that time, when the caller sets a deadline. */
   remaining: number | undefined;
   idempotent: boolean;
   key: string | undefined;
@@ -31,39 +31,42 @@
   reply: ReplayableReply;
 }
 
-/** Also takes the answer that an earlier request with the same key got. */
+/** Reply that can also send the stored answer of an earlier request with the
+ * same key. */
 export interface ReplayableReply extends reply.Reply {
-  /** Whether the caller went away. */
+  /** Whether the caller has disconnected. */
   readonly isDisconnected: boolean;
   replay(answer: pathOptions.StoredAnswer): void;
 }
 
-/** Parts of an intake. */
+/** Dependencies of an intake. */
 export interface Options {
   host: string;
   clock: runtime.Clock;
   random: runtime.Random;
   accounting: accounting.Accounting;
-  execution: execution.Executor;
+  execution: executor.Executor;
   claims: pathOptions.Claims | undefined;
 }
 
-const BASE = 36;
-const ID_RANGE = 2 ** 32;
+const ID_RADIX = 36;
+const ID_RANDOM_RANGE = 2 ** 32;
 
-/** Where requests enter. */
+/** Entry of requests into a host. */
 export class Intake {
   readonly #options: Options;
-  readonly #prefix: string;
-  #count = 0;
+  readonly #idPrefix: string;
+  #idCount = 0;
   #policies: event.Policies = new Map();
 
   private constructor(options: Options) {
     this.#options = options;
     const { host, clock, random } = options;
-    const start = Math.floor(clock.wall()).toString(BASE);
-    // Host, start and a random number: no id returns after a restart.
-    this.#prefix = `${host}-${start}-${random.below(ID_RANGE).toString(BASE)}`;
+    const start = Math.floor(clock.wall()).toString(ID_RADIX);
+    // Host, start time and a random number: ids are not reused after a restart.
+    this.#idPrefix = `${host}-${start}-${
+      random.below(ID_RANDOM_RANGE).toString(ID_RADIX)
+    }`;
   }
 
   static create(options: Options): Intake {
@@ -74,75 +77,81 @@
     this.#policies = policies;
   }
 
-  /** A new id. */
+  /** Returns a new request id. */
   nextId(): string {
-    return `${this.#prefix}-${(this.#count++).toString(BASE)}`;
+    return `${this.#idPrefix}-${(this.#idCount++).toString(ID_RADIX)}`;
   }
 
-  /** Milliseconds that a request may take: the least of what the caller, its
-   * target and the table's cells for its account and kind say. */
+  /** Milliseconds that a request may take: the minimum of the caller's deadline,
+   * the target's, and those that the policies set for its account and kind. */
   timeBudget({ account, kind, target, remaining }: Pick<
     IncomingRequest,
     "account" | "kind" | "target" | "remaining"
   >): number {
     const rows = [`account/${account}`, `kind/${kind}`];
-    const cells = rows.map((row) =>
+    const limits = rows.map((row) =>
       this.#policies.get(row)?.deadline ?? Infinity
     );
-    return Math.min(remaining ?? Infinity, target.deadline, ...cells);
+    return Math.min(remaining ?? Infinity, target.deadline, ...limits);
   }
 
-  /** Lets a request in, or refuses it. */
-  submit(id: string, ask: IncomingRequest): void {
-    const made = this.#request(id, ask);
+  /** Submits a request to the executor, or refuses it. */
+  submit(id: string, incoming: IncomingRequest): void {
+    const created = this.#request(id, incoming);
     const job = {
-      request: made,
-      target: ask.target,
-      data: stageData.StageData.create(ask.payload),
-      reply: ask.reply,
+      request: created,
+      target: incoming.target,
+      data: stageData.StageData.create(incoming.payload),
+      reply: incoming.reply,
     };
     const { execution, claims } = this.#options;
-    // What may be repeated needs no claim unless the keys are kept.
-    if (ask.key === undefined || (claims === undefined && made.idempotent)) {
+    // No claim is needed without a key, nor for an idempotent request on a host
+    // without a claim store.
+    if (
+      incoming.key === undefined || (claims === undefined && created.idempotent)
+    ) {
       execution.submit(job);
     } else if (claims === undefined) {
-      this.#deny(job, refusal("claim-refused", NO_CLAIMS));
+      this.#refuse(job, refusal("claim-refused", NO_CLAIMS_DETAIL));
     } else {
-      this.#claim(claims, job, ask.reply);
+      this.#claim(claims, job, incoming.reply);
     }
   }
 
-  /** Refuses what never reached the dispatcher. */
-  #deny(
-    { request, reply }: Pick<execution.Job, "request" | "reply">,
+  /** Refuses a request that has not reached the dispatcher. */
+  #refuse(
+    { request, reply }: Pick<executor.Job, "request" | "reply">,
     problem: effect.Problem,
   ): void {
     this.#options.accounting.refused(request, problem);
     reply.refuse(problem);
   }
 
-  #request(id: string, ask: IncomingRequest): request.Request {
-    const { account, kind, target, payload, arrived, key, streaming } = ask;
-    const first = stageData.StageData.create(payload).measure(target.steps[0]);
+  #request(id: string, incoming: IncomingRequest): request.Request {
+    const { account, kind, target, payload, arrived, key, streaming } =
+      incoming;
+    const measure = stageData.StageData.create(payload).measure(
+      target.steps[0],
+    );
     return {
       id,
       account,
       kind,
       target: target.name,
       stages: target.steps,
-      size: first.size,
+      size: measure.size,
       arrived,
-      deadline: arrived + this.timeBudget(ask),
-      idempotent: ask.idempotent && target.idempotent,
+      deadline: arrived + this.timeBudget(incoming),
+      idempotent: incoming.idempotent && target.idempotent,
       key,
       streaming,
-      prefix: first.prefix,
+      prefix: measure.prefix,
     };
   }
 
   #claim(
     claims: pathOptions.Claims,
-    job: execution.Job,
+    job: executor.Job,
     answer: ReplayableReply,
   ): void {
     const { clock, execution } = this.#options;
@@ -153,39 +162,39 @@
       request: job.request.id,
       remaining: job.request.deadline - clock.now(),
     };
-    let late = false;
+    let timedOut = false;
     const cancel = clock.after(claim.remaining, () => {
-      late = true;
-      this.#deny(job, {
-        ...refusal("claim-refused", LATE_CLAIM),
+      timedOut = true;
+      this.#refuse(job, {
+        ...refusal("claim-refused", CLAIM_TIMEOUT_DETAIL),
         outcome: "unknown",
       });
     });
     const handlers: ClaimHandlers = {
       granted: () => {
-        // Nobody waits any more: the claim goes back, and nothing runs.
-        if (late || answer.isDisconnected) {
+        // The caller is no longer waiting: release the claim and run nothing.
+        if (timedOut || answer.isDisconnected) {
           return claims.settle(claim, undefined);
         }
-        const kept = keptReply.RecordedReply.create(job.reply, {
+        const recorded = recordedReply.RecordedReply.create(job.reply, {
           id: claim.request,
           settle: (stored) => claims.settle(claim, stored),
         });
-        execution.submit({ ...job, reply: kept });
+        execution.submit({ ...job, reply: recorded });
       },
       answered: (found) => answer.replay(found.answer),
-      // The key's first request may run: this one alone did not.
+      // This request did not run, but the first one with this key may have.
       "in-progress": () =>
-        this.#deny(job, {
-          ...refusal("in-progress", RUNNING),
+        this.#refuse(job, {
+          ...refusal("in-progress", IN_PROGRESS_DETAIL),
           outcome: "unknown",
         }),
       refused: ({ detail, outcome }) =>
-        this.#deny(job, { ...refusal("claim-refused", detail), outcome }),
+        this.#refuse(job, { ...refusal("claim-refused", detail), outcome }),
     };
-    claims.claim(claim).catch(failedClaim).then((result) => {
+    claims.claim(claim).catch(claimFailure).then((result) => {
       cancel();
-      if (late && result.type !== "granted") return;
+      if (timedOut && result.type !== "granted") return;
       const handle = handlers[result.type] as (
         result: pathOptions.ClaimResult,
       ) => void;
@@ -200,22 +209,22 @@
   ) => void;
 };
 
-function failedClaim(): pathOptions.ClaimResult {
+function claimFailure(): pathOptions.ClaimResult {
   const detail = "The key can't be claimed now";
-  // An earlier try under this key may have run through another host.
+  // An earlier request with this key may have run through another host.
   return { type: "refused", detail, outcome: "unknown" };
 }
 
-const RUNNING = "The first request with this key still runs";
-const LATE_CLAIM = "The key could not be claimed within the deadline";
-const NO_CLAIMS = "This host keeps no keys";
-const RETRY_AFTER = 1000;
+const IN_PROGRESS_DETAIL = "The first request with this key still runs";
+const CLAIM_TIMEOUT_DETAIL = "The key could not be claimed within the deadline";
+const NO_CLAIMS_DETAIL = "This host keeps no keys";
+const RETRY_AFTER_MS = 1000;
 
 function refusal(name: effect.ProblemName, detail: string): effect.Problem {
-  return { name, outcome: "not-run", detail, retryAfter: RETRY_AFTER };
+  return { name, outcome: "not-run", detail, retryAfter: RETRY_AFTER_MS };
 }
 
-function fingerprintOf({ request, data }: execution.Job): string {
+function fingerprintOf({ request, data }: executor.Job): string {
   const hash = crypto.createHash("sha256").update(request.target);
   const { payload } = data;
   if (payload.type === "pipeline") hash.update(JSON.stringify(payload.call));
--- a/src/request/loop.ts
+++ b/src/request/loop.ts
@@ -1,20 +1,20 @@
-/** The one loop of the request path: a stream of events goes in, each is
- * stepped to its effects, and these are performed before the next event.
+/** Event loop of the request path: passes each event to a step function and
+ * performs the resulting effects before the next event.
  * @module */
 
 import * as most from "most";
 
-/** What a loop runs. */
+/** Functions that a loop runs. */
 export interface Options<E, F> {
   step(event: E): readonly F[];
   perform(effect: F): void;
 }
 
-/** Carries events into a core and effects out of it. */
+/** Runs events one after another through a step function. */
 export class Loop<E, F> {
-  readonly #waiting: E[] = [];
+  readonly #pending: E[] = [];
   readonly #source = new PushSource<E>();
-  #busy = false;
+  #running = false;
 
   private constructor({ step, perform }: Options<E, F>) {
     new most.Stream<E>(this.#source)
@@ -26,22 +26,22 @@
     return new Loop(options);
   }
 
-  /** Takes an event; one that comes up during a step waits its turn. */
+  /** Handles an event; one pushed during a step is queued until it ends. */
   push(event: E): void {
-    this.#waiting.push(event);
-    if (this.#busy) return;
-    this.#busy = true;
+    this.#pending.push(event);
+    if (this.#running) return;
+    this.#running = true;
     try {
-      for (let next; (next = this.#waiting.shift()) !== undefined;) {
+      for (let next; (next = this.#pending.shift()) !== undefined;) {
         this.#source.push(next);
       }
     } finally {
-      this.#busy = false;
+      this.#running = false;
     }
   }
 }
 
-/** A source of a stream that is pushed by hand. */
+/** Stream source whose events are pushed by the caller. */
 class PushSource<E> implements most.Source<E> {
   #sink: most.Sink<E> | undefined;
   #now: () => number = () => 0;
--- a/src/request/mod.ts
+++ b/src/request/mod.ts
@@ -1,7 +1,8 @@
-/** Life of a request: stages, deadline, attempts, answer.
+/** Request handling of a host: stages, deadlines, attempts and answers.
  *
- * `Dispatcher` is the pure core; `RequestPath` puts it between the callers'
- * HTTP interface and the endpoints, with payloads kept outside the core.
+ * `Dispatcher` is a deterministic state machine without I/O. `RequestPath`
+ * connects it to the callers' HTTP interface and to the endpoints; payloads are
+ * held outside of the dispatcher.
  * @module */
 
 export type * from "./effect.ts";
--- a/src/request/notifier.ts
+++ b/src/request/notifier.ts
@@ -1,12 +1,12 @@
-/** Tells the parts of a policy set what happens.
+/** Notifies policies and observers of dispatcher events.
  * @module */
 
 import type * as event from "./event.ts";
-import type * as flight from "./request_state.ts";
+import type * as requestState from "./request_state.ts";
 import type * as policySet from "./policy_set.ts";
 import type * as request from "./request.ts";
 
-/** How an attempt ended, less what the call itself says. */
+/** How an attempt ended, apart from the data of its call. */
 export interface CallEnd {
   result: policySet.Report["result"];
   usage?: request.Usage;
@@ -14,47 +14,49 @@
   now: number;
 }
 
-/** Passes each notice on to the parts that have a handler for it. */
+/** Calls the handlers of all observers that have one for an event. */
 export class Notifier {
-  readonly #parts: readonly policySet.Observer[];
+  readonly #observers: readonly policySet.Observer[];
 
-  private constructor(parts: readonly policySet.Observer[]) {
-    this.#parts = parts;
+  private constructor(observers: readonly policySet.Observer[]) {
+    this.#observers = observers;
   }
 
-  /** Tells the parts of `set`, and then `observers`. */
+  /** Notifies the policies of `set` and then `observers`. */
   static create(
     set: policySet.PolicySet,
     observers: readonly policySet.Observer[] = [],
   ): Notifier {
     const { queues, admission, choice, estimate, retries, hedge } = set;
     const parts = [queues, admission, choice, estimate, retries, hedge];
-    // One object may play several parts and is still told once.
+    // An object that implements several policies is notified once.
     return new Notifier([...new Set([...parts, ...observers])]);
   }
 
   policies(policies: event.Policies, now: number): void {
-    for (const part of this.#parts) part.policies?.(policies, now);
+    for (const observer of this.#observers) observer.policies?.(policies, now);
   }
 
   endpoints(endpoints: readonly event.Endpoint[], now: number): void {
-    for (const part of this.#parts) part.endpoints?.(endpoints, now);
+    for (const observer of this.#observers) {
+      observer.endpoints?.(endpoints, now);
+    }
   }
 
   load(id: string, load: event.Load, now: number): void {
-    for (const part of this.#parts) part.load?.(id, load, now);
+    for (const observer of this.#observers) observer.load?.(id, load, now);
   }
 
   cache(change: event.Event & { type: "cache" }, now: number): void {
-    for (const part of this.#parts) part.cache?.(change, now);
+    for (const observer of this.#observers) observer.cache?.(change, now);
   }
 
-  arrived(arrived: request.Request, now: number): void {
-    for (const part of this.#parts) part.arrived?.(arrived, now);
+  arrived(request: request.Request, now: number): void {
+    for (const observer of this.#observers) observer.arrived?.(request, now);
   }
 
-  admitted(arrived: request.Request, now: number): void {
-    for (const part of this.#parts) part.admitted?.(arrived, now);
+  admitted(request: request.Request, now: number): void {
+    for (const observer of this.#observers) observer.admitted?.(request, now);
   }
 
   finished(
@@ -62,7 +64,9 @@
     ending: policySet.Ending,
     now: number,
   ): void {
-    for (const part of this.#parts) part.finished?.(ended, ending, now);
+    for (const observer of this.#observers) {
+      observer.finished?.(ended, ending, now);
+    }
   }
 
   started(
@@ -70,23 +74,31 @@
     work: policySet.Work,
     now: number,
   ): void {
-    for (const part of this.#parts) part.started?.(attempt, work, now);
+    for (const observer of this.#observers) {
+      observer.started?.(attempt, work, now);
+    }
   }
 
   progressed(attempt: request.Attempt, received: number, now: number): void {
-    for (const part of this.#parts) part.progressed?.(attempt, received, now);
+    for (const observer of this.#observers) {
+      observer.progressed?.(attempt, received, now);
+    }
   }
 
-  ended(work: flight.RequestState, call: flight.Call, end: CallEnd): void {
+  ended(
+    work: requestState.RequestState,
+    call: requestState.Call,
+    end: CallEnd,
+  ): void {
     const { attempt } = call;
     const { now, result, usage, failure } = end;
     const elapsed = now - attempt.started;
     const report = { attempt, work, result, elapsed, usage, failure };
-    for (const part of this.#parts) part.ended?.(report, now);
+    for (const observer of this.#observers) observer.ended?.(report, now);
   }
 
-  /** State of the parts that show any. */
+  /** States of the observers that have a dump. */
   dump(now: number): unknown {
-    return this.#parts.flatMap((part) => part.dump?.(now) ?? []);
+    return this.#observers.flatMap((observer) => observer.dump?.(now) ?? []);
   }
 }
--- a/src/request/path.ts
+++ b/src/request/path.ts
@@ -1,5 +1,5 @@
-/** The request path of a host, assembled: callers' HTTP interface, intake,
- * dispatcher, execution and connections to endpoints.
+/** Assembles the request path of a host: callers' HTTP interface, intake,
+ * dispatcher, executor and connections to endpoints.
  * @module */
 
 import * as endpointCalls from "../endpoint_calls/mod.ts";
@@ -8,13 +8,13 @@
 import * as catalogue from "./catalogue.ts";
 import * as dispatcher from "./dispatcher.ts";
 import type * as event from "./event.ts";
-import * as execution from "./executor.ts";
+import * as executor from "./executor.ts";
 import * as intake from "./intake.ts";
 import type * as pathOptions from "./path_options.ts";
-import * as plainPolicies from "./baseline_policies.ts";
+import * as baselinePolicies from "./baseline_policies.ts";
 
-/** Milliseconds after the longest deadline that a stop waits at most. */
-const STOP_GRACE = 2000;
+/** Time beyond the longest deadline for which `stop` waits at most. */
+const STOP_GRACE_MS = 2000;
 
 /** Request path of one host. */
 export class RequestPath {
@@ -23,7 +23,7 @@
   readonly #endpointCalls: endpointCalls.EndpointClient;
   readonly #accounting: accounting.Accounting;
   readonly #subscriptions: endpointCalls.Subscriptions;
-  readonly #execution: execution.Executor;
+  readonly #executor: executor.Executor;
   readonly #intake: intake.Intake;
   readonly #server: callers.Server;
   #draining = false;
@@ -35,7 +35,7 @@
     const limits = settings.limits ?? {};
     this.#dispatcher = dispatcher.Dispatcher.create({
       policySet: options.policySet ??
-        plainPolicies.create({ inFlight: limits.inFlight }),
+        baselinePolicies.create({ inFlight: limits.inFlight }),
       observers: options.observers,
     });
     this.#endpointCalls = endpointCalls.EndpointClient.create({
@@ -44,7 +44,7 @@
       answerBytes: limits.answerBytes,
     });
     this.#accounting = accounting.Accounting.create({ clock, metrics });
-    this.#execution = execution.Executor.create({
+    this.#executor = executor.Executor.create({
       dispatcher: this.#dispatcher,
       endpointCalls: this.#endpointCalls,
       clock,
@@ -52,21 +52,21 @@
     });
     this.#subscriptions = this.#endpointCalls.listen({
       random,
-      take: (heard) => this.#execution.push(heard),
+      take: (event) => this.#executor.push(event),
     });
     this.#intake = intake.Intake.create({
       host: settings.host,
       clock,
       random,
       accounting: this.#accounting,
-      execution: this.#execution,
+      execution: this.#executor,
       claims,
     });
     this.#server = callers.Server.create({
       ...options,
       catalogue: catalogue.Catalogue.create(settings),
       intake: this.#intake,
-      abandon: (id) => this.#execution.abandon(id),
+      abandon: (id) => this.#executor.abandon(id),
     });
   }
 
@@ -81,58 +81,58 @@
 
   /** Requests without a final answer. */
   get inFlight(): number {
-    return this.#execution.inFlight;
+    return this.#executor.inFlight;
   }
 
-  /** Takes the present endpoints in place of the old ones. */
+  /** Replaces the set of known endpoints. */
   setEndpoints(endpoints: readonly pathOptions.ReachableEndpoint[]): void {
-    // Late news would open connections that nobody closes.
+    // An update after `stop` would open connections that are never closed.
     if (this.#closed) return;
-    this.#execution.setEndpoints(endpoints);
+    this.#executor.setEndpoints(endpoints);
     this.#subscriptions.replace(endpoints);
   }
 
-  /** Takes the table's policies in place of the old ones. */
+  /** Replaces the policies, which come from the settings table. */
   setPolicies(policies: event.Policies): void {
     this.#intake.setPolicies(policies);
-    this.#execution.push({ type: "policies", policies });
+    this.#executor.push({ type: "policies", policies });
   }
 
-  /** Opens the callers' interface. */
+  /** Starts to listen for callers. */
   async start(): Promise<void> {
     await this.#server.start();
   }
 
-  /** Refuses new requests and says so to the balancer. */
+  /** Refuses new requests and fails the health check of load balancers. */
   drain(): void {
     if (this.#draining) return;
     this.#draining = true;
     this.#options.metrics.gauge("node.draining", 1);
     this.#options.log.info({}, "draining");
     this.#server.drain();
-    this.#execution.push({ type: "drain" });
+    this.#executor.push({ type: "drain" });
   }
 
-  /** Drains, waits for the requests in flight, and closes everything. */
+  /** Drains, waits for the requests in flight, and closes all connections. */
   async stop(): Promise<void> {
     this.drain();
     const { clock, settings } = this.#options;
     const deadlines = settings.pipelines.map(({ deadline }) => deadline);
-    const longest = Math.max(catalogue.SERVICE_DEADLINE, ...deadlines);
-    let cancel = () => {};
-    const bound = new Promise<void>((resolve) => {
-      cancel = clock.after(longest + STOP_GRACE, resolve);
+    const longestDeadline = Math.max(catalogue.SERVICE_DEADLINE, ...deadlines);
+    let cancelTimeout = () => {};
+    const timeout = new Promise<void>((resolve) => {
+      cancelTimeout = clock.after(longestDeadline + STOP_GRACE_MS, resolve);
     });
-    await Promise.race([this.#server.idle(), bound]);
-    cancel();
+    await Promise.race([this.#server.idle(), timeout]);
+    cancelTimeout();
     await this.#server.close();
     this.#closed = true;
     this.#subscriptions.close();
-    this.#execution.close();
+    this.#executor.close();
     await this.#endpointCalls.close();
   }
 
-  /** Plain JSON of the present state, without secrets and payloads. */
+  /** Current state as plain JSON, without secrets and payloads. */
   dump(): unknown {
     return {
       draining: this.#draining,
--- a/src/request/path_claims_test.ts
+++ b/src/request/path_claims_test.ts
@@ -2,7 +2,7 @@
 import * as fakePath from "./fake_path.ts";
 import type * as pathOptions from "./path_options.ts";
 
-/** Claims of one host, kept in memory. */
+/** In-memory claims that return `results` in order. */
 function claimsOf(
   results: pathOptions.ClaimResult[],
 ): pathOptions.Claims & { settled: (pathOptions.StoredAnswer | undefined)[] } {
@@ -18,7 +18,7 @@
   headers: { "idempotency-key": "k1", "chicoryloft-idempotent": "false" },
 };
 
-test("runs a claimed request and keeps its answer", async (t) => {
+test("runs a claimed request and stores its answer", async (t) => {
   const claims = claimsOf([{ type: "granted" }]);
   const serve: fakePath.Serve = (_incoming, response) => response.end("booked");
   const started = await fakePath.start({ billing: serve }, { claims });
@@ -28,7 +28,7 @@
   await started.stop();
 });
 
-test("answers a resend without another dispatch", async (t) => {
+test("answers a resend without a second call", async (t) => {
   const answer = { status: 201, headers: {}, body: "booked before" };
   const claims = claimsOf([
     { type: "answered", answer },
@@ -52,7 +52,7 @@
   await started.stop();
 });
 
-test("gives a claim back when nothing ran", async (t) => {
+test("releases a claim when nothing ran", async (t) => {
   const claims = claimsOf([{ type: "granted" }]);
   const started = await fakePath.start({}, { claims });
   const url = `${started.url}/v1/services/billing/`;
@@ -62,7 +62,7 @@
   await started.stop();
 });
 
-test("refuses at the deadline a claim that nobody answers", async (t) => {
+test("refuses a request at its deadline when its claim gets no answer", async (t) => {
   const claims: pathOptions.Claims = {
     claim: () => new Promise(() => {}),
     settle: () => t.fail(),
@@ -77,7 +77,8 @@
   await started.stop();
 });
 
-test("does not say of a key that can't be claimed that it never ran", async (t) => {
+// The first request with the key may have run through another host.
+test("reports an unknown outcome when a key can't be claimed", async (t) => {
   const answer = { status: 200, headers: {}, body: "booked before" };
   const results = [Promise.resolve({ type: "answered", answer } as const)];
   const claims: pathOptions.Claims = {
--- a/src/request/path_options.ts
+++ b/src/request/path_options.ts
@@ -1,4 +1,4 @@
-/** What the request path of a host is made from, and what it shows.
+/** Options of the request path, and the interfaces that it uses of its host.
  *
  * A host assembles it as follows:
  *
@@ -6,8 +6,8 @@
  *     path.setPolicies(policies);
  *     path.setEndpoints(endpoints);
  *     await path.start();
- *     path.drain();        // refuses new requests, finishes the others
- *     await path.stop();   // drains, waits for the last one, closes
+ *     path.drain();        // refuses new requests, completes the others
+ *     await path.stop();   // drains, waits for requests in flight, closes
  *
  * @module */
 
@@ -19,14 +19,14 @@
 import type * as settings from "../schema/settings_types.ts";
 import type * as telemetry from "../telemetry/metrics.ts";
 
-/** A client account as its token names it. */
+/** A client account, identified by its bearer token. */
 export interface Account {
   name: string;
   /** SHA-256 of the bearer token, hex. */
   tokenHash: string;
 }
 
-/** Finds the account whose token has this SHA-256, in lower-case hex. */
+/** Looks up an account by the SHA-256 of its token, in lower-case hex. */
 export type FindAccount = (tokenHash: string) => Account | undefined;
 
 /** An endpoint that calls can be sent to. */
@@ -35,7 +35,8 @@
   url: string;
 }
 
-/** A checked announcement, or a leave, heard on the callers' port. */
+/** A validated announcement or leave that an endpoint sent to the callers'
+ * port. */
 export type Notice =
   | {
     type: "announce";
@@ -45,38 +46,41 @@
   | {
     type: "leave";
     endpoint: string;
-    /** Run that leaves; a later one stays. Any run when absent. */
+    /** Incarnation that leaves; a later one stays registered. When absent, any
+     * incarnation leaves. */
     incarnation?: number;
   };
 
-/** Takes a notice; answers milliseconds of lease, or why it is refused. */
+/** Handles a notice; resolves with the lease in milliseconds or the reason of
+ * the rejection. */
 export type TakeNotice = (notice: Notice) => Promise<NoticeResult>;
 
-/** Answer to a notice. */
+/** Result of a notice. */
 export type NoticeResult =
   | { type: "taken"; lease: number }
   | { type: "rejected"; detail: string };
 
-/** What a claim is made for. */
+/** Claim of an idempotency key for one request. */
 export interface Claim {
   account: string;
   /** Value of the `Idempotency-Key` header. */
   key: string;
-  /** SHA-256 of target and body: tells a resend from another request. */
+  /** SHA-256 of target and body: distinguishes a resend from another request
+   * under the same key. */
   fingerprint: string;
   request: string;
-  /** Milliseconds left to the request's deadline. */
+  /** Milliseconds until the request's deadline. */
   remaining: number;
 }
 
-/** What became of a claim; only `granted` lets the request run. */
+/** Result of a claim; only a `granted` request runs. */
 export type ClaimResult =
   | { type: "granted" }
   | { type: "answered"; answer: StoredAnswer }
   | { type: "in-progress" }
   | { type: "refused"; detail: string; outcome: request.Outcome };
 
-/** An answer kept for resends. */
+/** An answer stored for resends with the same key. */
 export interface StoredAnswer {
   status: number;
   headers: Record<string, string>;
@@ -86,17 +90,18 @@
 /** Claims of idempotency keys, committed by a quorum before dispatch. */
 export interface Claims {
   claim(claim: Claim): Promise<ClaimResult>;
-  /** Keeps the final answer; undefined gives the claim back as not run. */
+  /** Stores the final answer; undefined releases the claim, since the request
+   * did not run. */
   settle(claim: Claim, answer: StoredAnswer | undefined): void;
 }
 
-/** State changes worth a line in the log. */
+/** Logger of state changes. */
 export interface Log {
   info(fields: object, message: string): void;
   warn(fields: object, message: string): void;
 }
 
-/** Parts and settings of a request path. */
+/** Dependencies and settings of a request path. */
 export interface PathOptions {
   settings: settings.Settings;
   clock: runtime.Clock;
@@ -107,10 +112,10 @@
   /** Bearer token of endpoints; without one, announcements are refused. */
   endpointToken?: string;
   notices?: TakeNotice;
-  /** Without it, a request that is not idempotent may bring no key. */
+  /** Without it, a request that is not idempotent is refused if it has a key. */
   claims?: Claims;
-  /** Decisions; the plain ones when absent. */
+  /** Policies; the baseline policies when absent. */
   policySet?: policySet.PolicySet;
-  /** Parts that watch requests and calls, and decide nothing. */
+  /** Observers of requests and calls, which make no decisions. */
   observers?: readonly policySet.Observer[];
 }
--- a/src/request/path_refusals_test.ts
+++ b/src/request/path_refusals_test.ts
@@ -3,7 +3,7 @@
 import * as policies from "../policies/mod.ts";
 import * as runtime from "../runtime/mod.ts";
 
-test("refuses bad input without any dispatch", async (t) => {
+test("refuses invalid requests without a call", async (t) => {
   const started = await fakePath.start(fakePath.allEndpoints);
   const pipeline = `${started.url}/v1/pipelines/plan`;
   const good = { input: { text: "a" } };
@@ -51,8 +51,8 @@
       fakePath.post(`${started.url}/v1/endpoints/e1`, {}, { method: "PUT" }),
     ],
   ];
-  for (const [name, status, asked] of cases) {
-    const answer = await asked;
+  for (const [name, status, pendingAnswer] of cases) {
+    const answer = await pendingAnswer;
     t.like(answer.body, {
       type: `urn:chicoryloft:problem:${name}`,
       status,
@@ -69,12 +69,15 @@
   return (_incoming, response) => response.writeHead(status, headers).end();
 }
 
-const notRun = refuseAll(503, { "x-outcome": "not-run", "retry-after": "7" });
+const refuseNotRun = refuseAll(503, {
+  "x-outcome": "not-run",
+  "retry-after": "7",
+});
 
-test("tells at once that all endpoints refuse, and when to return", async (t) => {
-  // Time stands still: nothing is held back until later.
+test("reports at once that all endpoints refuse, with their retry-after", async (t) => {
+  // The clock does not advance, so the answer can't wait for a timer.
   const clock = new runtime.FakeClock();
-  const serves = { "lm-pool@1": notRun, "lm-pool@2": notRun };
+  const serves = { "lm-pool@1": refuseNotRun, "lm-pool@2": refuseNotRun };
   const started = await fakePath.start(serves, { clock });
   const url = `${started.url}/v1/pipelines/short`;
   const answer = await fakePath.post(url, { input: { text: "a" } });
@@ -84,7 +87,7 @@
   await started.stop();
 });
 
-test("gives up with the product's decisions long before the deadline", async (t) => {
+test("refuses a failing request long before its deadline with production policies", async (t) => {
   const clock = new runtime.FakeClock();
   const policySet = policies.create({
     dataCentre: "gisenyi-hall",
@@ -101,7 +104,7 @@
   await started.stop();
 });
 
-test("says when to return wherever a retry can help", async (t) => {
+test("sends retry-after with each refusal that a retry can help", async (t) => {
   const limits = { inFlight: 0 };
   const full = { settings: { ...fakePath.settingsOf(), limits } };
   const limited = policies.create({
@@ -124,7 +127,7 @@
   cases[3][2].path.setPolicies(policy);
   for (const [status, name, started] of cases) {
     const url = `${started.url}/v1/services/billing/`;
-    // The rate lets a first one pass.
+    // The rate limit admits the first request.
     if (status === 429) await fakePath.post(url, "book");
     const { body, headers } = await fakePath.post(url, "book");
     const type = `urn:chicoryloft:problem:${name}`;
@@ -134,7 +137,7 @@
   }
 });
 
-test("asks nobody to repeat what may have run and runs at most once", async (t) => {
+test("sends no retry-after when a request that is not idempotent may have run", async (t) => {
   const headers = { "chicoryloft-idempotent": "false" };
   const cut: fakePath.Serve = (_incoming, response) => response.destroy();
   const other = await fakePath.start({ billing: cut });
--- a/src/request/path_test.ts
+++ b/src/request/path_test.ts
@@ -3,14 +3,14 @@
 import * as fakePath from "./fake_path.ts";
 import type * as pathOptions from "./path_options.ts";
 
-test("runs a pipeline from the caller to all endpoints and back", async (t) => {
+test("runs a pipeline over all of its endpoints", async (t) => {
   const started = await fakePath.start(fakePath.allEndpoints);
   const input = { text: "hull history", question: "which hull" };
   const answer = await fakePath.post(`${started.url}/v1/pipelines/plan`, {
     input,
   });
   t.is(answer.status, 200);
-  // The prompt holds what encoder, retriever and reranker made of this input.
+  // The prompt contains the results of encoder, retriever and reranker.
   t.is(answer.body.output.text, " Plan. hull history b of which");
   t.deepEqual(
     answer.body.stages.map((stage: { name: string }) => stage.name),
@@ -20,7 +20,7 @@
   await started.stop();
 });
 
-test("streams every token once when a broken stream is resumed", async (t) => {
+test("delivers every token once when a broken stream is resumed", async (t) => {
   const broken = fakePath.generate({ breakAt: 3 });
   const started = await fakePath.start({
     "lm-pool@1": broken,
@@ -47,7 +47,7 @@
   await started.stop();
 });
 
-test("passes a plain call and its answer on as they are", async (t) => {
+test("forwards a plain call and its answer unchanged", async (t) => {
   const started = await fakePath.start({
     billing: (incoming, response, body) => {
       response.writeHead(418, { "x-kind": "teapot" });
@@ -62,7 +62,7 @@
   await started.stop();
 });
 
-test("drops an answer that carries another request's id", async (t) => {
+test("rejects an answer with the id of another request", async (t) => {
   const crossed: fakePath.Serve = (_incoming, response) => {
     response.setHeader("x-request-id", "another");
     response.end("another's booking");
@@ -80,11 +80,11 @@
   await started.stop();
 });
 
-test("hands a checked announcement on and answers its lease", async (t) => {
-  const heard: pathOptions.Notice[] = [];
+test("forwards a validated announcement and replies with its lease", async (t) => {
+  const notices: pathOptions.Notice[] = [];
   const started = await fakePath.start({}, {
     notices: (notice) => {
-      heard.push(notice);
+      notices.push(notice);
       return Promise.resolve({ type: "taken", lease: 1500 });
     },
   });
@@ -112,14 +112,14 @@
   t.is((await leave("?incarnation=7")).status, 200);
   t.is((await leave("?incarnation=seven")).status, 400);
   t.is((await leave("?incarnation=")).status, 400);
-  t.deepEqual(heard, [
+  t.deepEqual(notices, [
     { type: "announce", endpoint: "b1", announcement },
     { type: "leave", endpoint: "b1", incarnation: 7 },
   ]);
   await started.stop();
 });
 
-test("a graceful stop cuts off no request in flight", async (t) => {
+test("a graceful stop completes the requests in flight", async (t) => {
   let release = () => {};
   const arrived = new Promise<void>((resolve) => {
     release = resolve;
@@ -147,7 +147,7 @@
   await stopped;
 });
 
-test("cancels the calls of a caller that hangs up", async (t) => {
+test("cancels the calls of a caller that disconnects", async (t) => {
   let arrived = () => {};
   const called = new Promise<void>((resolve) => arrived = resolve);
   let closed = () => {};
@@ -174,20 +174,22 @@
   t.is(started.tally.total("request.abandoned"), 1);
 });
 
-const STREAMS = 50;
+const STREAM_COUNT = 50;
 
-test("a stop in the middle of 50 streams cuts off none", async (t) => {
-  const held: (() => void)[] = [];
-  let all = () => {};
-  const middle = new Promise<void>((resolve) => all = resolve);
-  const whole = fakePath.generate();
+test("a graceful stop completes 50 streams in flight", async (t) => {
+  const resumeStreams: (() => void)[] = [];
+  let resolveAllStarted = () => {};
+  const allStarted = new Promise<void>((resolve) =>
+    resolveAllStarted = resolve
+  );
+  const generate = fakePath.generate();
   const started = await fakePath.start({
     "lm-pool@1": (incoming, response, body) => {
       response.writeHead(200, { "content-type": "text/event-stream" });
       response.flushHeaders();
       response.writeHead = () => response;
-      held.push(() => whole(incoming, response, body));
-      if (held.length === STREAMS) all();
+      resumeStreams.push(() => generate(incoming, response, body));
+      if (resumeStreams.length === STREAM_COUNT) resolveAllStarted();
     },
   });
   started.path.setEndpoints([{
@@ -195,23 +197,23 @@
     service: "lm-pool",
     kind: "engine",
     dataCentre: "gisenyi-hall",
-    slots: STREAMS,
+    slots: STREAM_COUNT,
     role: "both",
     state: "ready",
     url: started.fleet["lm-pool@1"].url,
   }]);
   const url = `${started.url}/v1/pipelines/short`;
-  const answers = Array.from({ length: STREAMS }, (_, pos) => {
+  const answers = Array.from({ length: STREAM_COUNT }, (_, pos) => {
     const input = { text: `one two three four five nr${pos}` };
     return fakePath.post(url, { input, stream: true });
   });
-  await middle;
+  await allStarted;
   const stopped = started.stop();
-  for (const release of held) release();
+  for (const release of resumeStreams) release();
   const texts = (await Promise.all(answers)).map(({ text }) => text);
   const complete = texts.filter((text, pos) =>
     text.includes(` nr${pos}"`) && text.includes("event: done")
   );
-  t.is(complete.length, STREAMS);
+  t.is(complete.length, STREAM_COUNT);
   await stopped;
 });
--- a/src/request/policy_set.ts
+++ b/src/request/policy_set.ts
@@ -1,14 +1,14 @@
-/** The decisions of a dispatcher, each behind a small replaceable object.
+/** Interfaces of the policies that a dispatcher consults.
  *
- * Every part may also watch what happens through the optional handlers of
- * `Observer`. A part mutates its own containers only.
+ * Each policy can also observe events through the optional handlers of
+ * `Observer`. A policy changes its own containers only.
  * @module */
 
 import type * as effect from "./effect.ts";
 import type * as event from "./event.ts";
 import type * as request from "./request.ts";
 
-/** A stage of a request that waits for an endpoint. */
+/** The current stage of a request, as policies see it. */
 export interface Work {
   readonly request: request.Request;
   /** Position of the stage. */
@@ -19,13 +19,13 @@
   readonly prefix: readonly string[];
   /** When the stage became ready to run, on the host's clock. */
   readonly since: number;
-  /** Tokens of the stage's answer that are already here. */
+  /** Tokens of the stage's answer received so far. */
   readonly received: number;
-  /** Endpoints that failed this stage, or that run it now. */
+  /** Endpoints that failed this stage or are running it. */
   readonly avoid: readonly string[];
 }
 
-/** An endpoint with the calls this host has out to it. */
+/** An endpoint and the number of this host's calls in flight to it. */
 export interface Member {
   readonly endpoint: event.Endpoint;
   readonly inFlight: number;
@@ -37,57 +37,58 @@
   /** Free slots of all members. */
   readonly free: number;
   readonly members: readonly Member[];
-  /** Member of that id, also when it drains. */
+  /** Finds a member by id, including draining ones. */
   member(id: string): Member | undefined;
 }
 
-/** How one attempt ended. */
+/** Result of one attempt. */
 export interface Report {
   readonly attempt: request.Attempt;
   readonly work: Work;
   readonly result: "answered" | "failed" | "cancelled";
-  /** Milliseconds from dispatch to the end. */
+  /** Milliseconds from dispatch to the result. */
   readonly elapsed: number;
   readonly usage?: request.Usage;
   readonly failure?: request.Failure;
 }
 
-/** What a part may watch. */
+/** Optional handlers of dispatcher events. */
 export interface Observer {
   policies?(policies: event.Policies, now: number): void;
   endpoints?(endpoints: readonly event.Endpoint[], now: number): void;
   load?(id: string, load: event.Load, now: number): void;
   cache?(change: event.Event & { type: "cache" }, now: number): void;
-  /** A request came; it is admitted or refused next. */
+  /** A request arrived; it is admitted or refused next. */
   arrived?(request: request.Request, now: number): void;
   /** A request was admitted. */
   admitted?(request: request.Request, now: number): void;
   /** A request has its final answer. */
   finished?(request: request.Request, outcome: Ending, now: number): void;
   started?(attempt: request.Attempt, work: Work, now: number): void;
-  /** The first token, or any further progress, of an attempt is here. */
+  /** An attempt received its first or further tokens. */
   progressed?(attempt: request.Attempt, received: number, now: number): void;
   ended?(report: Report, now: number): void;
   /** Plain JSON for the state dump. */
   dump?(now: number): unknown;
 }
 
-/** How a request ended. */
+/** Final state of a request. */
 export type Ending = "completed" | "refused";
 
-/** Order of the work that waits for one service. */
+/** Queue of the work for one service. */
 export interface Queue {
   readonly size: number;
   push(work: Work, now: number): void;
-  /** Takes the work to be started next; undefined when none may start. */
+  /** Removes and returns the work to start next; undefined when none may
+   * start. */
   shift(now: number): Work | undefined;
-  /** Puts back to the front what was just taken and found no endpoint. */
+  /** Returns work to the front of the queue that found no endpoint. */
   unshift(work: Work, now: number): void;
-  /** Takes out the work of a request; false when it is not here. */
+  /** Removes the work of a request; false when it is not queued. */
   remove(request: string): boolean;
-  /** Work that can't finish in time any more, taken out; see `Estimate`. */
+  /** Removes and returns work that can't meet its deadline; see `Estimate`. */
   expired?(now: number): readonly Work[];
-  /** When `shift` may return more without another event, if it knows. */
+  /** When `shift` may return more work without another event, if known. */
   nextAt?(now: number): number | undefined;
 }
 
@@ -96,9 +97,9 @@
   create(service: string): Queue;
 }
 
-/** Whether a request may enter. */
+/** Admission control. */
 export interface Admission extends Observer {
-  /** Returns why not, or undefined. `queued` counts work for a service. */
+  /** Returns the reason of a refusal, or undefined to admit the request. */
   admit(
     request: request.Request,
     now: number,
@@ -106,56 +107,60 @@
   ): effect.Problem | undefined;
 }
 
-/** What admission sees of endpoints and queues. */
+/** Endpoints and queues as admission control sees them. */
 export interface Fleet {
   pool(service: string): Pool | undefined;
+  /** Number of queued work items of a service. */
   queued(service: string): number;
-  /** Requests in this host. */
+  /** Requests in this host without a final answer. */
   readonly inFlight: number;
 }
 
-/** Which endpoint takes a piece of work. */
+/** Endpoint selection. */
 export interface Choice extends Observer {
-  /** Returns an endpoint with a free slot, or undefined to let it wait. */
+  /** Returns an endpoint with a free slot, or undefined to leave the work in
+   * the queue. */
   choose(work: Work, pool: Pool, now: number): Member | undefined;
 }
 
-/** How long a stage is expected to take. */
+/** Estimate of the time that requests need. */
 export interface Estimate extends Observer {
-  /** Least milliseconds the rest of the request needs; 0 when unknown. */
+  /** Lower bound of the time that the rest of the request needs, in
+   * milliseconds; 0 when unknown. */
   remainingTime(work: Work, now: number): number;
 }
 
-/** Whether a failed stage may be tried again. */
+/** Retry policy. */
 export interface Retries extends Observer {
   /** Milliseconds to wait before the retry; undefined for no retry. */
   delay(work: Work, failure: request.Failure, now: number): number | undefined;
 }
 
-/** How far a call got that is out. */
+/** Progress of a call in flight. */
 export interface Progress {
   readonly attempt: request.Attempt;
-  /** When its last sign of progress came; its start before any. */
+  /** When it last made progress; its start when it has made none. */
   readonly at: number;
-  /** Whether any token of it has come. */
+  /** Whether any of its tokens has been received. */
   readonly receiving: boolean;
 }
 
-/** When a slow call gets a second one raced against it, and a hung one is
- * given up for a new one. */
+/** Hedging of slow calls and replacement of hung calls. */
 export interface Hedge extends Observer {
-  /** Milliseconds after the start of the first; undefined for never. */
+  /** Milliseconds from the start of the first call to the hedge; undefined for
+   * no hedge. */
   delay(work: Work, first: request.Attempt, now: number): number | undefined;
-  /** Whether the hedge may start now; asked when the delay has passed. */
+  /** Whether the hedge may start; called when the delay has passed. */
   allow(work: Work, now: number): boolean;
-  /** When a call counts as hung unless it shows progress before; asked time
-   * and again while it runs. Absent: never. */
+  /** Time at which a call counts as hung unless it makes progress before;
+   * called repeatedly while it runs. When absent, no call counts as hung. */
   hangsAt?(work: Work, progress: Progress, now: number): number;
-  /** Whether a hung call may be given up for a new one, which this pays. */
+  /** Whether a hung call may be replaced by a new one; if so, charges the cost
+   * of the new call. */
   replace?(work: Work, now: number): boolean;
 }
 
-/** All decisions of one dispatcher. */
+/** All policies of one dispatcher. */
 export interface PolicySet {
   queues: Queues;
   admission: Admission;
@@ -163,6 +168,6 @@
   estimate: Estimate;
   retries: Retries;
   hedge: Hedge;
-  /** Priority that an engine is told, 0 to 9. */
+  /** Priority sent to engines, 0 to 9. */
   priority(request: request.Request): number;
 }
--- a/src/request/problems.ts
+++ b/src/request/problems.ts
@@ -1,67 +1,71 @@
-/** Problems that a dispatcher gives up requests with.
+/** Problems with which a dispatcher refuses requests.
  * @module */
 
 import type * as effect from "./effect.ts";
-import type * as flight from "./request_state.ts";
+import type * as requestState from "./request_state.ts";
 import type * as request from "./request.ts";
 
-/** Milliseconds after which a caller should try again. */
-const RETRY_AFTER = 1000;
+/** Time after which a caller should retry. */
+const RETRY_AFTER_MS = 1000;
 
-/** This host takes no new requests. */
+/** The host is draining and accepts no new requests. */
 export function stopping(): effect.Problem {
   const detail = "This host is stopping and takes no new requests";
-  const retryAfter = RETRY_AFTER;
+  const retryAfter = RETRY_AFTER_MS;
   return { name: "stopping", outcome: "not-run", detail, retryAfter };
 }
 
-/** A request came after its deadline. */
+/** The deadline of a request has passed. */
 export function deadlinePassed(outcome: request.Outcome): effect.Problem {
   const detail = "The deadline has passed";
   return { name: "deadline-passed", outcome, detail };
 }
 
-/** The deadline of a request passed in this host. */
-export function expired(of: flight.RequestState): effect.Problem {
-  const { outcome, request } = of;
-  if (!request.idempotent && outcome !== "not-run") return lost(outcome);
-  return { ...deadlinePassed(outcome), retryAfter: RETRY_AFTER };
+/** The deadline of a request passed while the host was handling it. */
+export function expired(state: requestState.RequestState): effect.Problem {
+  const { outcome, request } = state;
+  if (!request.idempotent && outcome !== "not-run") {
+    return outcomeUnknown(outcome);
+  }
+  return { ...deadlinePassed(outcome), retryAfter: RETRY_AFTER_MS };
 }
 
-/** What is left of a request takes longer than it has. */
+/** The estimated remaining time of a request exceeds its deadline. */
 export function deadlineUnreachable(outcome: request.Outcome): effect.Problem {
   const detail = "The request can't be finished within its deadline";
-  return { name: "overloaded", outcome, detail, retryAfter: RETRY_AFTER };
+  return { name: "overloaded", outcome, detail, retryAfter: RETRY_AFTER_MS };
 }
 
-/** A stage failed and may not, or may no more, be tried again. */
+/** A stage failed and is not retried. */
 export function failed(
-  of: flight.RequestState,
+  state: requestState.RequestState,
   failure: request.Failure,
 ): effect.Problem {
-  const stage = of.request.stages[of.stage];
-  const { outcome } = of;
-  const { retryAfter = RETRY_AFTER, reason } = failure;
+  const stage = state.request.stages[state.stage];
+  const { outcome } = state;
+  const { retryAfter = RETRY_AFTER_MS, reason } = failure;
   if (reason === "deadline") return { ...deadlinePassed(outcome), retryAfter };
   const detail = `Stage ${stage.name} failed: ${reason}`;
   return { name: "stage-failed", outcome, detail, retryAfter };
 }
 
-/** A stage that may be dispatched only once failed. */
+/** A stage of a request that is not idempotent failed. */
 export function unrepeatable(
-  of: flight.RequestState,
+  state: requestState.RequestState,
   failure: request.Failure,
 ): effect.Problem {
-  const { outcome } = of;
-  return outcome === "not-run" ? failed(of, failure) : lost(outcome);
+  const { outcome } = state;
+  return outcome === "not-run"
+    ? failed(state, failure)
+    : outcomeUnknown(outcome);
 }
 
-/** The caller went away. */
+/** The caller has disconnected. */
 export function abandoned(outcome: request.Outcome): effect.Problem {
   return { name: "abandoned", outcome, detail: "The caller went away" };
 }
 
-function lost(outcome: request.Outcome): effect.Problem {
+function outcomeUnknown(outcome: request.Outcome): effect.Problem {
   const detail = "The request may have run and is not repeated";
   return { name: "outcome-unknown", outcome, detail };
 }
--- a/src/request/queue_set.ts
+++ b/src/request/queue_set.ts
@@ -1,74 +1,78 @@
-/** Queues of work by service, and which of them are worth a look.
+/** Queues of work by service, and the marks of those that need a visit.
  * @module */
 
-import type * as flight from "./request_state.ts";
+import type * as requestState from "./request_state.ts";
 import type * as policySet from "./policy_set.ts";
 
 /** All queues of a dispatcher. */
 export class QueueSet {
-  readonly #maker: policySet.Queues;
+  readonly #factory: policySet.Queues;
   readonly #queues = new Map<string, policySet.Queue>();
-  readonly #touched = new Set<string>();
-  /** When to look again at a queue, by service. */
-  readonly #again = new Map<string, number>();
+  readonly #marked = new Set<string>();
+  /** Times of the next visits, by service. */
+  readonly #visitTimes = new Map<string, number>();
 
-  private constructor(maker: policySet.Queues) {
-    this.#maker = maker;
+  private constructor(factory: policySet.Queues) {
+    this.#factory = factory;
   }
 
-  static create(maker: policySet.Queues): QueueSet {
-    return new QueueSet(maker);
+  static create(factory: policySet.Queues): QueueSet {
+    return new QueueSet(factory);
   }
 
   size(service: string): number {
     return this.#queues.get(service)?.size ?? 0;
   }
 
-  push(work: flight.RequestState, now: number): void {
+  push(work: requestState.RequestState, now: number): void {
     const { service } = work;
-    const known = this.#queues.get(service);
-    const queue = known ?? this.#maker.create(service);
-    if (known === undefined) this.#queues.set(service, queue);
+    const existing = this.#queues.get(service);
+    const queue = existing ?? this.#factory.create(service);
+    if (existing === undefined) this.#queues.set(service, queue);
     work.phase = "queued";
     queue.push(work, now);
-    this.#touched.add(service);
+    this.#marked.add(service);
   }
 
-  remove(work: flight.RequestState): void {
+  remove(work: requestState.RequestState): void {
     this.#queues.get(work.service)?.remove(work.request.id);
   }
 
-  /** Marks the queue of a service as worth a look. */
+  /** Marks the queue of a service for a visit. */
   mark(service: string): void {
-    this.#touched.add(service);
+    this.#marked.add(service);
   }
 
   markAll(): void {
-    for (const service of this.#queues.keys()) this.#touched.add(service);
+    for (const service of this.#queues.keys()) this.#marked.add(service);
   }
 
-  /** Asks for a look at a queue at that time, if not earlier. */
+  /** Schedules a visit of a queue, unless it is visited before. */
   visitAt(service: string, at: number): void {
-    this.#again.set(service, at);
+    this.#visitTimes.set(service, at);
   }
 
-  /** Looks at each marked queue, also at those marked meanwhile. */
-  visit(look: (service: string, queue: policySet.Queue) => void): void {
-    for (const service of this.#touched) {
-      this.#touched.delete(service);
-      this.#again.delete(service);
+  /** Visits each marked queue, including those marked during a visit. */
+  visit(visitor: (service: string, queue: policySet.Queue) => void): void {
+    for (const service of this.#marked) {
+      this.#marked.delete(service);
+      this.#visitTimes.delete(service);
       const queue = this.#queues.get(service);
-      if (queue !== undefined && queue.size > 0) look(service, queue);
+      if (queue !== undefined && queue.size > 0) visitor(service, queue);
     }
   }
 
-  /** When a queue may let go of more without another event, or Infinity. */
+  /** When a queue may return more work without another event, or Infinity. */
   nextAt(now: number): number {
     let next = Infinity;
     for (const [service, queue] of this.#queues) {
       if (queue.size === 0) continue;
-      const own = queue.nextAt?.(now) ?? Infinity;
-      next = Math.min(next, own, this.#again.get(service) ?? Infinity);
+      const queueNextAt = queue.nextAt?.(now) ?? Infinity;
+      next = Math.min(
+        next,
+        queueNextAt,
+        this.#visitTimes.get(service) ?? Infinity,
+      );
     }
     return next;
   }
--- a/src/request/recorded_reply.ts
+++ b/src/request/recorded_reply.ts
@@ -1,4 +1,4 @@
-/** A reply whose end is also kept for resends with the same key.
+/** A reply whose final answer is also stored for resends with the same key.
  * @module */
 
 import type * as endpointCalls from "../endpoint_calls/call.ts";
@@ -7,14 +7,14 @@
 import * as problem from "../callers/problem.ts";
 import type * as reply from "./reply.ts";
 
-/** Where the end goes. */
+/** Options of a recorded reply. */
 export interface Options {
   id: string;
-  /** Takes the answer, or undefined when the request did not run. */
+  /** Stores the answer; undefined when the request did not run. */
   settle(answer: pathOptions.StoredAnswer | undefined): void;
 }
 
-/** Passes everything on and keeps the end. */
+/** Forwards to another reply and stores the final answer. */
 export class RecordedReply implements reply.Reply {
   readonly #reply: reply.Reply;
   readonly #options: Options;
--- a/src/request/reply.ts
+++ b/src/request/reply.ts
@@ -1,4 +1,4 @@
-/** What the shell tells a caller.
+/** Replies to callers.
  * @module */
 
 import type * as endpointCalls from "../endpoint_calls/call.ts";
@@ -13,13 +13,13 @@
   attempts: number;
 }
 
-/** What a pipeline made. */
+/** Output of a pipeline. */
 export interface Output {
-  /** Present when the pipeline generates. */
+  /** Present when the last stage generates text. */
   text?: string;
   /** Present when the pipeline ends with documents. */
   documents?: readonly string[];
-  /** Present when the pipeline only encodes. */
+  /** Present when the pipeline ends with an embedding. */
   embedding?: readonly number[];
 }
 
@@ -32,12 +32,12 @@
   usage: { inputTokens: number; outputTokens: number };
 }
 
-/** Hears a request's tokens, then exactly one `complete`, `pass` or
- * `refuse`. */
+/** Receives the tokens of a request, then exactly one call of `complete`,
+ * `pass` or `refuse`. */
 export interface Reply {
   token(offset: number, text: string): void;
   complete(answer: Answer): void;
-  /** Answer of a plain service. */
+  /** Forwards the answer of a plain service. */
   pass(result: endpointCalls.PlainResult): void;
   refuse(problem: effect.Problem): void;
 }
--- a/src/request/request.ts
+++ b/src/request/request.ts
@@ -1,9 +1,10 @@
-/** What the dispatcher knows of a request; payloads stay in the shell.
+/** Requests, attempts and failures as the dispatcher sees them, without
+ * payloads.
  * @module */
 
 import type * as endpoint from "../schema/endpoint_types.ts";
 
-/** Whether a request, or a call, was run at an endpoint. */
+/** Whether an endpoint ran a request or call. */
 export type Outcome = "not-run" | "ran" | "unknown";
 
 /** One stage of a request, taken from its pipeline. */
@@ -11,11 +12,11 @@
   name: string;
   service: string;
   kind: endpoint.EndpointKind;
-  /** Most tokens it may generate; 0 where it generates none. */
+  /** Limit of generated tokens; 0 for a stage that does not generate. */
   maxTokens: number;
 }
 
-/** A request as it arrived, checked. */
+/** A validated request. */
 export interface Request {
   id: string;
   account: string;
@@ -23,7 +24,7 @@
   /** Name of the pipeline, or of the plain service. */
   target: string;
   stages: readonly Stage[];
-  /** Size of the input in tokens, estimated. */
+  /** Estimated size of the input in tokens. */
   size: number;
   /** Milliseconds of the host's monotonic clock. */
   arrived: number;
@@ -43,27 +44,27 @@
   request: string;
   /** Position of the stage in the request. */
   stage: number;
-  /** Counts the attempts of this stage from 1. */
+  /** Number of the attempt within the stage, from 1. */
   attempt: number;
   endpoint: string;
   /** Milliseconds of the host's monotonic clock. */
   started: number;
-  /** True for a second call raced against a slow first one. */
+  /** True for a hedge: a second call that races a slow first one. */
   hedge: boolean;
-  /** Tokens already delivered, which a resumed stream skips. */
+  /** Tokens already received, which a resumed stream skips. */
   offset: number;
 }
 
-/** What an answered call used. */
+/** Resource usage of an answered call. */
 export interface Usage {
   inputTokens: number;
   outputTokens: number;
   cachedTokens: number;
-  /** Milliseconds of an endpoint slot, as the endpoint reports them. */
+  /** Milliseconds of slot time as the endpoint reports them. */
   engineTime: number;
 }
 
-/** Why a call failed. */
+/** Reason for which a call failed. */
 export type FailureReason =
   | "refused"
   | "connection"
@@ -73,12 +74,12 @@
   | "error"
   | "deadline";
 
-/** A failed call and what is known of its effect. */
+/** Failure of a call, and whether the call ran. */
 export interface Failure {
   reason: FailureReason;
   outcome: Outcome;
   /** Tokens received before the failure. */
   received: number;
-  /** Milliseconds the endpoint asked to be left alone. */
+  /** Milliseconds for which the endpoint asks for no retry. */
   retryAfter?: number;
 }
--- a/src/request/request_state.ts
+++ b/src/request/request_state.ts
@@ -1,11 +1,11 @@
-/** State of one request between its arrival and its final answer.
+/** State of a request between its arrival and its final answer.
  * @module */
 
 import type * as fleet from "./fleet.ts";
 import type * as policySet from "./policy_set.ts";
 import type * as request from "./request.ts";
 
-/** A call that is out. */
+/** A call in flight. */
 export interface Call {
   attempt: request.Attempt;
   pool: fleet.Pool;
@@ -18,10 +18,11 @@
   prefix: readonly string[];
 }
 
-/** What a request is doing. */
+/** Phase of a request; `pausing` is neither queued nor running, for example
+ * before a retry. */
 export type Phase = "queued" | "running" | "pausing" | "ended";
 
-/** One request in the host; also the work that waits for an endpoint. */
+/** State of one request; also the work item that policies see. */
 export class RequestState implements policySet.Work {
   readonly request: request.Request;
   phase: Phase = "queued";
@@ -30,14 +31,14 @@
   prefix: readonly string[];
   since: number;
   received = 0;
-  /** When the last token of the present stage came. */
+  /** When the last token of the current stage was received. */
   progressed = -Infinity;
-  /** Attempts of the present stage so far. */
+  /** Attempts of the current stage so far. */
   attempts = 0;
-  /** Calls of the present stage that are out: at most two. */
+  /** Calls of the current stage in flight: at most two. */
   calls: Call[] = [];
-  readonly #failed: string[] = [];
-  #evidence: request.Outcome = "not-run";
+  readonly #failedEndpoints: string[] = [];
+  #endedOutcome: request.Outcome = "not-run";
 
   private constructor(arrived: request.Request, now: number) {
     this.request = arrived;
@@ -55,20 +56,21 @@
   }
 
   get avoid(): readonly string[] {
-    if (this.calls.length === 0) return this.#failed;
+    if (this.calls.length === 0) return this.#failedEndpoints;
     const busy = this.calls.map((call) => call.attempt.endpoint);
-    return [...this.#failed, ...busy];
+    return [...this.#failedEndpoints, ...busy];
   }
 
-  /** Whether the request ran, as far as is known now. */
+  /** Whether the request ran, as far as is known: `unknown` while a call is in
+   * flight, unless an earlier call is known to have run. */
   get outcome(): request.Outcome {
-    if (this.#evidence === "ran" || this.calls.length === 0) {
-      return this.#evidence;
+    if (this.#endedOutcome === "ran" || this.calls.length === 0) {
+      return this.#endedOutcome;
     }
     return "unknown";
   }
 
-  /** The call that an event belongs to, while it is current. */
+  /** The call in flight that an attempt refers to, if any. */
   find(attempt: request.Attempt): Call | undefined {
     if (attempt.stage !== this.stage) return undefined;
     return this.calls.find((call) =>
@@ -77,18 +79,20 @@
     );
   }
 
-  /** Takes a call out of the current ones and keeps what it proves. */
+  /** Removes a call from those in flight and records its outcome. */
   end(call: Call, outcome: request.Outcome): void {
     this.calls = this.calls.filter((other) => other !== call);
-    this.#evidence = stronger(this.#evidence, outcome);
+    this.#endedOutcome = strongerOutcome(this.#endedOutcome, outcome);
   }
 
-  /** Remembers an endpoint that failed this stage. */
+  /** Records an endpoint that failed this stage. */
   fail(endpoint: string): void {
-    if (!this.#failed.includes(endpoint)) this.#failed.push(endpoint);
+    if (!this.#failedEndpoints.includes(endpoint)) {
+      this.#failedEndpoints.push(endpoint);
+    }
   }
 
-  /** Goes on to the next stage; false when there is none. */
+  /** Moves on to the next stage; false when there is none. */
   advance(next: Input, now: number): boolean {
     if (this.stage + 1 >= this.request.stages.length) return false;
     this.stage++;
@@ -97,7 +101,7 @@
     this.prefix = next.prefix;
     this.received = 0;
     this.attempts = 0;
-    this.#failed.length = 0;
+    this.#failedEndpoints.length = 0;
     return true;
   }
 
@@ -117,12 +121,15 @@
   }
 }
 
-const strength: Record<request.Outcome, number> = {
+const outcomeStrength: Record<request.Outcome, number> = {
   "not-run": 0,
   unknown: 1,
   ran: 2,
 };
 
-function stronger(a: request.Outcome, b: request.Outcome): request.Outcome {
-  return strength[a] >= strength[b] ? a : b;
+function strongerOutcome(
+  a: request.Outcome,
+  b: request.Outcome,
+): request.Outcome {
+  return outcomeStrength[a] >= outcomeStrength[b] ? a : b;
 }
--- a/src/request/request_states.ts
+++ b/src/request/request_states.ts
@@ -1,20 +1,20 @@
-/** Requests in a host by id.
+/** States of the requests in a host, by id.
  * @module */
 
-import * as errors from "./dispatch_error.ts";
-import * as flight from "./request_state.ts";
+import * as dispatchErrors from "./dispatch_error.ts";
+import * as requestState from "./request_state.ts";
 import type * as policySet from "./policy_set.ts";
 import type * as request from "./request.ts";
 
-/** A request with the call that an event is about. */
+/** A request and the call in flight that an event refers to. */
 export interface CurrentCall {
-  state: flight.RequestState;
-  call: flight.Call;
+  state: requestState.RequestState;
+  call: requestState.Call;
 }
 
-/** All requests without a final answer. */
+/** States of all requests without a final answer. */
 export class RequestStates {
-  readonly #flights = new Map<string, flight.RequestState>();
+  readonly #states = new Map<string, requestState.RequestState>();
   #stale = 0;
 
   static create(): RequestStates {
@@ -22,51 +22,56 @@
   }
 
   get size(): number {
-    return this.#flights.size;
+    return this.#states.size;
   }
 
-  /** Events about calls that were no longer current. */
+  /** Number of events that referred to calls no longer in flight. */
   get stale(): number {
     return this.#stale;
   }
 
-  add(arrived: request.Request, now: number): flight.RequestState {
-    if (this.#flights.has(arrived.id)) {
-      throw new errors.DispatchError(`Request ${arrived.id} arrived twice`);
+  add(arrived: request.Request, now: number): requestState.RequestState {
+    if (this.#states.has(arrived.id)) {
+      throw new dispatchErrors.DispatchError(
+        `Request ${arrived.id} arrived twice`,
+      );
     }
-    const added = flight.RequestState.create(arrived, now);
-    this.#flights.set(arrived.id, added);
+    const added = requestState.RequestState.create(arrived, now);
+    this.#states.set(arrived.id, added);
     return added;
   }
 
-  get(id: string): flight.RequestState | undefined {
-    return this.#flights.get(id);
+  get(id: string): requestState.RequestState | undefined {
+    return this.#states.get(id);
   }
 
-  /** The request that a piece of work belongs to. */
-  of({ request: { id } }: policySet.Work): flight.RequestState {
-    const found = this.#flights.get(id);
+  /** State of the request that a work item belongs to. */
+  of({ request: { id } }: policySet.Work): requestState.RequestState {
+    const found = this.#states.get(id);
     if (found !== undefined) return found;
-    throw new errors.DispatchError(`Request ${id} is queued but unknown`);
+    throw new dispatchErrors.DispatchError(
+      `Request ${id} is queued but unknown`,
+    );
   }
 
-  /** The request and the call that an event is about, while current. */
+  /** The request and the call that an attempt refers to; undefined, and counted
+   * as stale, when the call is no longer in flight. */
   current(attempt: request.Attempt): CurrentCall | undefined {
-    const owner = this.#flights.get(attempt.request);
-    const call = owner?.find(attempt);
-    if (owner !== undefined && call !== undefined) {
-      return { state: owner, call };
+    const state = this.#states.get(attempt.request);
+    const call = state?.find(attempt);
+    if (state !== undefined && call !== undefined) {
+      return { state, call };
     }
     this.#stale++;
     return undefined;
   }
 
-  remove(ended: flight.RequestState): void {
+  remove(ended: requestState.RequestState): void {
     ended.phase = "ended";
-    this.#flights.delete(ended.request.id);
+    this.#states.delete(ended.request.id);
   }
 
   dump(now: number): unknown {
-    return [...this.#flights.values()].map((each) => each.dump(now));
+    return [...this.#states.values()].map((each) => each.dump(now));
   }
 }
--- a/src/request/request_timers.ts
+++ b/src/request/request_timers.ts
@@ -1,23 +1,24 @@
-/** What falls due for the requests in a host, and the wake that goes with it.
+/** Timers of the requests in a host, and the wake event that serves them.
  * @module */
 
-import type * as flight from "./request_state.ts";
-import * as timers from "./timer_heap.ts";
+import type * as requestState from "./request_state.ts";
+import * as timerHeap from "./timer_heap.ts";
 
-/** Something that falls due for a request. */
+/** A timer of a request; `look` checks whether a running call hangs. */
 export interface DueTimer {
   type: "deadline" | "retry" | "hedge" | "look";
   /** Milliseconds of the host's monotonic clock. */
   at: number;
-  state: flight.RequestState;
-  /** Stage and attempts when it was set: tell whether it still holds. */
+  state: requestState.RequestState;
+  /** Stage and attempts when the timer was set; it is obsolete when they have
+   * changed. */
   stage: number;
   attempts: number;
 }
 
-/** Deadlines, retries, hedges and looks at running calls, by time. */
+/** Timers for deadlines, retries, hedges and hang checks, by time. */
 export class RequestTimers {
-  readonly #timers = timers.TimerHeap.create<DueTimer>();
+  readonly #timers = timerHeap.TimerHeap.create<DueTimer>();
   #wakeAt = Infinity;
 
   static create(): RequestTimers {
@@ -28,29 +29,35 @@
     return this.#timers.size;
   }
 
-  set(at: number, type: DueTimer["type"], of: flight.RequestState): void {
-    const { stage, attempts } = of;
-    this.#timers.add(at, { type, at, state: of, stage, attempts });
+  set(
+    at: number,
+    type: DueTimer["type"],
+    state: requestState.RequestState,
+  ): void {
+    const { stage, attempts } = state;
+    this.#timers.add(at, { type, at, state, stage, attempts });
   }
 
-  /** Takes out the next thing that is due and still holds. */
+  /** Removes and returns the next timer that is due and not obsolete. */
   take(now: number): DueTimer | undefined {
     while (this.#timers.next <= now) {
       const due = this.#timers.pop()!;
-      if (holds(due)) return due;
+      if (isValid(due)) return due;
     }
     return undefined;
   }
 
-  /** Notes that the wake came; timers may fire early by a fraction. */
+  /** Records that the wake event arrived. It may arrive a fraction of a
+   * millisecond early, so another one may be needed for the same time. */
   clearWake(): void {
     this.#wakeAt = Infinity;
   }
 
-  /** When to wake for the schedule or at `other`, whichever is earlier;
-   * undefined when an earlier wake is on its way or there is nothing. */
+  /** Time of the next wake event to request: the earlier of the next timer and
+   * `other`. Undefined when neither is set, or when a wake at that time or before
+   * is already pending. */
   nextWake(now: number, other: number): number | undefined {
-    while (this.#timers.size > 0 && !holds(this.#timers.peek()!)) {
+    while (this.#timers.size > 0 && !isValid(this.#timers.peek()!)) {
       this.#timers.pop();
     }
     if (this.#wakeAt <= now) this.#wakeAt = Infinity;
@@ -61,8 +68,8 @@
   }
 }
 
-function holds({ type, state: flight, stage, attempts }: DueTimer): boolean {
-  if (flight.phase === "ended") return false;
+function isValid({ type, state, stage, attempts }: DueTimer): boolean {
+  if (state.phase === "ended") return false;
   if (type === "deadline") return true;
-  return flight.stage === stage && flight.attempts === attempts;
+  return state.stage === stage && state.attempts === attempts;
 }
--- a/src/request/running_calls.ts
+++ b/src/request/running_calls.ts
@@ -1,31 +1,31 @@
-/** Starts the calls of stages and looks after them while they run: a slow one
- * is raced against a second, a hung one is given up for a new one.
+/** Starts the calls of stages and monitors them while they run: a slow call
+ * gets a hedge, and a hung call is replaced by a new one.
  * @module */
 
-import type * as schedules from "./request_timers.ts";
+import type * as requestTimers from "./request_timers.ts";
 import type * as calls from "./calls.ts";
 import type * as fleet from "./fleet.ts";
-import type * as flight from "./request_state.ts";
+import type * as requestState from "./request_state.ts";
 import type * as policySet from "./policy_set.ts";
 
-/** What running calls are made from. */
+/** Dependencies of `RunningCalls`. */
 export interface Options {
   policySet: policySet.PolicySet;
   pools: fleet.Pools;
   calls: calls.Calls;
-  schedule: schedules.RequestTimers;
+  schedule: requestTimers.RequestTimers;
 }
 
-/** Milliseconds until another look at what could not be helped now. */
-const LOOK_AGAIN = 250;
-/** Milliseconds between two looks at most: progress may bring the time forward
- * at which a call counts as hung. */
-const LONGEST = 1000;
-/** Milliseconds by which a look may come late and still be believed: a host
- * that was held up itself has not read yet what its endpoints sent. */
-const LATE = 50;
+/** Time until the next check of a call that could not be replaced now. */
+const RECHECK_DELAY_MS = 250;
+/** Maximum time between two checks: progress of a call may make the time
+ * earlier at which it counts as hung. */
+const MAX_CHECK_INTERVAL_MS = 1000;
+/** Maximum lag of a check's timer. After a longer lag the host itself was
+ * blocked and may have unread data of its endpoints, so the check is repeated. */
+const MAX_TIMER_LAG_MS = 50;
 
-/** Calls of the stages that run. */
+/** Monitors the calls in flight. */
 export class RunningCalls {
   readonly #options: Options;
 
@@ -37,88 +37,100 @@
     return new RunningCalls(options);
   }
 
-  /** Starts a call of a stage at a chosen endpoint. */
+  /** Starts a call of a stage at the chosen endpoint. */
   start(
-    of: flight.RequestState,
+    state: requestState.RequestState,
     pool: fleet.Pool,
     { chosen, now }: { chosen: policySet.Member; now: number },
   ): void {
     const { calls, schedule, policySet: { hedge } } = this.#options;
     const member = pool.resolve(chosen);
-    const attempt = calls.start(of, { pool, member, hedge: false }, now);
-    if (!of.request.idempotent) return;
-    const delay = hedge.delay(of, attempt, now);
-    if (delay !== undefined) schedule.set(now + delay, "hedge", of);
-    this.#watch(of, of.calls[0], now);
+    const attempt = calls.start(state, { pool, member, hedge: false }, now);
+    if (!state.request.idempotent) return;
+    const delay = hedge.delay(state, attempt, now);
+    if (delay !== undefined) schedule.set(now + delay, "hedge", state);
+    this.#scheduleCheck(state, state.calls[0], now);
   }
 
-  /** Races a second call against a slow one, where the policy allows it. */
-  hedge(slow: flight.RequestState, now: number): void {
-    if (slow.calls.length !== 1 || slow.received > 0) return;
+  /** Starts a hedge for a slow call, if the policy allows it. */
+  hedge(state: requestState.RequestState, now: number): void {
+    if (state.calls.length !== 1 || state.received > 0) return;
     const { calls, policySet: { hedge } } = this.#options;
-    const place = this.#other(slow, now);
-    if (place === undefined) return;
-    if (slow.avoid.includes(place.member.endpoint.id)) return;
-    if (!hedge.allow(slow, now)) return;
-    calls.start(slow, { ...place, hedge: true }, now);
-    this.#lookAt(slow, now + LOOK_AGAIN);
+    const destination = this.#chooseEndpoint(state, now);
+    if (destination === undefined) return;
+    if (state.avoid.includes(destination.member.endpoint.id)) return;
+    if (!hedge.allow(state, now)) return;
+    calls.start(state, { ...destination, hedge: true }, now);
+    this.#setCheckTimer(state, now + RECHECK_DELAY_MS);
   }
 
-  /** Gives a call up for a new one when it hangs; else looks again later. */
-  checkHung({ state: flight, at }: schedules.DueTimer, now: number): void {
-    const [call, other] = flight.calls;
+  /** Replaces a call if it hangs; otherwise schedules the next check. */
+  checkHung({ state, at }: requestTimers.DueTimer, now: number): void {
+    const [call, other] = state.calls;
     if (call === undefined) return;
-    const late = now - at > LATE;
-    if (late || other !== undefined) {
-      return this.#lookAt(flight, now + LOOK_AGAIN);
+    const isLate = now - at > MAX_TIMER_LAG_MS;
+    if (isLate || other !== undefined) {
+      return this.#setCheckTimer(state, now + RECHECK_DELAY_MS);
     }
-    if (this.#hangsAt(flight, call, now) > now) {
-      return this.#watch(flight, call, now);
+    if (this.#hangsAt(state, call, now) > now) {
+      return this.#scheduleCheck(state, call, now);
     }
-    if (!this.#replace(flight, call, now)) {
-      this.#lookAt(flight, now + LOOK_AGAIN);
+    if (!this.#replace(state, call, now)) {
+      this.#setCheckTimer(state, now + RECHECK_DELAY_MS);
     }
   }
 
-  #replace(hung: flight.RequestState, call: flight.Call, now: number): boolean {
+  #replace(
+    state: requestState.RequestState,
+    call: requestState.Call,
+    now: number,
+  ): boolean {
     const { calls, policySet: { hedge } } = this.#options;
-    // Maybe the same endpoint: a new connection may work where one hangs.
-    const place = this.#other(hung, now);
-    if (place === undefined || !hedge.replace?.(hung, now)) return false;
-    calls.cancelHung(hung, call, now);
-    this.start(hung, place.pool, { chosen: place.member, now });
+    // This may be the same endpoint: a new connection may work where the old one
+    // hangs.
+    const destination = this.#chooseEndpoint(state, now);
+    if (destination === undefined || !hedge.replace?.(state, now)) return false;
+    calls.cancelHung(state, call, now);
+    this.start(state, destination.pool, { chosen: destination.member, now });
     return true;
   }
 
-  #other(
-    of: flight.RequestState,
+  #chooseEndpoint(
+    state: requestState.RequestState,
     now: number,
   ): Omit<calls.Destination, "hedge"> | undefined {
     const { pools, policySet: { choice } } = this.#options;
-    const pool = pools.get(of.service);
+    const pool = pools.get(state.service);
     if (pool === undefined || pool.free === 0) return undefined;
-    const chosen = choice.choose(of, pool, now);
+    const chosen = choice.choose(state, pool, now);
     return chosen && { pool, member: pool.resolve(chosen) };
   }
 
-  #watch(of: flight.RequestState, call: flight.Call, now: number): void {
-    const at = Math.min(this.#hangsAt(of, call, now), now + LONGEST);
-    if (at < of.request.deadline) this.#lookAt(of, at);
+  #scheduleCheck(
+    state: requestState.RequestState,
+    call: requestState.Call,
+    now: number,
+  ): void {
+    const at = Math.min(
+      this.#hangsAt(state, call, now),
+      now + MAX_CHECK_INTERVAL_MS,
+    );
+    if (at < state.request.deadline) this.#setCheckTimer(state, at);
   }
 
   #hangsAt(
-    of: flight.RequestState,
-    { attempt }: flight.Call,
+    state: requestState.RequestState,
+    { attempt }: requestState.Call,
     now: number,
   ): number {
     const { hedge } = this.#options.policySet;
-    const receiving = of.received > attempt.offset;
-    const at = receiving ? of.progressed : attempt.started;
-    return hedge.hangsAt?.(of, { attempt, at, receiving }, now) ?? Infinity;
+    const receiving = state.received > attempt.offset;
+    const at = receiving ? state.progressed : attempt.started;
+    return hedge.hangsAt?.(state, { attempt, at, receiving }, now) ?? Infinity;
   }
 
-  #lookAt(of: flight.RequestState, at: number): void {
+  #setCheckTimer(state: requestState.RequestState, at: number): void {
     if (this.#options.policySet.hedge.hangsAt === undefined) return;
-    this.#options.schedule.set(at, "look", of);
+    this.#options.schedule.set(at, "look", state);
   }
 }
--- a/src/request/running_calls_test.ts
+++ b/src/request/running_calls_test.ts
@@ -2,10 +2,10 @@
 import type * as effect from "./effect.ts";
 import type * as event from "./event.ts";
 import * as dispatcher from "./dispatcher.ts";
-import * as plain from "./baseline_policies.ts";
+import * as baselinePolicies from "./baseline_policies.ts";
 import type * as request from "./request.ts";
 
-const HANG = 100;
+const HANG_TIMEOUT_MS = 100;
 
 function endpointOf(id: string): event.Endpoint {
   const place = { service: "lm-pool", dataCentre: "gisenyi-hall" };
@@ -14,14 +14,14 @@
 }
 
 function create(ids: readonly string[], budget = 1): dispatcher.Dispatcher {
-  let left = budget;
+  let remainingBudget = budget;
   const policySet = {
-    ...plain.create(),
+    ...baselinePolicies.create(),
     hedge: {
       delay: () => undefined,
       allow: () => false,
-      hangsAt: (_work: unknown, { at }: { at: number }) => at + HANG,
-      replace: () => left-- > 0,
+      hangsAt: (_work: unknown, { at }: { at: number }) => at + HANG_TIMEOUT_MS,
+      replace: () => remainingBudget-- > 0,
     },
   };
   const core = dispatcher.Dispatcher.create({ policySet });
@@ -49,7 +49,7 @@
 
 function callIn(effects: readonly effect.Effect[]): request.Attempt {
   const found = effects.find((each) => each.type === "call");
-  if (found?.type !== "call") throw new Error("Nothing was called");
+  if (found?.type !== "call") throw new Error("The effects contain no call");
   return found.attempt;
 }
 
@@ -57,7 +57,7 @@
   return effects.map(({ type }) => type).filter((type) => type !== "wake");
 }
 
-test("a stream that hangs in its middle goes on elsewhere", (t) => {
+test("a stream that hangs midway resumes on another endpoint", (t) => {
   const core = create(["e1", "e2"]);
   const attempt = callIn(core.step(arrive(), 0));
   core.step({ type: "progress", attempt, received: 3 }, 80);
@@ -68,7 +68,7 @@
   t.like(callIn(effects), { endpoint: "e2", attempt: 2, offset: 3 });
 });
 
-test("a hung call of an only endpoint gets a new connection", (t) => {
+test("a hung call is repeated on the same endpoint if there is no other", (t) => {
   const core = create(["e1"]);
   core.step(
     { type: "endpoints", endpoints: [{ ...endpointOf("e1"), slots: 2 }] },
@@ -79,7 +79,7 @@
   t.like(again, { endpoint: "e1", attempt: 2 });
 });
 
-test("a hung call stays where the policy does not pay", (t) => {
+test("a hung call is not replaced when the policy refuses it", (t) => {
   const core = create(["e1", "e2"], 1);
   core.step(arrive(), 0);
   callIn(core.step({ type: "wake" }, 100));
@@ -88,7 +88,7 @@
   }
 });
 
-test("work that runs at most once is never replaced", (t) => {
+test("a call of a request that is not idempotent is never replaced", (t) => {
   const core = create(["e1", "e2"]);
   core.step(arrive(false), 0);
   for (let now = 50; now < 5000; now += 50) {
@@ -98,7 +98,9 @@
   t.deepEqual(typesOf(effects), ["cancel", "refuse"]);
 });
 
-test("a host that was held up itself looks twice", (t) => {
+// A blocked host reads its endpoints' data late and must not take that for a
+// hang.
+test("a check whose timer fires late does not replace the call", (t) => {
   const core = create(["e1", "e2"]);
   const attempt = callIn(core.step(arrive(), 0));
   t.deepEqual(typesOf(core.step({ type: "wake" }, 400)), []);
--- a/src/request/stage_data.ts
+++ b/src/request/stage_data.ts
@@ -1,4 +1,4 @@
-/** Payload of one request: what its stages are given and what they made.
+/** Payload of a request: inputs and results of its stages.
  * @module */
 
 import * as crypto from "node:crypto";
@@ -8,33 +8,33 @@
 import type * as endpoint from "../schema/endpoint_types.ts";
 import type * as reply from "./reply.ts";
 
-/** What a caller sent. */
+/** Payload that a caller sent. */
 export type Payload =
   | { type: "pipeline"; call: caller.PipelineCall }
   | { type: "plain"; call: endpointCalls.PlainInput };
 
-/** Size and prefix of a stage's input, for the dispatcher. */
+/** Size and prefix of a stage's input, as the dispatcher needs them. */
 export interface Measure {
-  /** Tokens, estimated. */
+  /** Estimated number of tokens. */
   size: number;
   /** Prefix blocks of an engine's prompt, longest last. */
   prefix: readonly string[];
 }
 
-/** Characters that count as one token. */
-const TOKEN_CHARACTERS = 4;
-/** Characters of one block of a prompt's prefix. */
+/** Ratio for the estimate of a text's tokens. */
+const CHARACTERS_PER_TOKEN = 4;
+/** Length of one block of a prompt's prefix. */
 const BLOCK_CHARACTERS = 256;
-const HASH_DIGITS = 16;
-/** Characters of a text without a question that are embedded. */
-const START_CHARACTERS = 2048;
+const HASH_HEX_DIGITS = 16;
+/** Length of the start of a text that is embedded when there is no question. */
+const MAX_EMBEDDED_CHARACTERS = 2048;
 
-/** What a request's stages work on; grows with each stage. */
+/** Inputs and results of a request's stages; each stage adds its result. */
 export class StageData {
   readonly payload: Payload;
   embedding: readonly number[] = [];
   documents: readonly string[] = [];
-  /** Text of the last engine stage that ended. */
+  /** Text that the last completed engine stage generated. */
   generatedText = "";
   plain: endpointCalls.PlainResult | undefined;
 
@@ -49,26 +49,28 @@
     return new StageData(payload);
   }
 
-  /** What the handler of a step's kind is given. */
+  /** Input of a step. */
   input(step: catalogue.Step): endpointCalls.Input {
-    return makers[step.kind].input(this, step);
+    return inputBuilders[step.kind].input(this, step);
   }
 
-  /** Keeps what a stage made; `text` is what an engine generated. */
+  /** Stores the result of a stage; `text` is the output of an engine. */
   store(result: endpointCalls.Result, text: string): void {
-    const taker = takers[result.type] as Taker<endpointCalls.Result["type"]>;
-    taker(this, result, text);
+    const handle = resultHandlers[result.type] as ResultHandler<
+      endpointCalls.Result["type"]
+    >;
+    handle(this, result, text);
   }
 
   /** Size and prefix of a step's input. */
   measure(step: catalogue.Step): Measure {
     const input = this.input(step);
-    const size = tokens(makers[step.kind].characters(input));
+    const size = tokenCount(inputBuilders[step.kind].characters(input));
     const prefix = input.type === "engine" ? prefixHashes(input.prompt) : [];
     return { size, prefix };
   }
 
-  /** What the pipeline made, by the kind of its last stage. */
+  /** Output of the pipeline, by the kind of its last stage. */
   output(last: endpoint.EndpointKind): reply.Output {
     return outputs[last](this);
   }
@@ -82,38 +84,38 @@
   for (let pos = 0; pos <= end; pos += BLOCK_CHARACTERS) {
     const block = last + prompt.slice(pos, pos + BLOCK_CHARACTERS);
     const digest = crypto.createHash("sha256").update(block).digest("hex");
-    last = digest.slice(0, HASH_DIGITS);
+    last = digest.slice(0, HASH_HEX_DIGITS);
     hashes.push(last);
   }
   return hashes;
 }
 
-function tokens(characters: number): number {
-  return Math.ceil(characters / TOKEN_CHARACTERS);
+function tokenCount(characters: number): number {
+  return Math.ceil(characters / CHARACTERS_PER_TOKEN);
 }
 
-interface Maker {
+interface InputBuilder {
   input(data: StageData, step: catalogue.Step): endpointCalls.Input;
   characters(input: endpointCalls.Input): number;
 }
 
-const makers: Record<endpoint.EndpointKind, Maker> = {
+const inputBuilders: Record<endpoint.EndpointKind, InputBuilder> = {
   encoder: {
     input: (data, { model }) => {
-      // Only one embedding is used: nothing else is embedded.
-      const { text, question } = asked(data);
-      const start = text.slice(0, START_CHARACTERS);
+      // Later stages use a single embedding, so only one text is embedded.
+      const { text, question } = inputOf(data);
+      const start = text.slice(0, MAX_EMBEDDED_CHARACTERS);
       return { type: "encoder", model, texts: [question ?? start] };
     },
     characters: (input) => {
       const { texts } = input as endpointCalls.Input & { type: "encoder" };
-      return sum(texts);
+      return totalLength(texts);
     },
   },
   retriever: {
     input: (data, { top }) => {
       const { embedding } = data;
-      return { type: "retriever", embedding, text: query(data), top };
+      return { type: "retriever", embedding, text: queryOf(data), top };
     },
     characters: (input) =>
       (input as endpointCalls.Input & { type: "retriever" }).text.length,
@@ -121,19 +123,19 @@
   reranker: {
     input: (data, { top }) => {
       const { documents } = data;
-      return { type: "reranker", query: query(data), documents, top };
+      return { type: "reranker", query: queryOf(data), documents, top };
     },
     characters: (input) => {
-      const made = input as endpointCalls.Input & { type: "reranker" };
-      return made.query.length + sum(made.documents);
+      const rerankerInput = input as endpointCalls.Input & { type: "reranker" };
+      return rerankerInput.query.length + totalLength(rerankerInput.documents);
     },
   },
   engine: {
     input: (data, step) => {
       const { model, maxTokens } = step;
       const prompt = promptOf(data, step);
-      const most = Math.min(maxTokens, limit(data));
-      return { type: "engine", model, prompt, maxTokens: most };
+      const limit = Math.min(maxTokens, tokenLimit(data));
+      return { type: "engine", model, prompt, maxTokens: limit };
     },
     characters: (input) =>
       (input as endpointCalls.Input & { type: "engine" }).prompt.length,
@@ -149,13 +151,15 @@
   },
 };
 
-type Taker<T extends endpointCalls.Result["type"]> = (
+type ResultHandler<T extends endpointCalls.Result["type"]> = (
   data: StageData,
   result: endpointCalls.Result & { type: T },
   text: string,
 ) => void;
 
-const takers: { [T in endpointCalls.Result["type"]]: Taker<T> } = {
+const resultHandlers: {
+  [T in endpointCalls.Result["type"]]: ResultHandler<T>;
+} = {
   encoder(data, { embeddings }) {
     data.embedding = embeddings[0] ?? [];
   },
@@ -187,33 +191,33 @@
   plain: ({ plain }) => ({ text: Buffer.from(plain?.body ?? []).toString() }),
 };
 
-/** The text goes before the documents: requests about the same text share
- * their prompt's prefix, whatever is retrieved for each. */
+/** Puts the text before the documents, so that requests with the same text
+ * share a prompt prefix whatever documents are retrieved. */
 function promptOf(
   data: StageData,
   { instruction }: catalogue.Step,
 ): string {
-  const { text, question } = asked(data);
+  const { text, question } = inputOf(data);
   const parts = [instruction, text, ...data.documents, data.generatedText];
   if (question !== undefined) parts.push(`Question: ${question}`);
   return parts.filter((part) => part !== "").join("\n\n");
 }
 
-function asked({ payload }: StageData): caller.PipelineInput {
+function inputOf({ payload }: StageData): caller.PipelineInput {
   return payload.type === "pipeline" ? payload.call.input : { text: "" };
 }
 
-function limit({ payload }: StageData): number {
+function tokenLimit({ payload }: StageData): number {
   return payload.type === "pipeline"
     ? payload.call.maxTokens ?? Infinity
     : Infinity;
 }
 
-function query(data: StageData): string {
-  const { text, question } = asked(data);
+function queryOf(data: StageData): string {
+  const { text, question } = inputOf(data);
   return question ?? text;
 }
 
-function sum(texts: readonly string[]): number {
+function totalLength(texts: readonly string[]): number {
   return texts.reduce((total, text) => total + text.length, 0);
 }
--- a/src/request/timer_heap.ts
+++ b/src/request/timer_heap.ts
@@ -1,4 +1,5 @@
-/** What is due when, as a binary heap; entries are dropped when they surface.
+/** Binary heap of items by due time. Obsolete items are not removed in place;
+ * the user drops them when they reach the top.
  * @module */
 
 interface Entry<T> {
@@ -7,7 +8,7 @@
   item: T;
 }
 
-/** Items by due time, then by order of insertion. */
+/** Items ordered by due time, then by insertion. */
 export class TimerHeap<T> {
   readonly #heap: Entry<T>[] = [];
   #order = 0;
@@ -43,17 +44,17 @@
     return this.#heap[0]?.item;
   }
 
-  /** Takes out the first item. */
+  /** Removes and returns the first item. */
   pop(): T | undefined {
     const heap = this.#heap;
     const first = heap[0];
     const last = heap.pop();
     if (first === undefined || last === undefined) return undefined;
-    if (heap.length > 0) this.#sink(last);
+    if (heap.length > 0) this.#siftDown(last);
     return first.item;
   }
 
-  #sink(entry: Entry<T>): void {
+  #siftDown(entry: Entry<T>): void {
     const heap = this.#heap;
     let pos = 0;
     while (true) {
