--- a/src/callers/body.ts
+++ b/src/callers/body.ts
@@ -1,20 +1,20 @@
-/** Reads bodies, bounded in size and time.
+/** Reads request bodies within limits of size and time.
  * @module */
 
 import type * as http from "node:http";
 import * as problem from "./problem.ts";
 import type * as runtime from "../runtime/mod.ts";
 
-/** Bounds of a body. */
+/** Limits of a body. */
 export interface Bounds {
   clock: runtime.Clock;
-  /** Most bytes. */
+  /** Maximum size in bytes. */
   bytes: number;
-  /** Most milliseconds until its end. */
+  /** Maximum time until its end, in milliseconds. */
   time: number;
 }
 
-/** The whole body, or a `CallerError`. */
+/** Reads the whole body; rejects with a `CallerError`. */
 export function read(
   incoming: http.IncomingMessage,
   { clock, bytes, time }: Bounds,
@@ -23,17 +23,17 @@
     const chunks: Buffer[] = [];
     let size = 0;
     let done = false;
-    const cancel = clock.after(time, () => fail("bad-request", SLOW));
+    const cancel = clock.after(time, () => fail("bad-request", TIMEOUT_DETAIL));
     incoming.on("data", take);
     incoming.on("end", finish);
-    incoming.on("error", () => fail("bad-request", CUT));
-    incoming.on("close", () => fail("bad-request", CUT));
-    const announced = Number(incoming.headers["content-length"] ?? 0);
-    if (announced > bytes) fail("body-too-large", large(bytes));
+    incoming.on("error", () => fail("bad-request", INCOMPLETE_DETAIL));
+    incoming.on("close", () => fail("bad-request", INCOMPLETE_DETAIL));
+    const declared = Number(incoming.headers["content-length"] ?? 0);
+    if (declared > bytes) fail("body-too-large", tooLargeDetail(bytes));
 
     function take(chunk: Buffer): void {
       size += chunk.length;
-      if (size > bytes) return fail("body-too-large", large(bytes));
+      if (size > bytes) return fail("body-too-large", tooLargeDetail(bytes));
       chunks.push(chunk);
     }
 
@@ -43,22 +43,25 @@
       resolve(Buffer.concat(chunks));
     }
 
-    function fail(name: "bad-request" | "body-too-large", why: string): void {
-      // Every request is closed some time, also after its end.
+    function fail(
+      name: "bad-request" | "body-too-large",
+      detail: string,
+    ): void {
+      // `close` is also emitted after the end of a complete body.
       if (done) return;
       done = true;
       cancel();
       incoming.off("data", take);
-      // What still comes is thrown away, so that the caller reads the answer.
+      // Discard the rest of the body, so that the caller can read the answer.
       incoming.resume();
-      reject(new problem.CallerError(name, why));
+      reject(new problem.CallerError(name, detail));
     }
   });
 }
 
-const SLOW = "The body did not come in time";
-const CUT = "The body did not come to its end";
+const TIMEOUT_DETAIL = "The body did not come in time";
+const INCOMPLETE_DETAIL = "The body did not come to its end";
 
-function large(bytes: number): string {
+function tooLargeDetail(bytes: number): string {
   return `The body is larger than ${bytes} bytes`;
 }
--- a/src/callers/callers_test.ts
+++ b/src/callers/callers_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import type * as http from "node:http";
 import * as stream from "node:stream";
-import * as ask from "./request_parser.ts";
+import * as requestParser from "./request_parser.ts";
 import * as body from "./body.ts";
 import * as problem from "./problem.ts";
 import * as runtime from "../runtime/mod.ts";
@@ -13,55 +13,57 @@
   return Object.assign(new stream.PassThrough(), { headers });
 }
 
-function read(incoming: stream.PassThrough, clock: runtime.Clock) {
+function readBody(incoming: stream.PassThrough, clock: runtime.Clock) {
   const bounds = { clock, bytes: 10, time: 500 };
   return body.read(incoming as unknown as http.IncomingMessage, bounds);
 }
 
-test("reads a body that comes in parts", async (t) => {
+test("reads a body that arrives in several chunks", async (t) => {
   const incoming = incomingOf();
-  const whole = read(incoming, new runtime.FakeClock());
+  const pendingBody = readBody(incoming, new runtime.FakeClock());
   incoming.write("one ");
   incoming.end("two");
-  t.is((await whole).toString(), "one two");
+  t.is((await pendingBody).toString(), "one two");
 });
 
-test("gives up a body that comes too slowly", async (t) => {
+test("rejects a body that does not arrive in time", async (t) => {
   const clock = new runtime.FakeClock();
   const incoming = incomingOf();
-  const whole = read(incoming, clock);
+  const pendingBody = readBody(incoming, clock);
   incoming.write("one");
   clock.advance(500);
-  const error = await t.throwsAsync(whole, { instanceOf: problem.CallerError });
+  const error = await t.throwsAsync(pendingBody, {
+    instanceOf: problem.CallerError,
+  });
   t.is(error.problem.name, "bad-request");
 });
 
-test("gives up a body that is larger than it may be", async (t) => {
-  const announced = read(
+test("rejects a body that is larger than the limit", async (t) => {
+  const announced = readBody(
     incomingOf({ "content-length": "11" }),
     new runtime.FakeClock(),
   );
   const incoming = incomingOf();
-  const counted = read(incoming, new runtime.FakeClock());
+  const counted = readBody(incoming, new runtime.FakeClock());
   incoming.write("x".repeat(11));
-  for (const whole of [announced, counted]) {
-    const error = await t.throwsAsync(whole, {
+  for (const pendingBody of [announced, counted]) {
+    const error = await t.throwsAsync(pendingBody, {
       instanceOf: problem.CallerError,
     });
     t.is(error.problem.name, "body-too-large");
   }
 });
 
-test("gives up a body that is cut", async (t) => {
+test("rejects a body whose connection closes early", async (t) => {
   const incoming = incomingOf();
-  const whole = read(incoming, new runtime.FakeClock());
+  const pendingBody = readBody(incoming, new runtime.FakeClock());
   incoming.write("one");
   incoming.destroy();
-  await t.throwsAsync(whole, { instanceOf: problem.CallerError });
+  await t.throwsAsync(pendingBody, { instanceOf: problem.CallerError });
 });
 
-test("reads the terms of a request from its headers", (t) => {
-  t.deepEqual(ask.metadataOf({}), {
+test("parses the metadata of a request from its headers", (t) => {
+  t.deepEqual(requestParser.metadataOf({}), {
     kind: "default",
     remaining: undefined,
     idempotent: true,
@@ -73,7 +75,7 @@
     "chicoryloft-idempotent": "false",
     "idempotency-key": "k",
   };
-  t.deepEqual(ask.metadataOf(headers), {
+  t.deepEqual(requestParser.metadataOf(headers), {
     kind: "plan",
     remaining: 1500,
     idempotent: false,
@@ -81,7 +83,7 @@
   });
 });
 
-test("refuses terms that are malformed", (t) => {
+test("rejects malformed metadata headers", (t) => {
   const wrong: http.IncomingHttpHeaders[] = [
     { "chicoryloft-kind": "No Name" },
     { "chicoryloft-deadline": "0x10" },
@@ -92,20 +94,20 @@
     { "idempotency-key": "x".repeat(256) },
   ];
   for (const headers of wrong) {
-    t.throws(() => ask.metadataOf(headers), {
+    t.throws(() => requestParser.metadataOf(headers), {
       instanceOf: problem.CallerError,
     });
   }
 });
 
-test("knows an account by its token only", (t) => {
+test("finds an account only by its token", (t) => {
   const hash =
     "793cc13c9ef4576991bd862375f288a23ae72c5e5d0c1b19cdb70f38366a2440";
-  const find = (asked: string) =>
-    asked === hash ? { name: "crew", tokenHash: hash } : undefined;
-  const known = tokens.accountOf({ authorization: "Bearer crew-token" }, find);
+  const find = (hashed: string) =>
+    hashed === hash ? { name: "crew", tokenHash: hash } : undefined;
+  const found = tokens.accountOf({ authorization: "Bearer crew-token" }, find);
   const other = tokens.accountOf({ authorization: "Bearer other" }, find);
   t.is(tokens.accountOf({}, find), undefined);
   t.is(other, undefined);
-  t.is(known?.name, "crew");
+  t.is(found?.name, "crew");
 });
--- a/src/callers/endpoints.ts
+++ b/src/callers/endpoints.ts
@@ -1,7 +1,7 @@
-/** Announcements and leaves of endpoints on the callers' port.
+/** Routes for announcements and leaves of endpoints, on the callers' port.
  * @module */
 
-import * as ask from "./request_parser.ts";
+import * as requestParser from "./request_parser.ts";
 import * as body from "./body.ts";
 import * as endpoint from "../schema/endpoint_validators.ts";
 import type * as endpointTypes from "../schema/endpoint_types.ts";
@@ -11,13 +11,13 @@
 import type * as server from "./server.ts";
 import * as tokens from "./tokens.ts";
 
-const NAME = /^[a-z0-9][a-z0-9.-]{0,63}$/;
+const ENDPOINT_ID = /^[a-z0-9][a-z0-9.-]{0,63}$/;
 const DIGITS = /^[0-9]+$/;
-const MOST_BYTES = 64 * 1024;
-/** Milliseconds in which an announcement must have come. */
-const BODY_TIME = 5000;
+const MAX_ANNOUNCEMENT_BYTES = 64 * 1024;
+/** Time within which an announcement must have been received. */
+const BODY_TIMEOUT_MS = 5000;
 
-/** `PUT` and `DELETE /v1/endpoints/{id}`. */
+/** Handles `PUT` and `DELETE /v1/endpoints/{id}`. */
 export async function notice(
   options: server.Options,
   exchange: server.Exchange,
@@ -25,10 +25,10 @@
   const { incoming, response, names } = exchange;
   authorize(options, exchange);
   const [id = ""] = names;
-  if (names.length !== 1 || !NAME.test(id)) {
+  if (names.length !== 1 || !ENDPOINT_ID.test(id)) {
     throw new problem.CallerError("bad-request", "The endpoint id is no name");
   }
-  const read = readers[incoming.method ?? ""];
+  const read = noticeReaders[incoming.method ?? ""];
   if (read === undefined || options.notices === undefined) {
     throw new problem.CallerError("bad-request", "There is no such call");
   }
@@ -44,17 +44,21 @@
   });
 }
 
-type Reader = (
+type NoticeReader = (
   id: string,
   options: server.Options,
   exchange: server.Exchange,
 ) => Promise<request.Notice>;
 
-const readers: Readonly<Record<string, Reader>> = {
+const noticeReaders: Readonly<Record<string, NoticeReader>> = {
   async PUT(id, { clock }, { incoming }) {
-    const bounds = { clock, bytes: MOST_BYTES, time: BODY_TIME };
+    const bounds = {
+      clock,
+      bytes: MAX_ANNOUNCEMENT_BYTES,
+      time: BODY_TIMEOUT_MS,
+    };
     const read = await body.read(incoming, bounds);
-    const announcement = ask.parse<endpointTypes.Announcement>(
+    const announcement = requestParser.parse<endpointTypes.Announcement>(
       read,
       endpoint.validate,
     );
@@ -67,8 +71,8 @@
   },
 };
 
-/** Run of the endpoint that a `DELETE` is from; undefined when it names
- * none. */
+/** Incarnation of the endpoint that sent a `DELETE`; undefined when the URL
+ * names none. */
 function incarnationOf(url: string): number | undefined {
   const { searchParams } = new URL(url, "http://host");
   const text = searchParams.get("incarnation");
@@ -88,8 +92,8 @@
   { incoming }: server.Exchange,
 ): void {
   const token = tokens.bearerOf(incoming.headers);
-  const fine = token !== undefined && endpointToken !== undefined &&
+  const isAuthorized = token !== undefined && endpointToken !== undefined &&
     tokens.sameToken(token, endpointToken);
-  if (fine) return;
+  if (isAuthorized) return;
   throw new problem.CallerError("unauthorized", "The token is no endpoint's");
 }
--- a/src/callers/http_reply.ts
+++ b/src/callers/http_reply.ts
@@ -1,5 +1,5 @@
-/** Writes what became of a request to its caller: whole, or as a stream of
- * server-sent events.
+/** Replies to callers over HTTP, with one answer or a stream of server-sent
+ * events.
  * @module */
 
 import type * as http from "node:http";
@@ -7,14 +7,14 @@
 import * as problem from "./problem.ts";
 import type * as request from "../request/mod.ts";
 
-/** Bytes that a slow reader may leave unread before it counts as gone. */
-const MOST_UNREAD = 1024 * 1024;
+/** Unread data beyond which a slow caller is disconnected. */
+const MAX_UNREAD_BYTES = 1024 * 1024;
 
-/** Parts of a reply. */
+/** Options of a reply. */
 export interface Options {
   id: string;
   streaming: boolean;
-  /** Asks the caller to make a new connection for its next request. */
+  /** Whether to close the connection after the reply. */
   closing: () => boolean;
 }
 
@@ -22,7 +22,7 @@
 export class HttpReply implements request.Reply {
   readonly #response: http.ServerResponse;
   readonly #options: Options;
-  #gathering = false;
+  #corked = false;
 
   constructor(response: http.ServerResponse, options: Options) {
     this.#response = response;
@@ -34,27 +34,32 @@
   }
 
   token(offset: number, text: string): void {
-    this.#open();
-    this.#event("token", { offset, text });
-    if (this.#response.writableLength > MOST_UNREAD) this.#response.destroy();
+    this.#openStream();
+    this.#writeEvent("token", { offset, text });
+    if (this.#response.writableLength > MAX_UNREAD_BYTES) {
+      this.#response.destroy();
+    }
   }
 
   complete(answer: request.Answer): void {
     if (!this.#options.streaming) {
       return send(this.#response, {
         status: 200,
-        headers: { "content-type": "application/json", ...this.#close() },
+        headers: {
+          "content-type": "application/json",
+          ...this.#closingHeaders(),
+        },
         body: JSON.stringify(answer),
       });
     }
     const { text: _, ...output } = answer.output;
-    this.#open();
-    this.#event("done", { ...answer, output });
+    this.#openStream();
+    this.#writeEvent("done", { ...answer, output });
     this.#response.end();
   }
 
   pass({ status, headers, body }: endpointCalls.PlainResult): void {
-    const all = { ...headers, ...this.#close() };
+    const all = { ...headers, ...this.#closingHeaders() };
     send(this.#response, { status, headers: all, body });
   }
 
@@ -65,52 +70,52 @@
   refuse(refused: request.Problem): void {
     const document = problem.documentOf(refused, this.#options.id);
     if (this.#response.headersSent) {
-      this.#event("error", document);
+      this.#writeEvent("error", document);
       this.#response.end();
       return;
     }
-    sendProblem(this.#response, document, this.#close());
+    sendProblem(this.#response, document, this.#closingHeaders());
   }
 
-  #open(): void {
+  #openStream(): void {
     if (this.#response.headersSent) return;
     this.#response.writeHead(200, {
       "content-type": "text/event-stream",
       "cache-control": "no-store",
-      ...this.#close(),
+      ...this.#closingHeaders(),
     });
   }
 
-  #event(name: string, data: unknown): void {
+  #writeEvent(name: string, data: unknown): void {
     if (this.#response.destroyed) return;
-    this.#gather();
+    this.#corkUntilNextTick();
     this.#response.write(`event: ${name}\ndata: ${JSON.stringify(data)}\n\n`);
   }
 
-  /** Events of one turn of the loop leave as one write. */
-  #gather(): void {
-    if (this.#gathering) return;
-    this.#gathering = true;
+  /** Joins the events of one turn of Node's event loop into one write. */
+  #corkUntilNextTick(): void {
+    if (this.#corked) return;
+    this.#corked = true;
     this.#response.cork();
     process.nextTick(() => {
-      this.#gathering = false;
+      this.#corked = false;
       this.#response.uncork();
     });
   }
 
-  #close(): Record<string, string> {
+  #closingHeaders(): Record<string, string> {
     return this.#options.closing() ? { connection: "close" } : {};
   }
 }
 
-/** A whole answer. */
+/** Status, headers and body of an answer. */
 export interface FullResponse {
   status: number;
   headers: Record<string, string>;
   body: string | Uint8Array;
 }
 
-/** Sends a whole answer. */
+/** Sends an answer, unless one was sent or the connection is closed. */
 export function send(
   response: http.ServerResponse,
   { status, headers, body }: FullResponse,
--- a/src/callers/mod.ts
+++ b/src/callers/mod.ts
@@ -1,4 +1,5 @@
-/** HTTP towards callers, and announcements of endpoints on the same port.
+/** HTTP interface for callers and, on the same port, for announcements of
+ * endpoints.
  * @module */
 
 export * from "./problem.ts";
--- a/src/callers/problem.ts
+++ b/src/callers/problem.ts
@@ -1,9 +1,9 @@
-/** Problem documents (RFC 9457) as callers see them.
+/** Problem documents (RFC 9457) that callers receive.
  * @module */
 
 import type * as request from "../request/mod.ts";
 
-/** A request that is refused before it reaches the dispatcher. */
+/** Error that refuses a request before it reaches the dispatcher. */
 export class CallerError extends Error {
   override readonly name = "CallerError";
   readonly problem: request.Problem;
@@ -20,19 +20,19 @@
   title: string;
   status: number;
   detail: string;
-  /** Id of the request, when it got one. */
+  /** Id of the request, if one was assigned. */
   request?: string;
   outcome: request.Outcome;
   /** Milliseconds after which a retry can help. */
   retryAfter?: number;
 }
 
-interface Class {
+interface ProblemClass {
   status: number;
   title: string;
 }
 
-const classes: Record<request.ProblemName, Class> = {
+const problemClasses: Record<request.ProblemName, ProblemClass> = {
   "bad-request": { status: 400, title: "The request is malformed" },
   "body-too-large": { status: 413, title: "The body is too large" },
   unauthorized: { status: 401, title: "The token is missing or wrong" },
@@ -52,13 +52,13 @@
 
 const MS_PER_SECOND = 1000;
 
-/** The document of a problem. */
+/** Creates the document of a problem. */
 export function documentOf(
   problem: request.Problem,
   id?: string,
 ): ProblemDocument {
   const { name, outcome, detail, retryAfter } = problem;
-  const { status, title } = classes[name];
+  const { status, title } = problemClasses[name];
   return {
     type: `urn:chicoryloft:problem:${name}`,
     title,
@@ -70,7 +70,7 @@
   };
 }
 
-/** Headers that go with a problem document. */
+/** Headers of the answer with a problem document. */
 export function headersOf(
   document: ProblemDocument,
 ): Record<string, string> {
--- a/src/callers/request_parser.ts
+++ b/src/callers/request_parser.ts
@@ -1,4 +1,4 @@
-/** Turns a caller's headers and body into a checked request.
+/** Parses and validates the headers and bodies of callers' requests.
  * @module */
 
 import type * as endpointCalls from "../endpoint_calls/call.ts";
@@ -8,12 +8,12 @@
 import * as check from "../schema/check.ts";
 import * as problem from "./problem.ts";
 
-/** What the headers of a request say. */
+/** Metadata from the headers of a request. */
 export interface RequestMetadata {
   kind: string;
-  /** Milliseconds left, when the caller says so. */
+  /** Milliseconds left, when the caller sets a deadline. */
   remaining: number | undefined;
-  /** False when the caller forbids a repetition. */
+  /** False when the caller forbids retries. */
   idempotent: boolean;
   key: string | undefined;
 }
@@ -22,12 +22,12 @@
 const NUMBER = /^-?\d{1,12}(\.\d+)?$/;
 const KEY = /^[\x21-\x7e]{1,255}$/;
 
-/** Reads the headers that callers may send. */
+/** Parses the metadata headers of a request. */
 export function metadataOf(headers: http.IncomingHttpHeaders): RequestMetadata {
-  const kind = one(headers, "chicoryloft-kind") ?? "default";
-  demand(NAME.test(kind), "Chicoryloft-Kind is not a name");
-  const deadline = one(headers, "chicoryloft-deadline");
-  demand(
+  const kind = headerOf(headers, "chicoryloft-kind") ?? "default";
+  requireValid(NAME.test(kind), "Chicoryloft-Kind is not a name");
+  const deadline = headerOf(headers, "chicoryloft-deadline");
+  requireValid(
     deadline === undefined || NUMBER.test(deadline),
     "Chicoryloft-Deadline is not a number of milliseconds",
   );
@@ -35,25 +35,25 @@
   if (remaining !== undefined && remaining <= 0) {
     throw new problem.CallerError("deadline-passed", "The deadline has passed");
   }
-  const idempotent = one(headers, "chicoryloft-idempotent") ?? "true";
-  demand(
+  const idempotent = headerOf(headers, "chicoryloft-idempotent") ?? "true";
+  requireValid(
     idempotent === "true" || idempotent === "false",
     "Chicoryloft-Idempotent is neither true nor false",
   );
-  const key = one(headers, "idempotency-key");
-  demand(
+  const key = headerOf(headers, "idempotency-key");
+  requireValid(
     key === undefined || KEY.test(key),
     "Idempotency-Key is not of 1 to 255 visible ASCII characters",
   );
   return { kind, remaining, idempotent: idempotent === "true", key };
 }
 
-/** Parses the body of a request to a pipeline. */
+/** Parses the body of a pipeline request. */
 export function pipelineCallOf(body: Buffer): callerTypes.PipelineCall {
   return parse<callerTypes.PipelineCall>(body, caller.validate);
 }
 
-/** Parses a JSON body and checks it against its schema. */
+/** Parses a JSON body and validates it against a schema. */
 export function parse<T>(body: Buffer, validate: check.Validator): T {
   let value: unknown;
   try {
@@ -70,7 +70,7 @@
   }
 }
 
-/** A call to a plain service as it is passed on. */
+/** Input of a call to a plain service, without this system's headers. */
 export function plainInputOf(
   incoming: http.IncomingMessage,
   { path, body }: { path: string; body: Buffer },
@@ -83,7 +83,7 @@
   return { type: "plain", method: incoming.method!, path, headers, body };
 }
 
-function one(
+function headerOf(
   headers: http.IncomingHttpHeaders,
   name: string,
 ): string | undefined {
@@ -91,6 +91,6 @@
   return Array.isArray(value) ? value.join(", ") : value;
 }
 
-function demand(holds: boolean, detail: string): void {
+function requireValid(holds: boolean, detail: string): void {
   if (!holds) throw new problem.CallerError("bad-request", detail);
 }
--- a/src/callers/requests.ts
+++ b/src/callers/requests.ts
@@ -1,7 +1,7 @@
-/** Routes of requests: pipelines and plain services.
+/** Routes for requests to pipelines and plain services.
  * @module */
 
-import * as ask from "./request_parser.ts";
+import * as requestParser from "./request_parser.ts";
 import * as body from "./body.ts";
 import type * as catalogue from "../request/catalogue.ts";
 import * as httpReply from "./http_reply.ts";
@@ -10,62 +10,65 @@
 import type * as server from "./server.ts";
 import * as tokens from "./tokens.ts";
 
-const BODY_BYTES = 4 * 1024 * 1024;
-/** Milliseconds in which a body must have come. */
-const BODY_TIME = 10_000;
+const DEFAULT_MAX_BODY_BYTES = 4 * 1024 * 1024;
+/** Time within which a body must have been received. */
+const BODY_TIMEOUT_MS = 10_000;
 
-/** `POST /v1/pipelines/{pipeline}`. */
+/** Handles `POST /v1/pipelines/{pipeline}`. */
 export async function runPipeline(
   options: server.Options,
   exchange: server.Exchange,
 ): Promise<void> {
   const { incoming, names: [name, ...more] } = exchange;
-  const opened = open(options, exchange);
-  demand(incoming.method === "POST" && more.length === 0);
+  const opened = openRequest(options, exchange);
+  requireRoute(incoming.method === "POST" && more.length === 0);
   const target = options.catalogue.pipeline(name ?? "");
   if (target === undefined) {
     throw new problem.CallerError("unknown-pipeline", `No pipeline ${name}`);
   }
   const read = await opened.read(target);
-  const call = ask.pipelineCallOf(read);
+  const call = requestParser.pipelineCallOf(read);
   const { stream = false } = call;
   opened.submit(target, { payload: { type: "pipeline", call }, stream });
 }
 
-/** Any method on `/v1/services/{service}/{path}`. */
+/** Handles any method on `/v1/services/{service}/{path}`. */
 export async function callService(
   options: server.Options,
   exchange: server.Exchange,
 ): Promise<void> {
   const { incoming, names: [name] } = exchange;
-  const opened = open(options, exchange);
+  const opened = openRequest(options, exchange);
   const target = options.catalogue.service(name ?? "");
   if (target === undefined) {
     throw new problem.CallerError("unknown-service", `No service ${name}`);
   }
   const read = await opened.read(target);
-  // The rest of the path goes on as it came, still encoded.
+  // The rest of the path is forwarded unchanged, still encoded.
   const rest = /^\/v1\/services\/[^/?]*(.*)$/.exec(incoming.url!)![1];
   const path = rest.startsWith("/") ? rest : `/${rest}`;
-  const call = ask.plainInputOf(incoming, { path, body: read });
+  const call = requestParser.plainInputOf(incoming, { path, body: read });
   const payload: stageData.Payload = { type: "plain", call };
   opened.submit(target, { payload, stream: false });
 }
 
-/** What a caller asks for, and whether it wants the answer as a stream. */
-interface Work {
+/** Payload of a request, and whether the answer is streamed. */
+interface CallPayload {
   payload: stageData.Payload;
   stream: boolean;
 }
 
-/** A request whose caller and terms are known. */
-interface Opened {
+/** A request whose account and metadata are validated. */
+interface OpenedRequest {
   read(target: catalogue.Target): Promise<Buffer>;
-  submit(target: catalogue.Target, work: Work): void;
+  submit(target: catalogue.Target, call: CallPayload): void;
 }
 
-/** Checks who asks and on which terms. */
-function open(options: server.Options, exchange: server.Exchange): Opened {
+/** Authenticates the caller and parses the request's metadata. */
+function openRequest(
+  options: server.Options,
+  exchange: server.Exchange,
+): OpenedRequest {
   const { clock, metrics, intake, abandon, settings } = options;
   const { incoming, response, draining } = exchange;
   const arrived = clock.now();
@@ -74,15 +77,19 @@
   if (account === undefined) {
     throw new problem.CallerError("unauthorized", "The token names no account");
   }
-  const terms = ask.metadataOf(incoming.headers);
+  const metadata = requestParser.metadataOf(incoming.headers);
   function read(target: catalogue.Target): Promise<Buffer> {
-    const allowed = intake.timeBudget({ ...terms, account: account!, target });
-    const { bodyBytes: bytes = BODY_BYTES } = settings.limits ?? {};
-    const time = Math.min(BODY_TIME, allowed);
+    const timeBudget = intake.timeBudget({
+      ...metadata,
+      account: account!,
+      target,
+    });
+    const { bodyBytes: bytes = DEFAULT_MAX_BODY_BYTES } = settings.limits ?? {};
+    const time = Math.min(BODY_TIMEOUT_MS, timeBudget);
     return body.read(incoming, { clock, bytes, time });
   }
-  function submit(target: catalogue.Target, work: Work): void {
-    const { payload, stream: streaming } = work;
+  function submit(target: catalogue.Target, call: CallPayload): void {
+    const { payload, stream: streaming } = call;
     const id = intake.nextId();
     const reply = new httpReply.HttpReply(response, {
       id,
@@ -93,7 +100,7 @@
       if (!response.writableFinished) abandon(id);
     });
     intake.submit(id, {
-      ...terms,
+      ...metadata,
       account: account!,
       target,
       payload,
@@ -105,7 +112,7 @@
   return { read, submit };
 }
 
-function demand(holds: boolean): void {
+function requireRoute(holds: boolean): void {
   if (holds) return;
   throw new problem.CallerError("bad-request", "There is no such call");
 }
--- a/src/callers/server.ts
+++ b/src/callers/server.ts
@@ -1,4 +1,4 @@
-/** The callers' HTTP interface of a host.
+/** HTTP server for callers.
  * @module */
 
 import * as fs from "node:fs/promises";
@@ -13,33 +13,33 @@
 import * as requests from "./requests.ts";
 import type * as request from "../request/mod.ts";
 
-/** Parts of a server. */
+/** Options of a server. */
 export interface Options extends request.PathOptions {
   catalogue: catalogue.Catalogue;
   intake: intake.Intake;
-  /** Told when a caller went away before its answer. */
+  /** Called when a caller disconnects before its answer is complete. */
   abandon(id: string): void;
 }
 
-/** One request as a route gets it. */
+/** HTTP request and response that a route handles. */
 export interface Exchange {
   incoming: http.IncomingMessage;
   response: http.ServerResponse;
-  /** Parts of the path behind the route's own, decoded. */
+  /** Decoded path segments after those of the route. */
   names: readonly string[];
-  /** Whether the host is leaving. */
+  /** Whether the host is draining. */
   draining: () => boolean;
 }
 
 type Route = (options: Options, exchange: Exchange) => Promise<void>;
 
-const HEAD_TIME = 10_000;
-const REQUEST_TIME = 60_000;
-const KEEP_ALIVE_TIME = 15_000;
-/** Milliseconds that connections in use are left after the port is closed. */
-const CLOSE_TIME = 1000;
+const HEADERS_TIMEOUT_MS = 10_000;
+const REQUEST_TIMEOUT_MS = 60_000;
+const KEEP_ALIVE_TIMEOUT_MS = 15_000;
+/** Time for which connections in use stay open after the port is closed. */
+const CLOSE_TIMEOUT_MS = 1000;
 
-/** First two parts of a path, behind which its names follow. */
+/** Routes by the first two segments of the path; names follow after these. */
 const routes: Readonly<Record<string, Route>> = {
   "/health": health,
   "/v1/pipelines": requests.runPipeline,
@@ -47,13 +47,13 @@
   "/v1/endpoints": endpoints.notice,
 };
 
-/** Server of callers. */
+/** HTTP server for callers. */
 export class Server {
   readonly #options: Options;
   #server: http.Server | undefined;
   #draining = false;
   #open = 0;
-  #idle: (() => void)[] = [];
+  #idleWaiters: (() => void)[] = [];
 
   private constructor(options: Options) {
     this.#options = options;
@@ -63,12 +63,12 @@
     return new Server(options);
   }
 
-  /** Requests whose answers are not out yet. */
+  /** Number of requests whose responses are not closed. */
   get open(): number {
     return this.#open;
   }
 
-  /** Port it listens on; 0 before `start`. */
+  /** Port of the listener; 0 before `start`. */
   get port(): number {
     const address = this.#server?.address() as net.AddressInfo | null;
     return address?.port ?? 0;
@@ -84,11 +84,11 @@
         key: await fs.readFile(tls.key),
       });
     this.#server = server;
-    server.headersTimeout = HEAD_TIME;
-    server.requestTimeout = REQUEST_TIME;
-    server.keepAliveTimeout = KEEP_ALIVE_TIME;
-    server.on("request", (...pair) => this.#serve(...pair));
-    server.on("clientError", (_error, socket) => this.#malformed(socket));
+    server.headersTimeout = HEADERS_TIMEOUT_MS;
+    server.requestTimeout = REQUEST_TIMEOUT_MS;
+    server.keepAliveTimeout = KEEP_ALIVE_TIMEOUT_MS;
+    server.on("request", (...pair) => this.#handle(...pair));
+    server.on("clientError", (_error, socket) => this.#refuseMalformed(socket));
     await new Promise<void>((resolve, reject) => {
       server.once("error", reject);
       server.listen(port, address, () => {
@@ -98,7 +98,7 @@
     });
   }
 
-  /** Says that the host is leaving; open requests go on. */
+  /** Fails the health check from now on; open requests continue. */
   drain(): void {
     this.#draining = true;
   }
@@ -106,7 +106,7 @@
   /** Resolves once no request is open. */
   idle(): Promise<void> {
     if (this.#open === 0) return Promise.resolve();
-    return new Promise((resolve) => this.#idle.push(resolve));
+    return new Promise((resolve) => this.#idleWaiters.push(resolve));
   }
 
   /** Closes the port and all connections. */
@@ -114,21 +114,22 @@
     const server = this.#server;
     if (server === undefined) return;
     const { clock } = this.#options;
-    // Closes idle connections; one that brings a request now may end it.
+    // `close` ends idle connections; a request that has just arrived on another
+    // one may complete within the timeout.
     const cancel = clock.after(
-      CLOSE_TIME,
+      CLOSE_TIMEOUT_MS,
       () => server.closeAllConnections(),
     );
     await new Promise<void>((resolve) => server.close(() => resolve()));
     cancel();
   }
 
-  #serve(
+  #handle(
     incoming: http.IncomingMessage,
     response: http.ServerResponse,
   ): void {
     this.#open++;
-    response.once("close", () => this.#ended());
+    response.once("close", () => this.#requestEnded());
     this.#route(incoming, response).catch((error) => {
       this.#refuse(response, error);
     });
@@ -138,12 +139,12 @@
     incoming: http.IncomingMessage,
     response: http.ServerResponse,
   ): Promise<void> {
-    const parts = partsOf(incoming.url ?? "/");
-    const route = routes[`/${parts.slice(0, 2).join("/")}`];
+    const segments = pathSegments(incoming.url ?? "/");
+    const route = routes[`/${segments.slice(0, 2).join("/")}`];
     if (route === undefined) {
       throw new problem.CallerError("bad-request", "There is no such path");
     }
-    const names = parts.slice(2);
+    const names = segments.slice(2);
     const draining = () => this.#draining;
     await route(this.#options, { incoming, response, names, draining });
   }
@@ -151,7 +152,10 @@
   #refuse(response: http.ServerResponse, error: unknown): void {
     const { metrics, log } = this.#options;
     if (!(error instanceof problem.CallerError)) {
-      log.warn({ error }, "a request failed unexpectedly");
+      log.warn(
+        { error },
+        "request failed with an unexpected error; closing its connection",
+      );
       response.destroy();
       return;
     }
@@ -161,7 +165,7 @@
     httpReply.sendProblem(response, problem.documentOf(error.problem));
   }
 
-  #malformed(socket: net.Socket | unknown): void {
+  #refuseMalformed(socket: net.Socket | unknown): void {
     this.#options.metrics.count("request.bad", 1, { problem: "bad-request" });
     const open = socket as net.Socket;
     if (!open.writable) return;
@@ -175,14 +179,14 @@
     );
   }
 
-  #ended(): void {
+  #requestEnded(): void {
     this.#open--;
     if (this.#open > 0) return;
-    for (const resolve of this.#idle.splice(0)) resolve();
+    for (const resolve of this.#idleWaiters.splice(0)) resolve();
   }
 }
 
-function partsOf(url: string): string[] {
+function pathSegments(url: string): string[] {
   const [path] = url.split("?", 1);
   try {
     return path.split("/").slice(1).map(decodeURIComponent);
--- a/src/callers/tls_test.ts
+++ b/src/callers/tls_test.ts
@@ -13,7 +13,7 @@
   key: fileOf("key.pem"),
 };
 
-/** The built test stands in `dist/src/callers`. */
+/** Path of a test file, relative to the compiled test in `dist/src/callers`. */
 function fileOf(name: string): string {
   const place = `../../../src/callers/testdata/${name}`;
   return url.fileURLToPath(new URL(place, import.meta.url));
@@ -25,29 +25,29 @@
   return agent;
 }
 
-test("serves callers over TLS and takes no plain call there", async (t) => {
+test("serves callers over TLS and refuses plain HTTP", async (t) => {
   const settings = fakePath.settingsOf();
   settings.listen.callers = { port: 0, tls };
   const started = await fakePath.start(fakePath.allEndpoints, { settings });
   t.teardown(() => started.stop());
   const plain = `${started.url}/v1/pipelines/short`;
   const secure = plain.replace("http:", "https:");
-  const asked = {
+  const options = {
     method: "POST",
     headers: { authorization: `Bearer ${fakePath.TOKEN}` },
     body: JSON.stringify({ input: { text: "one two" }, stream: true }),
   } as const;
   const dispatcher = agentOf(t, fs.readFileSync(tls.certificate));
-  const answer = await undici.request(secure, { ...asked, dispatcher });
+  const answer = await undici.request(secure, { ...options, dispatcher });
   t.is(answer.statusCode, 200);
   t.regex(await answer.body.text(), /event: done/);
-  // Its certificate is not trusted unless it is named.
-  const stranger = agentOf(t);
+  // The self-signed certificate is trusted only when it is given as a CA.
+  const untrusting = agentOf(t);
   await t.throwsAsync(
-    undici.request(secure, { ...asked, dispatcher: stranger }),
+    undici.request(secure, { ...options, dispatcher: untrusting }),
     { code: "DEPTH_ZERO_SELF_SIGNED_CERT" },
   );
-  await t.throwsAsync(undici.request(plain, asked));
+  await t.throwsAsync(undici.request(plain, options));
   t.is(started.tally.total("request.arrived"), 1);
 });
 
--- a/src/callers/tokens.ts
+++ b/src/callers/tokens.ts
@@ -1,4 +1,4 @@
-/** Bearer tokens, compared in constant time.
+/** Bearer tokens and their comparison in constant time.
  * @module */
 
 import * as crypto from "node:crypto";
@@ -7,14 +7,14 @@
 
 const BEARER = /^Bearer +([^ ]+) *$/i;
 
-/** The bearer token of a request, or undefined. */
+/** Returns the bearer token of a request, or undefined. */
 export function bearerOf(
   headers: http.IncomingHttpHeaders,
 ): string | undefined {
   return BEARER.exec(headers.authorization ?? "")?.[1];
 }
 
-/** The account whose token a request carries, or undefined. */
+/** Finds the account of a request by its bearer token. */
 export function accountOf(
   headers: http.IncomingHttpHeaders,
   find: request.FindAccount,
@@ -24,19 +24,19 @@
   const hash = hashOf(token);
   const account = find(hash.toString("hex"));
   if (account === undefined) return undefined;
-  const known = Buffer.from(account.tokenHash, "hex");
-  return equal(hash, known) ? account : undefined;
+  const expected = Buffer.from(account.tokenHash, "hex");
+  return constantTimeEqual(hash, expected) ? account : undefined;
 }
 
-/** Whether two tokens are the same; time does not tell how they differ. */
-export function sameToken(one: string, other: string): boolean {
-  return equal(hashOf(one), hashOf(other));
+/** Whether two tokens are equal, compared in constant time. */
+export function sameToken(a: string, b: string): boolean {
+  return constantTimeEqual(hashOf(a), hashOf(b));
 }
 
 function hashOf(token: string): Buffer {
   return crypto.createHash("sha256").update(token).digest();
 }
 
-function equal(one: Buffer, other: Buffer): boolean {
-  return one.length === other.length && crypto.timingSafeEqual(one, other);
+function constantTimeEqual(a: Buffer, b: Buffer): boolean {
+  return a.length === b.length && crypto.timingSafeEqual(a, b);
 }
