--- a/src/endpoint_calls/call.ts
+++ b/src/endpoint_calls/call.ts
@@ -1,9 +1,9 @@
-/** A call to an endpoint, what it is given and what comes back.
+/** Calls to endpoints, with their inputs and results.
  * @module */
 
 import type * as request from "../request/request.ts";
 
-/** What the handler of an endpoint kind is given. */
+/** Input of a call, by kind of endpoint. */
 export type Input =
   | { type: "engine"; model: string; prompt: string; maxTokens: number }
   | { type: "encoder"; model: string; texts: readonly string[] }
@@ -21,7 +21,7 @@
   }
   | PlainInput;
 
-/** A call of a caller's that is passed on as it is. */
+/** A caller's HTTP request that is forwarded to a plain service. */
 export interface PlainInput {
   type: "plain";
   method: string;
@@ -31,21 +31,21 @@
   body: Uint8Array;
 }
 
-/** A document as a retriever gives it. */
+/** A document that a retriever returned. */
 export interface Document {
   id: string;
   text: string;
   score: number;
 }
 
-/** Place of a document in a reranker's order. */
+/** Score of a document by a reranker. */
 export interface Rank {
-  /** Position among the documents that were asked about. */
+  /** Index of the document in the input. */
   index: number;
   score: number;
 }
 
-/** What an answered call brings. */
+/** Result of a call, by kind of endpoint. */
 export type Result =
   | { type: "engine" }
   | { type: "encoder"; embeddings: readonly (readonly number[])[] }
@@ -53,7 +53,7 @@
   | { type: "reranker"; ranks: readonly Rank[] }
   | PlainResult;
 
-/** An answer of a plain service, passed on as it is. */
+/** HTTP answer of a plain service, forwarded to the caller. */
 export interface PlainResult {
   type: "plain";
   status: number;
@@ -71,20 +71,20 @@
   /** Milliseconds of the host's monotonic clock. */
   deadline: number;
   priority: number;
-  /** Milliseconds without a byte after which the connection is given up. */
+  /** Milliseconds without a byte after which the call fails. */
   idleTimeout: number;
   input: Input;
 }
 
-/** Hears what becomes of a call: any progress, then one answer or failure. */
+/** Receives the tokens of a call, then one answer or failure. */
 export interface Listener {
-  /** The token at `offset`, counted from 0 over all attempts. */
+  /** Receives the token at `offset`, counted from 0 over all attempts. */
   token(offset: number, text: string): void;
   answer(result: Result, usage: request.Usage): void;
   fail(failure: request.Failure): void;
 }
 
-/** An answer that can't be used. */
+/** Error for an invalid answer. */
 export class CallError extends Error {
   override readonly name = "CallError";
   readonly reason: request.FailureReason;
@@ -95,7 +95,7 @@
   }
 }
 
-/** Id that the body of an answer must carry. */
+/** Id of a call, which the body of its answer must repeat. */
 export function idOf({ attempt, stage }: Call): string {
   return `${attempt.request}/${stage}/${attempt.attempt}`;
 }
--- a/src/endpoint_calls/clock_offset.ts
+++ b/src/endpoint_calls/clock_offset.ts
@@ -1,33 +1,36 @@
-/** How far an endpoint's clock is from the host's, from the smallest delay
- * with which its reports came lately.
+/** Estimates the offset of an endpoint's clock from the host's as the minimum
+ * difference between receipt and timestamp of its recent reports.
  * @module */
 
-/** Milliseconds after which a smallest delay is forgotten: clocks drift. */
-const WINDOW = 60_000;
+/** Window of the minimum; bounded, since clocks drift. */
+const WINDOW_MS = 60_000;
 
-/** Offset of one endpoint's clock; changed in place. */
+/** Offset of one endpoint's clock. */
 export class ClockOffset {
-  /** Smallest delay of the present window, and of the one before. */
-  #present = Infinity;
-  #past = Infinity;
-  #since = -Infinity;
-  #last = -Infinity;
+  /** Minimum difference in the current window, and in the previous one. */
+  #currentMin = Infinity;
+  #previousMin = Infinity;
+  #windowStart = -Infinity;
+  #lastReportAt = -Infinity;
 
   static create(): ClockOffset {
     return new ClockOffset();
   }
 
-  /** Time of a report on the host's clock: never later than `now`. */
+  /** Converts the time of a report to the host's clock; never later than
+   * `now`. */
   toHost(at: number, now: number): number {
-    // Its clock began anew: the endpoint was started again.
-    if (at < this.#last) this.#past = this.#present = Infinity;
-    this.#last = at;
-    if (now - this.#since >= WINDOW) {
-      this.#past = this.#present;
-      this.#present = Infinity;
-      this.#since = now;
+    // The timestamps went back: the endpoint has restarted, so reset the minimum.
+    if (at < this.#lastReportAt) {
+      this.#previousMin = this.#currentMin = Infinity;
     }
-    this.#present = Math.min(this.#present, now - at);
-    return at + Math.min(this.#present, this.#past);
+    this.#lastReportAt = at;
+    if (now - this.#windowStart >= WINDOW_MS) {
+      this.#previousMin = this.#currentMin;
+      this.#currentMin = Infinity;
+      this.#windowStart = now;
+    }
+    this.#currentMin = Math.min(this.#currentMin, now - at);
+    return at + Math.min(this.#currentMin, this.#previousMin);
   }
 }
--- a/src/endpoint_calls/connections.ts
+++ b/src/endpoint_calls/connections.ts
@@ -1,11 +1,12 @@
-/** Connections to endpoints, by address. An endpoint that starts again takes
- * no connection of the former incarnation: what was sent on one would break
- * off, and nobody could tell whether it has run.
+/** Connection pools by endpoint address. Connections to a former incarnation of
+ * an endpoint are not reused: a request sent on one would fail with an unknown
+ * outcome.
  * @module */
 
 import * as undici from "undici";
 
-/** Connections of one host; a dispatcher that dials as addresses are named. */
+/** Connection pools of one host; an undici dispatcher that opens a pool on the
+ * first request to an address. */
 export class Connections extends undici.Dispatcher {
   readonly #options: undici.Pool.Options;
   readonly #pools = new Map<string, undici.Pool>();
@@ -15,12 +16,12 @@
     this.#options = options;
   }
 
-  /** No connections yet; `options` hold for each address. */
+  /** Creates a dispatcher without connections; `options` apply to each pool. */
   static create(options: undici.Pool.Options): Connections {
     return new Connections(options);
   }
 
-  /** Addresses that connections are kept to. */
+  /** Addresses with a connection pool. */
   get addresses(): string[] {
     return [...this.#pools.keys()];
   }
@@ -30,21 +31,23 @@
     handler: undici.Dispatcher.DispatchHandler,
   ): boolean {
     const origin = `${options.origin}`;
-    const pool = this.#pools.get(origin) ?? this.#open(origin);
+    const pool = this.#pools.get(origin) ?? this.#openPool(origin);
     return pool.dispatch({ ...options, origin }, handler);
   }
 
-  /** Forgets the connections to an address, where who was there has ended;
-   * calls under way are finished. */
+  /** Closes the pool of an address whose endpoint has left; calls in flight are
+   * completed. */
   async retire(address: string): Promise<void> {
-    await this.#take(address)?.close();
+    await this.#removePool(address)?.close();
   }
 
-  /** Breaks the connections to an address off: who was there has started again,
-   * and what was under way is lost. */
+  /** Destroys the pool of an address whose endpoint has restarted; calls in
+   * flight fail. */
   async abort(address: string): Promise<void> {
-    const lost = new undici.errors.SocketError("The endpoint started again");
-    await this.#take(address)?.destroy(lost);
+    const error = new undici.errors.SocketError(
+      "endpoint restarted; its former connections are closed",
+    );
+    await this.#removePool(address)?.destroy(error);
   }
 
   override async destroy(): Promise<void> {
@@ -53,13 +56,13 @@
     await Promise.all(pools.map((pool) => pool.destroy()));
   }
 
-  #open(origin: string): undici.Pool {
+  #openPool(origin: string): undici.Pool {
     const pool = new undici.Pool(origin, this.#options);
     this.#pools.set(origin, pool);
     return pool;
   }
 
-  #take(address: string): undici.Pool | undefined {
+  #removePool(address: string): undici.Pool | undefined {
     const origin = `http://${address}`;
     const pool = this.#pools.get(origin);
     this.#pools.delete(origin);
--- a/src/endpoint_calls/connections_test.ts
+++ b/src/endpoint_calls/connections_test.ts
@@ -6,8 +6,8 @@
 import type * as undici from "undici";
 import * as connections from "./connections.ts";
 
-/** A server that answers `/slow` never, and anything else with the number of
- * the connection that it came on. */
+/** Starts a server that never answers `/slow`, and answers any other request
+ * with the number of its connection. */
 async function serve(t: ExecutionContext) {
   let count = 0;
   const numbers = new WeakMap<net.Socket, number>();
@@ -25,8 +25,8 @@
   return `127.0.0.1:${port}`;
 }
 
-async function ask(
-  kept: connections.Connections,
+async function send(
+  pools: connections.Connections,
   address: string,
   path = "/",
 ): Promise<string> {
@@ -35,48 +35,48 @@
     path,
     method: "GET",
   };
-  const answer = await kept.request(options);
+  const answer = await pools.request(options);
   const text = await answer.body.text();
-  // The connection is free one turn after its answer.
+  // The connection is free one turn of the event loop after its answer.
   await new Promise(setImmediate);
   return text;
 }
 
 function createConnections(t: ExecutionContext) {
-  const kept = connections.Connections.create({ pipelining: 1 });
-  t.teardown(() => kept.destroy());
-  return kept;
+  const pools = connections.Connections.create({ pipelining: 1 });
+  t.teardown(() => pools.destroy());
+  return pools;
 }
 
 test("calls to one address share a connection", async (t) => {
   const address = await serve(t);
-  const kept = createConnections(t);
-  t.is(await ask(kept, address), "1");
-  t.is(await ask(kept, address), "1");
+  const pools = createConnections(t);
+  t.is(await send(pools, address), "1");
+  t.is(await send(pools, address), "1");
 });
 
-test("a connection kept from before is not taken for who started again", async (t) => {
+test("a restarted endpoint gets a new connection", async (t) => {
   const address = await serve(t);
-  const kept = createConnections(t);
-  await ask(kept, address);
-  await kept.abort(address);
-  t.deepEqual(kept.addresses, []);
-  t.is(await ask(kept, address), "2");
+  const pools = createConnections(t);
+  await send(pools, address);
+  await pools.abort(address);
+  t.deepEqual(pools.addresses, []);
+  t.is(await send(pools, address), "2");
 });
 
-test("what is under way at who started again breaks off", async (t) => {
+test("a call in flight fails when its endpoint restarts", async (t) => {
   const address = await serve(t);
-  const kept = createConnections(t);
-  const open = ask(kept, address, "/slow");
+  const pools = createConnections(t);
+  const pendingAnswer = send(pools, address, "/slow");
   await new Promise((resolve) => setTimeout(resolve, 20));
-  void kept.abort(address);
-  await t.throwsAsync(open, { message: /started again/ });
+  void pools.abort(address);
+  await t.throwsAsync(pendingAnswer, { message: /endpoint restarted/ });
 });
 
-test("what is under way at who has left is finished", async (t) => {
+test("a call in flight is completed when its endpoint leaves", async (t) => {
   const address = await serve(t);
-  const kept = createConnections(t);
-  const open = ask(kept, address);
-  await kept.retire(address);
-  t.is(await open, "1");
+  const pools = createConnections(t);
+  const pendingAnswer = send(pools, address);
+  await pools.retire(address);
+  t.is(await pendingAnswer, "1");
 });
--- a/src/endpoint_calls/connector_test.ts
+++ b/src/endpoint_calls/connector_test.ts
@@ -8,8 +8,8 @@
 import * as connector from "./connector.ts";
 import * as exchange from "./exchange.ts";
 
-/** A server that sends `text` on each request and does `end` after `wait`
- * milliseconds. */
+/** Starts a server that sends `text` on each request and calls `end` after
+ * `wait` milliseconds. */
 async function serverOf(
   t: ava.ExecutionContext,
   text: string,
@@ -30,7 +30,7 @@
   return `http://127.0.0.1:${port}`;
 }
 
-/** How an exchange with the server ends. */
+/** Runs an exchange with the server; resolves with its body or failure. */
 function fetch(t: ava.ExecutionContext, url: string): Promise<string> {
   const dispatcher = new undici.Agent({
     connect: connector.create({ timeout: 500 }),
@@ -58,37 +58,42 @@
   });
 }
 
-const UNFRAMED = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf";
+const WITHOUT_LENGTH = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf";
 const CHUNKED = "HTTP/1.1 200 OK\r\nConnection: close\r\n" +
   "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n";
 
-test("an answer without a length is whole when its connection ends", async (t) => {
-  const url = await serverOf(t, UNFRAMED, (socket) => socket.end());
+test("an answer without a length is complete when its connection ends", async (t) => {
+  const url = await serverOf(t, WITHOUT_LENGTH, (socket) => socket.end());
   t.is(await fetch(t, url), "whole: half");
 });
 
-test("an answer without a length is broken when it is reset", async (t) => {
-  const url = await serverOf(t, UNFRAMED, (socket) => socket.resetAndDestroy());
+test("an answer without a length fails when its connection is reset", async (t) => {
+  const url = await serverOf(
+    t,
+    WITHOUT_LENGTH,
+    (socket) => socket.resetAndDestroy(),
+  );
   t.is(await fetch(t, url), "broken-stream");
 });
 
-test("a chunked answer is broken when its connection ends early", async (t) => {
+test("a chunked answer fails when its connection ends early", async (t) => {
   const url = await serverOf(t, CHUNKED, (socket) => socket.end());
   t.is(await fetch(t, url), "broken-stream");
 });
 
-test("a reset that comes with the last bytes is seen", async (t) => {
+// Node reports a reset that arrives with the last bytes as an end.
+test("a reset that arrives with the last bytes is detected", async (t) => {
   for (let round = 0; round < 20; round++) {
     const reset = (socket: net.Socket) => void socket.resetAndDestroy();
-    const url = await serverOf(t, UNFRAMED, reset, { wait: 0 });
+    const url = await serverOf(t, WITHOUT_LENGTH, reset, { wait: 0 });
     t.not(await fetch(t, url), "whole: half");
   }
 });
 
-test("an end that comes with the last bytes is an end", async (t) => {
+test("an end that arrives with the last bytes is an orderly end", async (t) => {
   for (let round = 0; round < 20; round++) {
     const end = (socket: net.Socket) => void socket.end();
-    const url = await serverOf(t, UNFRAMED, end, { wait: 0 });
+    const url = await serverOf(t, WITHOUT_LENGTH, end, { wait: 0 });
     t.is(await fetch(t, url), "whole: half");
   }
 });
--- a/src/endpoint_calls/endpoint_client.ts
+++ b/src/endpoint_calls/endpoint_client.ts
@@ -1,4 +1,4 @@
-/** Makes calls to endpoints, through one handler for each kind.
+/** Client for calls to endpoints, with one handler for each kind.
  * @module */
 
 import * as undici from "undici";
@@ -15,18 +15,18 @@
 import * as subscriptions from "./subscriptions.ts";
 import type * as telemetry from "../telemetry/mod.ts";
 
-/** Parts and bounds. */
+/** Dependencies and limits of a client. */
 export interface Options {
   clock: runtime.Clock;
   metrics: telemetry.Metrics;
-  /** Largest answer in bytes; 16 MiB when absent. */
+  /** Maximum size of an answer in bytes; 16 MiB when absent. */
   answerBytes?: number;
-  /** Milliseconds to make a connection; 1000 when absent. */
+  /** Timeout of connecting in milliseconds; 1000 when absent. */
   connectTimeout?: number;
 }
 
-const ANSWER_BYTES = 16 * 1024 * 1024;
-const CONNECT_TIME = 1000;
+const DEFAULT_MAX_ANSWER_BYTES = 16 * 1024 * 1024;
+const DEFAULT_CONNECT_TIMEOUT_MS = 1000;
 
 const handlers: {
   [T in call.Input["type"]]: handler.Handler<call.Input & { type: T }>;
@@ -38,18 +38,18 @@
   plain: plain.plain,
 };
 
-/** Connections to all endpoints. */
+/** Client for all endpoints of a host. */
 export class EndpointClient {
   readonly #options: Options;
   readonly #agent: undici.Agent;
 
   private constructor(options: Options) {
     this.#options = options;
-    const { connectTimeout: connectTime = CONNECT_TIME } = options;
-    // No pipelining: a connection carries one call at a time.
+    const { connectTimeout = DEFAULT_CONNECT_TIMEOUT_MS } = options;
+    // No HTTP pipelining: a connection carries one call at a time.
     this.#agent = new undici.Agent({
       pipelining: 1,
-      connect: connector.create({ timeout: connectTime }),
+      connect: connector.create({ timeout: connectTimeout }),
     });
   }
 
@@ -57,36 +57,38 @@
     return new EndpointClient(options);
   }
 
-  /** Starts a call; the returned function cancels it without another word. */
-  call(made: call.Call, listener: call.Listener): runtime.Cancel {
-    const { clock, metrics, answerBytes = ANSWER_BYTES } = this.#options;
-    const chosen = handlers[made.input.type] as handler.Handler;
-    const hears = new receiver.CallReceiver(made, {
+  /** Starts a call; the returned function cancels it without notifying the
+   * listener. */
+  call(call: call.Call, listener: call.Listener): runtime.Cancel {
+    const { clock, metrics, answerBytes = DEFAULT_MAX_ANSWER_BYTES } =
+      this.#options;
+    const callHandler = handlers[call.input.type] as handler.Handler;
+    const callReceiver = new receiver.CallReceiver(call, {
       listener,
       metrics,
       clock,
-      handler: chosen,
+      handler: callHandler,
     });
-    const sent = chosen.build(made.input, made);
-    Object.assign(sent.headers, headersOf(made, clock.now()));
+    const sent = callHandler.build(call.input, call);
+    Object.assign(sent.headers, headersOf(call, clock.now()));
     metrics.count("call.started");
-    const started = exchange.Exchange.start(sent, {
+    const callExchange = exchange.Exchange.start(sent, {
       dispatcher: this.#agent,
       clock,
-      url: made.url,
-      deadline: made.deadline,
-      idleTimeout: made.idleTimeout,
+      url: call.url,
+      deadline: call.deadline,
+      idleTimeout: call.idleTimeout,
       maxBytes: answerBytes,
-      receiver: hears,
+      receiver: callReceiver,
     });
-    hears.attach(started);
+    callReceiver.attach(callExchange);
     return () => {
       metrics.count("call.cancelled");
-      started.cancel();
+      callExchange.cancel();
     };
   }
 
-  /** Listens to what endpoints publish, once it is told of endpoints. */
+  /** Creates subscriptions to endpoints' events, without any endpoint yet. */
   listen(
     { random, take }: Pick<subscription.Options, "random" | "take">,
   ): subscriptions.Subscriptions {
@@ -102,8 +104,8 @@
   }
 }
 
-function headersOf(made: call.Call, now: number): Record<string, string> {
-  const { attempt, stage, deadline, priority } = made;
+function headersOf(call: call.Call, now: number): Record<string, string> {
+  const { attempt, stage, deadline, priority } = call;
   return {
     "x-request-id": attempt.request,
     "x-stage": stage,
--- a/src/endpoint_calls/endpoint_client_test.ts
+++ b/src/endpoint_calls/endpoint_client_test.ts
@@ -7,24 +7,27 @@
 import * as runtime from "../runtime/mod.ts";
 import * as telemetry from "../telemetry/mod.ts";
 
-type Serve = (
+type RequestHandler = (
   incoming: http.IncomingMessage,
   response: http.ServerResponse,
 ) => void;
 
-interface Listening {
+interface TestServer {
   url: string;
-  /** Port that each request came from. */
+  /** Remote port of each request. */
   ports: readonly (number | undefined)[];
   close: () => void;
 }
 
-function listen(t: ava.ExecutionContext, serve: Serve): Promise<Listening> {
+function listen(
+  t: ava.ExecutionContext,
+  handle: RequestHandler,
+): Promise<TestServer> {
   const ports: (number | undefined)[] = [];
   const server = http.createServer((incoming, response) => {
     incoming.resume();
     ports.push(incoming.socket.remotePort);
-    incoming.on("end", () => serve(incoming, response));
+    incoming.on("end", () => handle(incoming, response));
   });
   return new Promise((resolve) =>
     server.listen(0, "127.0.0.1", () => {
@@ -92,13 +95,13 @@
 }
 
 function start(
-  pool: endpointCalls.EndpointClient,
-  made: endpointCalls.Call,
+  client: endpointCalls.EndpointClient,
+  newCall: endpointCalls.Call,
 ): Running {
   const tokens: string[] = [];
   let cancel = () => {};
   const end = new Promise<End>((resolve) => {
-    cancel = pool.call(made, {
+    cancel = client.call(newCall, {
       token: (offset, text) => tokens.push(`${offset}${text}`),
       answer: (result) => resolve({ type: "answer", result, tokens }),
       fail: (failure) => resolve({ type: "fail", failure, tokens }),
@@ -110,7 +113,7 @@
 function create(clock: runtime.Clock = new runtime.FakeClock()) {
   const tally = new telemetry.Tally();
   const options = { clock, metrics: tally, answerBytes: 1000 };
-  return { pool: endpointCalls.EndpointClient.create(options), tally };
+  return { client: endpointCalls.EndpointClient.create(options), tally };
 }
 
 function chunk(offset: number, text: string, more: object = {}): string {
@@ -121,64 +124,64 @@
 
 const last = chunk(2, "", { "finish_reason": "stop", usage: {} });
 
-test("a refused connection proves that nothing ran", async (t) => {
+test("a call to a closed port has the outcome not-run", async (t) => {
   const { url, close } = await listen(t, () => {});
   close();
-  const { pool } = create();
-  const end = await start(pool, callOf(url)).end;
+  const { client } = create();
+  const end = await start(client, callOf(url)).end;
   t.like(end, { failure: { reason: "connection", outcome: "not-run" } });
 });
 
-test("a connection cut after sending leaves the outcome unknown", async (t) => {
+test("a connection closed after sending leaves the outcome unknown", async (t) => {
   const server = await listen(t, (_incoming, response) => response.destroy());
-  const { pool } = create();
-  const end = await start(pool, callOf(server.url)).end;
+  const { client } = create();
+  const end = await start(client, callOf(server.url)).end;
   t.like(end, { failure: { reason: "connection", outcome: "unknown" } });
 });
 
-test("believes an endpoint that says it did not start", async (t) => {
+test("accepts an endpoint's statement that a call was not run", async (t) => {
   const server = await listen(t, (_incoming, response) => {
     const headers = { ...echo, "x-outcome": "not-run", "retry-after": "2" };
     response.writeHead(429, headers).end();
   });
-  const { pool } = create();
-  const end = await start(pool, callOf(server.url)).end;
+  const { client } = create();
+  const end = await start(client, callOf(server.url)).end;
   const failure = { reason: "refused", outcome: "not-run", retryAfter: 2000 };
   t.like(end, { failure });
 });
 
-test("counts and drops an answer to another call", async (t) => {
+test("counts and rejects an answer to another call", async (t) => {
   const server = await listen(t, (_incoming, response) => {
     response.writeHead(200, { ...echo, "x-attempt": "2" }).end("another's");
   });
-  const { pool, tally } = create();
-  const end = await start(pool, callOf(server.url)).end;
+  const { client, tally } = create();
+  const end = await start(client, callOf(server.url)).end;
   t.like(end, { failure: { reason: "mismatch", outcome: "unknown" } });
   t.is(tally.total("call.mismatched"), 1);
 });
 
-test("drops a body that carries another call's id", async (t) => {
+test("rejects a body with the id of another call", async (t) => {
   const server = await listen(t, (_incoming, response) => {
     response.writeHead(200, echo).end('{"id":"r2/s/1","documents":[]}');
   });
-  const { pool } = create();
+  const { client } = create();
   const input = inputs.retriever;
-  const end = await start(pool, callOf(server.url, { input })).end;
+  const end = await start(client, callOf(server.url, { input })).end;
   t.like(end, { failure: { reason: "mismatch" } });
 });
 
-test("lets a plain service use ids of its own", async (t) => {
+test("accepts a plain service's own ids", async (t) => {
   for (const body of ['{"id":"r1/s/1"}', '{"id":"17"}', "{", "[]", ""]) {
     const server = await listen(t, (_incoming, response) => {
       response.writeHead(200, echo).end(body);
     });
-    const { pool } = create();
-    const end = await start(pool, callOf(server.url)).end;
+    const { client } = create();
+    const end = await start(client, callOf(server.url)).end;
     t.is(end.type, "answer", body);
   }
 });
 
-test("takes no malformed or incomplete answer", async (t) => {
+test("rejects malformed and incomplete answers", async (t) => {
   const bodies: [endpointCalls.Input, string][] = [
     [inputs.encoder, '{"id":"r1/s/1","data":[{"index":0,"embedding":[1]}]}'],
     [
@@ -200,80 +203,80 @@
     const server = await listen(t, (_incoming, response) => {
       response.writeHead(200, echo).end(body);
     });
-    const { pool } = create();
-    const end = await start(pool, callOf(server.url, { input })).end;
+    const { client } = create();
+    const end = await start(client, callOf(server.url, { input })).end;
     t.is(end.type, "fail", body);
   }
 });
 
-test("reports tokens as they come, and where a stream broke", async (t) => {
+test("reports each token, and the number received before a stream breaks", async (t) => {
   const server = await listen(t, (_incoming, response) => {
     response.writeHead(200, echo);
     response.write(chunk(0, " a") + chunk(1, " b").slice(0, 30));
     response.write(chunk(1, " b").slice(30), () => response.destroy());
   });
-  const { pool } = create();
+  const { client } = create();
   const input = inputs.engine;
-  const end = await start(pool, callOf(server.url, { input })).end;
+  const end = await start(client, callOf(server.url, { input })).end;
   t.deepEqual(end.tokens, ["0 a", "1 b"]);
   t.like(end, { failure: { reason: "broken-stream", received: 2 } });
 });
 
-test("ends a stream only when all of it came", async (t) => {
+test("completes a stream only when its end marker has arrived", async (t) => {
   const server = await listen(t, (_incoming, response) => {
     response.writeHead(200, echo);
     response.end(chunk(0, " a") + chunk(1, " b") + last + "data: [DONE]\n\n");
   });
-  const { pool } = create();
+  const { client } = create();
   const input = inputs.engine;
-  const end = await start(pool, callOf(server.url, { input })).end;
+  const end = await start(client, callOf(server.url, { input })).end;
   t.like(end, { type: "answer", tokens: ["0 a", "1 b"] });
 });
 
-test("a silent connection is given up and not used again", async (t) => {
+test("a call times out on an idle connection, which is not reused", async (t) => {
   const clock = new runtime.FakeClock();
   let silent = true;
-  let heard = () => {};
+  let onArrived = () => {};
   const server = await listen(t, (_incoming, response) => {
-    if (silent) return heard();
+    if (silent) return onArrived();
     response.writeHead(200, echo).end("fine");
   });
-  const { pool } = create(clock);
-  const arrived = new Promise<void>((resolve) => heard = resolve);
-  const first = start(pool, callOf(server.url, { idleTimeout: 400 }));
+  const { client } = create(clock);
+  const arrived = new Promise<void>((resolve) => onArrived = resolve);
+  const first = start(client, callOf(server.url, { idleTimeout: 400 }));
   await arrived;
   clock.advance(400);
   t.like(await first.end, {
     failure: { reason: "silent", outcome: "unknown" },
   });
   silent = false;
-  t.like(await start(pool, callOf(server.url)).end, { type: "answer" });
+  t.like(await start(client, callOf(server.url)).end, { type: "answer" });
   const [one, other] = server.ports;
   t.not(one, other);
 });
 
-test("a call ends at its deadline", async (t) => {
+test("a call fails at its deadline", async (t) => {
   const clock = new runtime.FakeClock();
-  let heard = () => {};
-  const arrived = new Promise<void>((resolve) => heard = resolve);
-  const server = await listen(t, () => heard());
-  const { pool } = create(clock);
-  const running = start(pool, callOf(server.url, { deadline: 250 }));
+  let onArrived = () => {};
+  const arrived = new Promise<void>((resolve) => onArrived = resolve);
+  const server = await listen(t, () => onArrived());
+  const { client } = create(clock);
+  const running = start(client, callOf(server.url, { deadline: 250 }));
   await arrived;
   clock.advance(250);
   const failure = { reason: "deadline", outcome: "unknown" };
   t.like(await running.end, { failure });
 });
 
-test("a cancelled call closes its connection and says no more", async (t) => {
-  let heard = () => {};
-  const arrived = new Promise<void>((resolve) => heard = resolve);
+test("a cancelled call closes its connection without notifying the listener", async (t) => {
+  let onArrived = () => {};
+  const arrived = new Promise<void>((resolve) => onArrived = resolve);
   const closed = new Promise<void>((resolve) => {
     listen(t, (_incoming, response) => {
       response.on("close", () => resolve());
-      heard();
+      onArrived();
     }).then((server) => {
-      const running = start(create().pool, callOf(server.url));
+      const running = start(create().client, callOf(server.url));
       running.end.then(() => t.fail());
       arrived.then(() => running.cancel());
     });
--- a/src/endpoint_calls/endpoint_events.ts
+++ b/src/endpoint_calls/endpoint_events.ts
@@ -1,7 +1,7 @@
-/** Events that endpoints publish, checked.
+/** Parses and validates events that endpoints publish.
  * @module */
 
-/** Load as an endpoint reports it. */
+/** Load report of an endpoint. */
 export interface LoadReport {
   /** Milliseconds of the endpoint's own clock. */
   at: number;
@@ -17,18 +17,18 @@
   removed: readonly string[];
 }
 
-/** Reads a load report; undefined when it is malformed. */
+/** Parses a load report; undefined when it is malformed. */
 export function parseLoad(data: string): LoadReport | undefined {
   const read = parse(data);
   const { at, running, waiting, kvUsed = 0 } = read;
-  if (!isNumber(at) || !isAmount(running) || !isAmount(waiting)) {
+  if (!isNumber(at) || !isNonNegative(running) || !isNonNegative(waiting)) {
     return undefined;
   }
-  if (!isAmount(kvUsed)) return undefined;
+  if (!isNonNegative(kvUsed)) return undefined;
   return { at, running, waiting, kvUsed: Math.min(1, kvUsed) };
 }
 
-/** Reads a change of a cache; undefined when it is malformed. */
+/** Parses a cache change; undefined when it is malformed. */
 export function parseCache(data: string): CacheReport | undefined {
   const { sequence, stored = [], removed = [] } = parse(data);
   if (!Number.isSafeInteger(sequence)) return undefined;
@@ -49,7 +49,7 @@
   return typeof value === "number" && Number.isFinite(value);
 }
 
-function isAmount(value: unknown): value is number {
+function isNonNegative(value: unknown): value is number {
   return isNumber(value) && value >= 0;
 }
 
--- a/src/endpoint_calls/engine.ts
+++ b/src/endpoint_calls/engine.ts
@@ -1,4 +1,4 @@
-/** Handler of model engines: completions streamed as server-sent events.
+/** Handler for model engines: completions streamed as server-sent events.
  * @module */
 
 import * as eventsource from "eventsource-parser";
@@ -15,7 +15,7 @@
   usage?: json.Usage;
 }
 
-/** Talks to model engines. */
+/** Handler for model engines. */
 export const engine: handler.Handler<call.Input & { type: "engine" }> = {
   build({ model, prompt, maxTokens }, { attempt, priority }) {
     return json.post("/v1/completions", {
@@ -27,28 +27,29 @@
       "resume_from": attempt.offset,
     });
   },
-  createReader: (made, _head, token) => new EngineReader(made, token),
+  createReader: (sentCall, _head, onToken) =>
+    new EngineReader(sentCall, onToken),
 };
 
-const DONE = "[DONE]";
+const END_MARKER = "[DONE]";
 
-/** Reads one token from each chunk; offsets must follow on one another. */
+/** Reads one token from each chunk and checks that offsets are consecutive. */
 class EngineReader implements handler.Reader {
   readonly #id: string;
-  readonly #take: handler.TakeToken;
+  readonly #onToken: handler.TakeToken;
   readonly #decoder = new stringDecoder.StringDecoder("utf8");
   readonly #parser: eventsource.EventSourceParser;
-  #next: number;
-  #finished = false;
-  #done = false;
+  #nextOffset: number;
+  #hasFinishReason = false;
+  #isDone = false;
   #usage: request.Usage | undefined;
 
-  constructor(made: call.Call, take: handler.TakeToken) {
-    this.#id = call.idOf(made);
-    this.#take = take;
-    this.#next = made.attempt.offset;
+  constructor(sentCall: call.Call, onToken: handler.TakeToken) {
+    this.#id = call.idOf(sentCall);
+    this.#onToken = onToken;
+    this.#nextOffset = sentCall.attempt.offset;
     this.#parser = eventsource.createParser({
-      onEvent: ({ data }) => this.#event(data),
+      onEvent: ({ data }) => this.#handleEvent(data),
     });
   }
 
@@ -57,34 +58,42 @@
   }
 
   end(): handler.ParsedAnswer {
-    if (!this.#done || !this.#finished || this.#usage === undefined) {
-      throw new call.CallError("broken-stream", "The stream is not whole");
+    if (!this.#isDone || !this.#hasFinishReason || this.#usage === undefined) {
+      throw new call.CallError(
+        "broken-stream",
+        "stream ended without finish reason, usage or end marker",
+      );
     }
     return { result: { type: "engine" }, usage: this.#usage };
   }
 
-  #event(data: string): void {
-    if (data === DONE) {
-      this.#done = true;
+  #handleEvent(data: string): void {
+    if (data === END_MARKER) {
+      this.#isDone = true;
       return;
     }
     const chunk = json.parse(data) as Chunk | null;
     if (chunk?.id !== this.#id) {
-      throw new call.CallError("mismatch", "The chunk is another call's");
+      throw new call.CallError("mismatch", "chunk has the id of another call");
     }
     const choice = chunk.choices?.[0];
     if (typeof choice?.text === "string" && choice.text !== "") {
-      this.#token(chunk.offset, choice.text);
+      this.#handleToken(chunk.offset, choice.text);
+    }
+    if (typeof choice?.["finish_reason"] === "string") {
+      this.#hasFinishReason = true;
     }
-    if (typeof choice?.["finish_reason"] === "string") this.#finished = true;
     if (chunk.usage !== undefined) this.#usage = json.usageOf(chunk.usage);
   }
 
-  #token(offset: unknown, text: string): void {
-    if (offset !== this.#next) {
-      throw new call.CallError("broken-stream", "A token is missing or twice");
+  #handleToken(offset: unknown, text: string): void {
+    if (offset !== this.#nextOffset) {
+      throw new call.CallError(
+        "broken-stream",
+        "token offset is not the next expected one",
+      );
     }
-    this.#next++;
-    this.#take(offset as number, text);
+    this.#nextOffset++;
+    this.#onToken(offset as number, text);
   }
 }
--- a/src/endpoint_calls/exchange.ts
+++ b/src/endpoint_calls/exchange.ts
@@ -1,8 +1,9 @@
-/** One HTTP exchange with an endpoint, bounded in time and size.
+/** One HTTP exchange with an endpoint, with limits of time and size.
  *
- * It knows whether a byte of the request may have left: undici says so before
- * it writes. An exchange that is cut short destroys its connection, so that
- * nobody else is given a connection that went silent or carries a late answer.
+ * It tracks whether any byte of the request may have been sent: undici reports
+ * the start of a request before it writes. An aborted exchange destroys its
+ * connection, so that no other call reuses a connection that is unresponsive or
+ * carries a late answer.
  * @module */
 
 import type * as undici from "undici";
@@ -13,21 +14,21 @@
 /** Headers of an answer, names in lower case. */
 export type Headers = Readonly<Record<string, string | string[] | undefined>>;
 
-/** Why an exchange ended without its whole answer. */
+/** Failure of an exchange, and whether the endpoint ran the request. */
 export interface ExchangeFailure {
   reason: request.FailureReason;
   outcome: request.Outcome;
 }
 
-/** Hears an exchange; after `end` or `fail` nothing more. */
+/** Receives the answer of an exchange; `end` or `fail` is the last call. */
 export interface Receiver {
   head(status: number, headers: Headers): void;
   data(chunk: Buffer): void;
   end(): void;
-  fail(broken: ExchangeFailure): void;
+  fail(failure: ExchangeFailure): void;
 }
 
-/** What is sent. */
+/** Request that is sent to the endpoint. */
 export interface OutgoingRequest {
   method: string;
   path: string;
@@ -35,17 +36,17 @@
   body?: string | Uint8Array;
 }
 
-/** Bounds and parts of an exchange. */
+/** Limits and dependencies of an exchange. */
 export interface Options {
   dispatcher: undici.Dispatcher;
   clock: runtime.Clock;
   /** Base URL of the endpoint. */
   url: string;
-  /** Milliseconds of the clock. */
+  /** Time of the clock in milliseconds. */
   deadline: number;
-  /** Milliseconds without a byte. */
+  /** Milliseconds without a byte after which the exchange fails. */
   idleTimeout: number;
-  /** Most bytes of an answer's body. */
+  /** Maximum size of the answer's body. */
   maxBytes: number;
   receiver: Receiver;
 }
@@ -53,68 +54,71 @@
 /** Origin and path of a base URL without a final slash. */
 const URL_PARTS = /^(https?:\/\/[^/?#]+)([^?#]*)$/;
 
-/** One exchange. */
+/** One HTTP request and its answer. */
 export class Exchange implements undici.Dispatcher.DispatchHandler {
   readonly #options: Options;
   #controller: undici.Dispatcher.DispatchController | undefined;
-  #started = false;
-  #headed = false;
-  /** Whether it is asked for a head alone. */
-  #isHead = false;
-  /** Whether the answer says by itself where it ends. */
+  #isStarted = false;
+  #hasResponseHead = false;
+  /** Whether the method is `HEAD`, whose answer has no body. */
+  #isHeadRequest = false;
+  /** Whether the answer's end is marked by a length or transfer encoding, not
+   * by the end of the connection. */
   #isFramed = true;
-  #done = false;
-  #bytes = 0;
-  #heard: number;
-  #silence: number;
+  #isDone = false;
+  #receivedBytes = 0;
+  #lastReceivedAt: number;
+  #idleTimeout: number;
   #cancelTimer: runtime.Cancel = () => {};
 
   private constructor(options: Options) {
     this.#options = options;
-    this.#heard = options.clock.now();
-    this.#silence = options.idleTimeout;
+    this.#lastReceivedAt = options.clock.now();
+    this.#idleTimeout = options.idleTimeout;
   }
 
-  /** Sends, and tells the receiver what comes. */
-  static start(sent: OutgoingRequest, options: Options): Exchange {
+  /** Sends a request and passes its answer to the receiver. */
+  static start(outgoing: OutgoingRequest, options: Options): Exchange {
     const exchange = new Exchange(options);
-    exchange.#watch();
-    exchange.#send(sent);
+    exchange.#checkTimeouts();
+    exchange.#send(outgoing);
     return exchange;
   }
 
-  /** Ends it without another word; cuts the connection if it was in use. */
+  /** Ends the exchange without notifying the receiver; destroys the connection
+   * if it is in use. */
   cancel(): void {
-    if (this.#done) return;
+    if (this.#isDone) return;
     this.#finish();
-    this.#cut("The call was cancelled");
+    this.#abort("call cancelled");
   }
 
-  /** Gives it up after so many milliseconds without a byte, from now on. */
-  setIdleTimeout(silence: number): void {
-    if (this.#done) return;
-    this.#silence = silence;
+  /** Changes the time in milliseconds without a byte after which the exchange
+   * fails. */
+  setIdleTimeout(idleTimeout: number): void {
+    if (this.#isDone) return;
+    this.#idleTimeout = idleTimeout;
     this.#cancelTimer();
-    this.#watch();
+    this.#checkTimeouts();
   }
 
-  /** Ends it as broken; cuts the connection. */
+  /** Fails the exchange and destroys the connection. */
   break(reason: request.FailureReason): void {
-    if (this.#done) return;
-    const outcome = this.#started ? "unknown" : "not-run";
+    if (this.#isDone) return;
+    const outcome = this.#isStarted ? "unknown" : "not-run";
     this.#finish();
-    this.#cut(`The call is given up: ${reason}`);
+    this.#abort(`call failed: ${reason}`);
     this.#options.receiver.fail({ reason, outcome });
   }
 
   onRequestStart(controller: undici.Dispatcher.DispatchController): void {
     this.#controller = controller;
-    if (this.#done) {
-      // Given up while it waited for a connection: undici writes nothing.
-      controller.abort(new Error("The call was given up"));
+    if (this.#isDone) {
+      // Ended while waiting for a connection: undici sends nothing.
+      controller.abort(new Error("call ended before it was sent"));
       return;
     }
-    this.#started = true;
+    this.#isStarted = true;
   }
 
   onResponseStart(
@@ -122,10 +126,10 @@
     status: number,
     headers: Headers,
   ): void {
-    this.#heard = this.#options.clock.now();
-    if (this.#done || status < 200) return;
-    this.#headed = true;
-    this.#isFramed = this.#isHead || status === 204 || status === 304 ||
+    this.#lastReceivedAt = this.#options.clock.now();
+    if (this.#isDone || status < 200) return;
+    this.#hasResponseHead = true;
+    this.#isFramed = this.#isHeadRequest || status === 204 || status === 304 ||
       headers["content-length"] !== undefined ||
       headers["transfer-encoding"] !== undefined;
     this.#options.receiver.head(status, headers);
@@ -135,27 +139,29 @@
     _controller: undici.Dispatcher.DispatchController,
     chunk: Buffer,
   ): void {
-    if (this.#done) return;
-    this.#heard = this.#options.clock.now();
-    this.#bytes += chunk.length;
-    if (this.#bytes > this.#options.maxBytes) return this.break("error");
+    if (this.#isDone) return;
+    this.#lastReceivedAt = this.#options.clock.now();
+    this.#receivedBytes += chunk.length;
+    if (this.#receivedBytes > this.#options.maxBytes) {
+      return this.break("error");
+    }
     this.#options.receiver.data(chunk);
   }
 
   onResponseEnd(): void {
-    if (this.#done) return;
+    if (this.#isDone) return;
     if (this.#isFramed) return this.#end();
     const ending = connector.currentEndCheck();
     if (ending === undefined) return this.break("broken-stream");
     void ending.then((isInOrder) => {
-      if (this.#done) return;
+      if (this.#isDone) return;
       if (isInOrder) this.#end();
       else this.break("broken-stream");
     });
   }
 
   onResponseError(): void {
-    this.break(this.#headed ? "broken-stream" : "connection");
+    this.break(this.#hasResponseHead ? "broken-stream" : "connection");
   }
 
   #end(): void {
@@ -163,46 +169,47 @@
     this.#options.receiver.end();
   }
 
-  #send(sent: OutgoingRequest): void {
-    this.#isHead = sent.method === "HEAD";
-    if (this.#done) return;
+  #send(outgoing: OutgoingRequest): void {
+    this.#isHeadRequest = outgoing.method === "HEAD";
+    if (this.#isDone) return;
     const { dispatcher, url } = this.#options;
     const [, origin, base] = URL_PARTS.exec(url) ?? [];
     if (origin === undefined) return this.break("connection");
-    const asked = {
+    const request = {
       origin,
-      path: base + sent.path,
-      method: sent.method as undici.Dispatcher.HttpMethod,
-      headers: sent.headers,
-      body: sent.body ?? null,
+      path: base + outgoing.path,
+      method: outgoing.method as undici.Dispatcher.HttpMethod,
+      headers: outgoing.headers,
+      body: outgoing.body ?? null,
       headersTimeout: 0,
       bodyTimeout: 0,
     };
     try {
-      dispatcher.dispatch(asked, this);
+      dispatcher.dispatch(request, this);
     } catch {
       this.break("connection");
     }
   }
 
-  /** Wakes when the deadline or, if nothing is heard, the bound is reached. */
-  #watch(): void {
+  /** Fails the exchange at its deadline or idle timeout; otherwise schedules the
+   * next check. */
+  #checkTimeouts(): void {
     const { clock, deadline } = this.#options;
-    const silence = this.#silence;
+    const idleTimeout = this.#idleTimeout;
     const now = clock.now();
     if (now >= deadline) return this.break("deadline");
-    const silentAt = this.#heard + silence;
-    if (now >= silentAt) return this.break("silent");
-    const next = Math.min(deadline, silentAt);
-    this.#cancelTimer = clock.after(next - now, () => this.#watch());
+    const idleAt = this.#lastReceivedAt + idleTimeout;
+    if (now >= idleAt) return this.break("silent");
+    const next = Math.min(deadline, idleAt);
+    this.#cancelTimer = clock.after(next - now, () => this.#checkTimeouts());
   }
 
   #finish(): void {
-    this.#done = true;
+    this.#isDone = true;
     this.#cancelTimer();
   }
 
-  #cut(message: string): void {
+  #abort(message: string): void {
     this.#controller?.abort(new Error(message));
   }
 }
--- a/src/endpoint_calls/handler.ts
+++ b/src/endpoint_calls/handler.ts
@@ -1,4 +1,4 @@
-/** What differs between the kinds of endpoints.
+/** Interface of the handlers for the kinds of endpoints.
  * @module */
 
 import type * as call from "./call.ts";
@@ -11,27 +11,28 @@
   headers: exchange.Headers;
 }
 
-/** A whole answer, read. */
+/** Result and usage of a complete answer. */
 export interface ParsedAnswer {
   result: call.Result;
   usage: request.Usage;
 }
 
-/** Takes the body of an answer as it comes. */
+/** Incremental reader of an answer's body. */
 export interface Reader {
   feed(chunk: Buffer): void;
-  /** Throws a `CallError` when the answer is not whole or not ours. */
+  /** Throws a `CallError` when the answer is incomplete or belongs to another
+   * call. */
   end(): ParsedAnswer;
 }
 
-/** Takes a token as it comes. */
+/** Receives each token of a stream. */
 export type TakeToken = call.Listener["token"];
 
-/** Talks to one kind of endpoint. */
+/** Builds requests and reads answers for one kind of endpoint. */
 export interface Handler<I extends call.Input = call.Input> {
-  /** What is sent, less the headers that every call carries. */
-  build(input: I, made: call.Call): exchange.OutgoingRequest;
-  createReader(made: call.Call, head: Head, token: TakeToken): Reader;
-  /** Whether a status other than 2xx is an answer like any other. */
+  /** Builds a request without the headers common to all calls. */
+  build(input: I, call: call.Call): exchange.OutgoingRequest;
+  createReader(call: call.Call, head: Head, onToken: TakeToken): Reader;
+  /** Whether answers with a status other than 2xx are valid. */
   acceptsAnyStatus?: boolean;
 }
--- a/src/endpoint_calls/json.ts
+++ b/src/endpoint_calls/json.ts
@@ -1,4 +1,5 @@
-/** Handlers of the kinds that answer with one JSON document.
+/** Handlers for encoders, retrievers and rerankers, which answer with one JSON
+ * document.
  * @module */
 
 import * as call from "./call.ts";
@@ -19,41 +20,41 @@
   usage?: Usage;
 }
 
-type Parse = (body: unknown, made: call.Call) => call.Result;
+type Parse = (body: unknown, sentCall: call.Call) => call.Result;
 
-/** Talks to encoders. */
+/** Handler for encoders. */
 export const encoder: handler.Handler<call.Input & { type: "encoder" }> = {
   build: ({ model, texts }) => post("/v1/embeddings", { model, input: texts }),
-  createReader: (made) => new JsonReader(made, parseEmbeddings),
+  createReader: (sentCall) => new JsonReader(sentCall, parseEmbeddings),
 };
 
-/** Talks to retrievers. */
+/** Handler for retrievers. */
 export const retriever: handler.Handler<call.Input & { type: "retriever" }> = {
   build: ({ embedding, text, top }) =>
     post("/v1/retrieve", { embedding, text, top }),
-  createReader: (made) => new JsonReader(made, parseDocuments),
+  createReader: (sentCall) => new JsonReader(sentCall, parseDocuments),
 };
 
-/** Talks to rerankers. */
+/** Handler for rerankers. */
 export const reranker: handler.Handler<call.Input & { type: "reranker" }> = {
   build: ({ query, documents, top }) =>
     post("/v1/rerank", { query, documents, "top_n": top }),
-  createReader: (made) => new JsonReader(made, parseRanks),
+  createReader: (sentCall) => new JsonReader(sentCall, parseRanks),
 };
 
-/** A POST of a JSON document. */
+/** Builds a POST request with a JSON document. */
 export function post(path: string, body: unknown): exchange.OutgoingRequest {
   const headers = { "content-type": "application/json" };
   return { method: "POST", path, headers, body: JSON.stringify(body) };
 }
 
-/** Usage as endpoints report it; what they leave out counts as 0. */
+/** Converts reported usage; missing and invalid amounts count as 0. */
 export function usageOf(usage: Usage | undefined): request.Usage {
   return {
-    inputTokens: amount(usage?.prompt_tokens),
-    outputTokens: amount(usage?.completion_tokens),
-    cachedTokens: amount(usage?.cached_tokens),
-    engineTime: amount(usage?.engine_ms),
+    inputTokens: amountOf(usage?.prompt_tokens),
+    outputTokens: amountOf(usage?.completion_tokens),
+    cachedTokens: amountOf(usage?.cached_tokens),
+    engineTime: amountOf(usage?.engine_ms),
   };
 }
 
@@ -62,17 +63,17 @@
   try {
     return JSON.parse(text);
   } catch {
-    throw new call.CallError("error", "The answer is not JSON");
+    throw new call.CallError("error", "answer is not JSON");
   }
 }
 
 class JsonReader implements handler.Reader {
-  readonly #made: call.Call;
+  readonly #call: call.Call;
   readonly #parse: Parse;
   readonly #chunks: Buffer[] = [];
 
-  constructor(made: call.Call, parse: Parse) {
-    this.#made = made;
+  constructor(sentCall: call.Call, parse: Parse) {
+    this.#call = sentCall;
     this.#parse = parse;
   }
 
@@ -82,23 +83,23 @@
 
   end(): handler.ParsedAnswer {
     const body = parse(Buffer.concat(this.#chunks).toString()) as Body | null;
-    if (body?.id !== call.idOf(this.#made)) {
-      throw new call.CallError("mismatch", "The answer is another call's");
+    if (body?.id !== call.idOf(this.#call)) {
+      throw new call.CallError("mismatch", "answer has the id of another call");
     }
-    const result = this.#parse(body, this.#made);
+    const result = this.#parse(body, this.#call);
     return { result, usage: usageOf(body.usage) };
   }
 }
 
-function parseEmbeddings(body: unknown, made: call.Call): call.Result {
-  const { texts } = made.input as call.Input & { type: "encoder" };
+function parseEmbeddings(body: unknown, sentCall: call.Call): call.Result {
+  const { texts } = sentCall.input as call.Input & { type: "encoder" };
   const { data } = body as { data?: { index: number; embedding: number[] }[] };
-  demand(Array.isArray(data) && data.length === texts.length);
+  requireValid(Array.isArray(data) && data.length === texts.length);
   const embeddings: number[][] = new Array(texts.length);
   for (const each of data!) {
-    demand(isPosition(each?.index, texts.length));
-    demand(embeddings[each.index] === undefined);
-    demand(isNumbers(each.embedding));
+    requireValid(isPosition(each?.index, texts.length));
+    requireValid(embeddings[each.index] === undefined);
+    requireValid(isNumbers(each.embedding));
     embeddings[each.index] = each.embedding;
   }
   return { type: "encoder", embeddings };
@@ -106,32 +107,39 @@
 
 function parseDocuments(body: unknown): call.Result {
   const { documents } = body as { documents?: call.Document[] };
-  demand(Array.isArray(documents));
+  requireValid(Array.isArray(documents));
   for (const each of documents!) {
-    demand(typeof each?.id === "string" && typeof each.text === "string");
-    demand(typeof each.score === "number");
+    requireValid(typeof each?.id === "string" && typeof each.text === "string");
+    requireValid(typeof each.score === "number");
   }
   return { type: "retriever", documents: documents! };
 }
 
-function parseRanks(body: unknown, made: call.Call): call.Result {
-  const asked = made.input as call.Input & { type: "reranker" };
+function parseRanks(body: unknown, sentCall: call.Call): call.Result {
+  const rerankerInput = sentCall.input as call.Input & { type: "reranker" };
   const { results } = body as {
     results?: { index: number; "relevance_score": number }[];
   };
-  demand(Array.isArray(results));
+  requireValid(Array.isArray(results));
   const ranks = results!.map((each) => {
-    demand(isPosition(each?.index, asked.documents.length));
-    demand(typeof each["relevance_score"] === "number");
+    requireValid(isPosition(each?.index, rerankerInput.documents.length));
+    requireValid(typeof each["relevance_score"] === "number");
     return { index: each.index, score: each["relevance_score"] };
   });
-  demand(new Set(ranks.map(({ index }) => index)).size === ranks.length);
-  demand(ranks.length >= Math.min(asked.top, asked.documents.length));
+  requireValid(new Set(ranks.map(({ index }) => index)).size === ranks.length);
+  requireValid(
+    ranks.length >= Math.min(rerankerInput.top, rerankerInput.documents.length),
+  );
   return { type: "reranker", ranks };
 }
 
-function demand(holds: boolean): void {
-  if (!holds) throw new call.CallError("error", "The answer is malformed");
+function requireValid(holds: boolean): void {
+  if (!holds) {
+    throw new call.CallError(
+      "error",
+      "answer does not have the expected fields",
+    );
+  }
 }
 
 function isPosition(value: unknown, bound: number): boolean {
@@ -144,7 +152,7 @@
     value.every((each) => typeof each === "number");
 }
 
-function amount(value: unknown): number {
+function amountOf(value: unknown): number {
   return typeof value === "number" && Number.isFinite(value) && value > 0
     ? value
     : 0;
--- a/src/endpoint_calls/mod.ts
+++ b/src/endpoint_calls/mod.ts
@@ -1,4 +1,4 @@
-/** HTTP towards endpoints, one handler for each kind.
+/** HTTP client for endpoints, with one handler for each kind.
  * @module */
 
 export * from "./endpoint_client.ts";
--- a/src/endpoint_calls/plain.ts
+++ b/src/endpoint_calls/plain.ts
@@ -1,4 +1,5 @@
-/** Handler of plain services: calls and answers pass as they are.
+/** Handler for plain services, which forwards calls and answers unchanged except
+ * for some headers.
  * @module */
 
 import * as call from "./call.ts";
@@ -12,8 +13,9 @@
   engineTime: 0,
 };
 
-/** Headers of one connection, secrets of callers, and our own ids. */
-const DROPPED: ReadonlySet<string> = new Set([
+/** Headers that are not forwarded: hop-by-hop headers, callers' credentials and
+ * this system's ids. */
+const DROPPED_HEADERS: ReadonlySet<string> = new Set([
   "authorization",
   "connection",
   "content-length",
@@ -34,23 +36,23 @@
   "x-stage",
 ]);
 
-/** Talks to plain services. */
+/** Handler for plain services. */
 export const plain: handler.Handler<call.PlainInput> = {
   acceptsAnyStatus: true,
   build({ method, path, headers, body }) {
-    const sent = { method, path, headers: passed(headers) };
+    const sent = { method, path, headers: forwardedHeaders(headers) };
     return body.length > 0 ? { ...sent, body } : sent;
   },
-  createReader: (made, head) => new PlainReader(made, head),
+  createReader: (sentCall, head) => new PlainReader(sentCall, head),
 };
 
 class PlainReader implements handler.Reader {
-  readonly #made: call.Call;
+  readonly #call: call.Call;
   readonly #head: handler.Head;
   readonly #chunks: Buffer[] = [];
 
-  constructor(made: call.Call, head: handler.Head) {
-    this.#made = made;
+  constructor(sentCall: call.Call, head: handler.Head) {
+    this.#call = sentCall;
     this.#head = head;
   }
 
@@ -60,37 +62,37 @@
 
   end(): handler.ParsedAnswer {
     const { status } = this.#head;
-    const headers = passed(this.#head.headers);
+    const headers = forwardedHeaders(this.#head.headers);
     const body = Buffer.concat(this.#chunks);
-    const echoed = echoOf(body);
-    if (echoed !== undefined && echoed !== call.idOf(this.#made)) {
-      throw new call.CallError("mismatch", "The answer is another call's");
+    const callId = callIdIn(body);
+    if (callId !== undefined && callId !== call.idOf(this.#call)) {
+      throw new call.CallError("mismatch", "answer has the id of another call");
     }
     const result = { type: "plain" as const, status, headers, body };
     return { result, usage: NO_USAGE };
   }
 }
 
-/** Form of the id that the body of an answer carries. */
-const ECHO = /^[^/]+\/[^/]+\/\d+$/;
-const BRACE = "{".charCodeAt(0);
+/** Form of a call's id in the body of an answer. */
+const CALL_ID = /^[^/]+\/[^/]+\/\d+$/;
+const OPENING_BRACE = "{".charCodeAt(0);
 
-/** The id of a call that a JSON body carries. A service may answer anything
- * else, or use `id` for its own purposes: then the headers have to do. */
-function echoOf(body: Buffer): string | undefined {
-  if (body[0] !== BRACE) return undefined;
+/** Finds the id of a call in a JSON body. A service may answer with any other
+ * body or use `id` for its own purposes; then only the headers are checked. */
+function callIdIn(body: Buffer): string | undefined {
+  if (body[0] !== OPENING_BRACE) return undefined;
   try {
     const { id } = JSON.parse(body.toString());
-    return typeof id === "string" && ECHO.test(id) ? id : undefined;
+    return typeof id === "string" && CALL_ID.test(id) ? id : undefined;
   } catch {
     return undefined;
   }
 }
 
-function passed(headers: exchange.Headers): Record<string, string> {
+function forwardedHeaders(headers: exchange.Headers): Record<string, string> {
   const kept: Record<string, string> = {};
   for (const [name, value] of Object.entries(headers)) {
-    if (value === undefined || DROPPED.has(name)) continue;
+    if (value === undefined || DROPPED_HEADERS.has(name)) continue;
     kept[name] = Array.isArray(value) ? value.join(", ") : value;
   }
   return kept;
--- a/src/endpoint_calls/receiver.ts
+++ b/src/endpoint_calls/receiver.ts
@@ -1,5 +1,5 @@
-/** Turns one exchange into tokens and one answer or failure, after checking
- * that it is ours.
+/** Converts the answer of an exchange to tokens and one answer or failure, and
+ * checks that it belongs to the call.
  * @module */
 
 import * as call from "./call.ts";
@@ -9,7 +9,7 @@
 import type * as runtime from "../runtime/mod.ts";
 import type * as telemetry from "../telemetry/mod.ts";
 
-/** Who hears, and who reads. */
+/** Dependencies of a receiver. */
 export interface Options {
   listener: call.Listener;
   metrics: telemetry.Metrics;
@@ -21,52 +21,52 @@
 
 /** Receiver of one call. */
 export class CallReceiver implements exchange.Receiver {
-  readonly #made: call.Call;
+  readonly #call: call.Call;
   readonly #options: Options;
   #exchange: exchange.Exchange | undefined;
   #reader: handler.Reader | undefined;
-  #failed = false;
+  #hasFailed = false;
   #received: number;
   #retryAfter: number | undefined;
 
-  constructor(made: call.Call, options: Options) {
-    this.#made = made;
+  constructor(sentCall: call.Call, options: Options) {
+    this.#call = sentCall;
     this.#options = options;
-    this.#received = made.attempt.offset;
+    this.#received = sentCall.attempt.offset;
   }
 
-  /** Names the exchange that is cut when its answer is of no use. */
+  /** Sets the exchange that is cancelled when its answer is invalid. */
   attach(started: exchange.Exchange): void {
     this.#exchange = started;
   }
 
   head(status: number, headers: exchange.Headers): void {
     const { handler } = this.#options;
-    if (!echoes(this.#made, headers)) return this.#give("mismatch");
+    if (!hasIdsOf(this.#call, headers)) return this.#abort("mismatch");
     this.#retryAfter = retryAfterOf(headers);
     if (NOT_RUN_STATUSES.has(status) && headers["x-outcome"] === "not-run") {
-      return this.#give("refused", "not-run");
+      return this.#abort("refused", "not-run");
     }
-    const fine = status >= 200 && status < 300;
-    if (!fine && !handler.acceptsAnyStatus) return this.#give("error");
+    const isSuccess = status >= 200 && status < 300;
+    if (!isSuccess && !handler.acceptsAnyStatus) return this.#abort("error");
     this.#reader = handler.createReader(
-      this.#made,
+      this.#call,
       { status, headers },
       (offset, text) => this.#token(offset, text),
     );
   }
 
   data(chunk: Buffer): void {
-    if (this.#failed) return;
+    if (this.#hasFailed) return;
     try {
       this.#reader!.feed(chunk);
     } catch (error) {
-      this.#give(reasonOf(error));
+      this.#abort(reasonOf(error));
     }
   }
 
   end(): void {
-    if (this.#failed) return;
+    if (this.#hasFailed) return;
     const { listener, clock, metrics } = this.#options;
     let read: handler.ParsedAnswer;
     try {
@@ -75,13 +75,13 @@
       return this.fail({ reason: reasonOf(error), outcome: "unknown" });
     }
     metrics.count("call.answered");
-    metrics.time("call.duration", clock.now() - this.#made.attempt.started);
+    metrics.time("call.duration", clock.now() - this.#call.attempt.started);
     listener.answer(read.result, read.usage);
   }
 
   fail({ reason, outcome }: exchange.ExchangeFailure): void {
-    if (this.#failed) return;
-    this.#failed = true;
+    if (this.#hasFailed) return;
+    this.#hasFailed = true;
     const { listener, metrics } = this.#options;
     metrics.count("call.failed", 1, { reason });
     if (reason === "mismatch") metrics.count("call.mismatched");
@@ -93,16 +93,17 @@
 
   #token(offset: number, text: string): void {
     const { listener, clock, metrics } = this.#options;
-    const { started, offset: first } = this.#made.attempt;
-    if (this.#received === first) {
+    const { started, offset: firstOffset } = this.#call.attempt;
+    if (this.#received === firstOffset) {
       metrics.time("call.first_token", clock.now() - started);
     }
     this.#received = offset + 1;
     listener.token(offset, text);
   }
 
-  /** Fails at once and cuts the connection, whose rest is of no use. */
-  #give(
+  /** Fails the call and destroys the connection, since the rest of the answer
+   * is not needed. */
+  #abort(
     reason: request.FailureReason,
     outcome: request.Outcome = "unknown",
   ): void {
@@ -111,8 +112,8 @@
   }
 }
 
-function echoes(made: call.Call, headers: exchange.Headers): boolean {
-  const { attempt, stage } = made;
+function hasIdsOf(sentCall: call.Call, headers: exchange.Headers): boolean {
+  const { attempt, stage } = sentCall;
   return headers["x-request-id"] === attempt.request &&
     headers["x-stage"] === stage &&
     headers["x-attempt"] === String(attempt.attempt);
--- a/src/endpoint_calls/subscription.ts
+++ b/src/endpoint_calls/subscription.ts
@@ -1,4 +1,4 @@
-/** One endpoint's events, asked for again whenever they stop.
+/** Subscription to the events of one endpoint, with reconnects.
  * @module */
 
 import * as eventsource from "eventsource-parser";
@@ -6,92 +6,92 @@
 import type * as undici from "undici";
 import * as clockOffset from "./clock_offset.ts";
 import * as exchange from "./exchange.ts";
-import * as published from "./endpoint_events.ts";
+import * as endpointEvents from "./endpoint_events.ts";
 import type * as request from "../request/event.ts";
 import type * as runtime from "../runtime/mod.ts";
 import type * as telemetry from "../telemetry/mod.ts";
 
-/** Events that a dispatcher is told of. */
+/** Event of an endpoint, as passed to the dispatcher. */
 export type EndpointEvent = request.Event & { type: "load" | "cache" };
 
-/** Parts of subscriptions. */
+/** Dependencies of subscriptions. */
 export interface Options {
   dispatcher: undici.Dispatcher;
   clock: runtime.Clock;
   random: runtime.Random;
   metrics: telemetry.Metrics;
-  take(heard: EndpointEvent): void;
+  take(event: EndpointEvent): void;
 }
 
-/** An endpoint that may publish. */
+/** An endpoint that may publish events. */
 export interface Publisher {
   id: string;
   /** Base URL, without a final slash. */
   url: string;
 }
 
-/** Milliseconds without an event after which a connection counts as silent. */
-const SILENCE = 5000;
-/** Milliseconds until an endpoint that publishes nothing is asked again. */
-const UNPUBLISHED = 60_000;
-/** Milliseconds before the first reconnect, doubled for each further one. */
-const BACKOFF = 100;
-const MOST_BACKOFF = 10_000;
+/** Time without a byte after which the connection is replaced. */
+const IDLE_TIMEOUT_MS = 5000;
+/** Delay of the next request to an endpoint that does not publish events. */
+const UNSUPPORTED_RETRY_MS = 60_000;
+/** Base of the backoff before reconnects, doubled after each failure. */
+const INITIAL_BACKOFF_MS = 100;
+const MAX_BACKOFF_MS = 10_000;
 const EVENT_STREAM = "text/event-stream";
 
-type Take = (data: string) => boolean;
+type EventHandler = (data: string) => boolean;
 
 /** Subscription to one endpoint. */
 export class Subscription implements exchange.Receiver {
-  readonly #publisher: Publisher;
+  readonly #endpoint: Publisher;
   readonly #options: Options;
-  readonly #offset = clockOffset.ClockOffset.create();
+  readonly #clockOffset = clockOffset.ClockOffset.create();
   #decoder = new stringDecoder.StringDecoder("utf8");
   #parser: eventsource.EventSourceParser;
   #exchange: exchange.Exchange | undefined;
-  #sequence: number | undefined;
-  #failures = 0;
-  #published = false;
-  #closed = false;
+  #lastSequence: number | undefined;
+  #failureCount = 0;
+  #isStreaming = false;
+  #isClosed = false;
   #cancelTimer: runtime.Cancel = () => {};
 
-  private constructor(publisher: Publisher, options: Options) {
-    this.#publisher = publisher;
+  private constructor(endpoint: Publisher, options: Options) {
+    this.#endpoint = endpoint;
     this.#options = options;
     this.#parser = this.#createParser();
   }
 
-  static start(publisher: Publisher, options: Options): Subscription {
-    const started = new Subscription(publisher, options);
-    started.#open();
-    return started;
+  static start(endpoint: Publisher, options: Options): Subscription {
+    const subscription = new Subscription(endpoint, options);
+    subscription.#open();
+    return subscription;
   }
 
   get url(): string {
-    return this.#publisher.url;
+    return this.#endpoint.url;
   }
 
-  /** Ends it, and closes its connection. */
+  /** Ends the subscription and closes its connection. */
   close(): void {
-    this.#closed = true;
+    this.#isClosed = true;
     this.#cancelTimer();
     this.#exchange?.cancel();
   }
 
   head(status: number, headers: exchange.Headers): void {
     const type = String(headers["content-type"] ?? "");
-    this.#published = status === 200 && type.startsWith(EVENT_STREAM);
-    if (this.#published) {
+    this.#isStreaming = status === 200 && type.startsWith(EVENT_STREAM);
+    if (this.#isStreaming) {
       return this.#options.metrics.count("endpoint.subscribed");
     }
     this.#exchange?.cancel();
-    // It is there and has no events; anything else may pass.
-    if (status < 500 && status !== 429) this.#openAfter(UNPUBLISHED);
+    // Other than with 429 and 5xx, the endpoint is up but publishes no events.
+    if (status < 500 && status !== 429) this.#openAfter(UNSUPPORTED_RETRY_MS);
     else this.#reopen();
   }
 
   data(chunk: Buffer): void {
-    if (this.#published) this.#parser.feed(this.#decoder.write(chunk));
+    if (this.#isStreaming) this.#parser.feed(this.#decoder.write(chunk));
   }
 
   end(): void {
@@ -103,7 +103,7 @@
   }
 
   #open(): void {
-    if (this.#closed) return;
+    if (this.#isClosed) return;
     this.#decoder = new stringDecoder.StringDecoder("utf8");
     this.#parser = this.#createParser();
     const { dispatcher, clock } = this.#options;
@@ -114,20 +114,24 @@
       clock,
       url: this.url,
       deadline: Infinity,
-      idleTimeout: SILENCE,
+      idleTimeout: IDLE_TIMEOUT_MS,
       maxBytes: Infinity,
       receiver: this,
     });
   }
 
-  /** Backs off with full jitter, so that hosts don't come back together. */
+  /** Reconnects after a backoff with jitter, so that hosts do not reconnect at
+   * the same time. */
   #reopen(): void {
-    const doubled = Math.min(MOST_BACKOFF, BACKOFF * 2 ** this.#failures++);
-    this.#openAfter(BACKOFF + this.#options.random.next() * doubled);
+    const doubled = Math.min(
+      MAX_BACKOFF_MS,
+      INITIAL_BACKOFF_MS * 2 ** this.#failureCount++,
+    );
+    this.#openAfter(INITIAL_BACKOFF_MS + this.#options.random.next() * doubled);
   }
 
   #openAfter(delay: number): void {
-    if (this.#closed) return;
+    if (this.#isClosed) return;
     this.#cancelTimer();
     this.#cancelTimer = this.#options.clock.after(delay, () => this.#open());
   }
@@ -135,35 +139,37 @@
   #createParser(): eventsource.EventSourceParser {
     return eventsource.createParser({
       onEvent: ({ event = "", data }) => {
-        const take = this.#takers[event];
-        if (this.#closed || take === undefined) return;
-        this.#failures = 0;
+        const take = this.#eventHandlers[event];
+        if (this.#isClosed || take === undefined) return;
+        this.#failureCount = 0;
         if (take(data)) return;
         this.#options.metrics.count("endpoint.event_malformed");
       },
     });
   }
 
-  readonly #takers: Readonly<Record<string, Take>> = {
+  readonly #eventHandlers: Readonly<Record<string, EventHandler>> = {
     load: (data) => {
-      const read = published.parseLoad(data);
+      const read = endpointEvents.parseLoad(data);
       if (read === undefined) return false;
       const { clock, take } = this.#options;
-      const at = this.#offset.toHost(read.at, clock.now());
+      const at = this.#clockOffset.toHost(read.at, clock.now());
       const load = { ...read, at };
-      take({ type: "load", endpoint: this.#publisher.id, load });
+      take({ type: "load", endpoint: this.#endpoint.id, load });
       return true;
     },
     cache: (data) => {
-      const read = published.parseCache(data);
+      const read = endpointEvents.parseCache(data);
       if (read === undefined) return false;
       const { metrics, take } = this.#options;
       const { sequence } = read;
-      if (this.#sequence !== undefined && sequence !== this.#sequence + 1) {
+      if (
+        this.#lastSequence !== undefined && sequence !== this.#lastSequence + 1
+      ) {
         metrics.count("endpoint.cache_gap");
       }
-      this.#sequence = sequence;
-      take({ type: "cache", endpoint: this.#publisher.id, ...read });
+      this.#lastSequence = sequence;
+      take({ type: "cache", endpoint: this.#endpoint.id, ...read });
       return true;
     },
   };
--- a/src/endpoint_calls/subscriptions.ts
+++ b/src/endpoint_calls/subscriptions.ts
@@ -3,13 +3,13 @@
 
 import * as subscription from "./subscription.ts";
 
-/** Endpoints that one host listens to at most: each holds a connection. */
-const MOST = 1000;
+/** Limit of subscriptions, since each holds a connection. */
+const MAX_SUBSCRIPTIONS = 1000;
 
 /** One subscription for each endpoint. */
 export class Subscriptions {
   readonly #options: subscription.Options;
-  readonly #all = new Map<string, subscription.Subscription>();
+  readonly #subscriptions = new Map<string, subscription.Subscription>();
 
   private constructor(options: subscription.Options) {
     this.#options = options;
@@ -19,26 +19,26 @@
     return new Subscriptions(options);
   }
 
-  /** Subscribes to those that are new and leaves those that are gone. */
+  /** Subscribes to new endpoints and unsubscribes from removed ones. */
   replace(publishers: readonly subscription.Publisher[]): void {
     const urls = new Map(publishers.map(({ id, url }) => [id, url]));
-    for (const [id, known] of this.#all) {
-      if (urls.get(id) === known.url) continue;
-      known.close();
-      this.#all.delete(id);
+    for (const [id, existing] of this.#subscriptions) {
+      if (urls.get(id) === existing.url) continue;
+      existing.close();
+      this.#subscriptions.delete(id);
     }
     for (const publisher of publishers) {
       const { id } = publisher;
-      if (this.#all.size >= MOST) return;
-      if (this.#all.has(id)) continue;
-      this.#all.set(
+      if (this.#subscriptions.size >= MAX_SUBSCRIPTIONS) return;
+      if (this.#subscriptions.has(id)) continue;
+      this.#subscriptions.set(
         id,
         subscription.Subscription.start(publisher, this.#options),
       );
     }
   }
 
-  /** Ends all. */
+  /** Ends all subscriptions. */
   close(): void {
     this.replace([]);
   }
--- a/src/endpoint_calls/subscriptions_test.ts
+++ b/src/endpoint_calls/subscriptions_test.ts
@@ -9,7 +9,7 @@
 
 interface Publisher {
   url: string;
-  /** The next subscriber; rejects nothing and waits for ever. */
+  /** Resolves with the response to the next subscriber; never rejects. */
   next(): Promise<http.ServerResponse>;
 }
 
@@ -45,27 +45,29 @@
 function create(t: ava.ExecutionContext) {
   const clock = new runtime.FakeClock();
   const tally = new telemetry.Tally();
-  const heard: endpointCalls.EndpointEvent[] = [];
+  const events: endpointCalls.EndpointEvent[] = [];
   let wake = () => {};
-  const pool = endpointCalls.EndpointClient.create({ clock, metrics: tally });
-  const subscriptions = pool.listen({
+  const client = endpointCalls.EndpointClient.create({ clock, metrics: tally });
+  const subscriptions = client.listen({
     random: runtime.createRandom(1),
     take: (event) => {
-      heard.push(event);
+      events.push(event);
       wake();
     },
   });
   t.teardown(() => {
     subscriptions.close();
-    return pool.close();
+    return client.close();
   });
-  async function hear(count: number): Promise<endpointCalls.EndpointEvent[]> {
-    while (heard.length < count) {
+  async function waitForEvents(
+    count: number,
+  ): Promise<endpointCalls.EndpointEvent[]> {
+    while (events.length < count) {
       await new Promise<void>((resolve) => wake = resolve);
     }
-    return heard;
+    return events;
   }
-  return { clock, tally, subscriptions, heard, hear };
+  return { clock, tally, subscriptions, events, waitForEvents };
 }
 
 function event(name: string, data: unknown): string {
@@ -80,76 +82,80 @@
   return event("cache", { sequence, stored: ["a"], removed: [] });
 }
 
-/** Turns of the loop in which closed connections are noticed. */
+/** Resolves when the connection of a response has closed. */
 async function closed(response: http.ServerResponse): Promise<void> {
   if (response.destroyed) return;
   await new Promise<void>((resolve) => response.once("close", resolve));
 }
 
-test("tells of load at the time when it was reported", async (t) => {
-  const { clock, subscriptions, hear } = create(t);
+test("converts the time of a load report to the host's clock", async (t) => {
+  const { clock, subscriptions, waitForEvents } = create(t);
   const { url, next } = await listen(t);
   subscriptions.replace([{ id: "e1", url }]);
   const stream = await next();
   clock.advance(1000);
   stream.write(load(50_000));
-  await hear(1);
+  await waitForEvents(1);
   clock.advance(700);
-  // Made 300 ms after the first, and 400 ms late.
+  // Created 300 ms after the first report and delivered 400 ms late.
   stream.write(load(50_300));
-  const [first, second] = await hear(2);
+  const [first, second] = await waitForEvents(2);
   t.like(first, { type: "load", endpoint: "e1", load: { at: 1000 } });
   t.like(second, { load: { at: 1300, running: 2, waiting: 1, kvUsed: 0.5 } });
 });
 
-test("counts gaps in cache events, also over a reconnect", async (t) => {
-  const { clock, tally, subscriptions, hear } = create(t);
+test("counts gaps in cache events, also across a reconnect", async (t) => {
+  const { clock, tally, subscriptions, waitForEvents } = create(t);
   const { url, next } = await listen(t);
   subscriptions.replace([{ id: "e1", url }]);
   const stream = await next();
   stream.write(cache(1) + cache(2).slice(0, 20));
   stream.write(cache(2).slice(20) + cache(4));
-  await hear(3);
+  await waitForEvents(3);
   t.is(tally.total("endpoint.cache_gap"), 1);
   stream.destroy();
   const again = next();
-  // The break is noticed by and by; time moves on until it is.
+  // Advance the clock until the closed connection is detected.
   const turns = setInterval(() => clock.advance(100), 1);
   (await again).write(cache(7));
   clearInterval(turns);
-  t.like((await hear(4))[3], { type: "cache", sequence: 7, stored: ["a"] });
+  t.like((await waitForEvents(4))[3], {
+    type: "cache",
+    sequence: 7,
+    stored: ["a"],
+  });
   t.is(tally.total("endpoint.cache_gap"), 2);
 });
 
-test("replaces a subscription that went silent", async (t) => {
-  const { clock, subscriptions, hear } = create(t);
+test("reconnects after the idle timeout", async (t) => {
+  const { clock, subscriptions, waitForEvents } = create(t);
   const { url, next } = await listen(t);
   subscriptions.replace([{ id: "e1", url }]);
   const stream = await next();
   stream.write(load(1));
-  await hear(1);
+  await waitForEvents(1);
   clock.advance(5000);
   await closed(stream);
   clock.advance(10_000);
   (await next()).write(load(2));
-  t.is((await hear(2)).length, 2);
+  t.is((await waitForEvents(2)).length, 2);
 });
 
-test("leaves an endpoint that publishes nothing alone", async (t) => {
-  const { clock, tally, subscriptions, heard } = create(t);
+test("does not soon reconnect to an endpoint that publishes no events", async (t) => {
+  const { clock, tally, subscriptions, events } = create(t);
   const { url, next } = await listen(t, { status: 404, type: "text/plain" });
   subscriptions.replace([{ id: "e1", url }]);
   await closed(await next());
-  let asked = false;
-  next().then(() => asked = true);
+  let hasReconnected = false;
+  next().then(() => hasReconnected = true);
   clock.advance(59_000);
   await new Promise(setImmediate);
-  t.false(asked);
-  t.deepEqual([heard, tally.total("endpoint.subscribed")], [[], 0]);
+  t.false(hasReconnected);
+  t.deepEqual([events, tally.total("endpoint.subscribed")], [[], 0]);
 });
 
-test("takes malformed events as none and goes on", async (t) => {
-  const { tally, subscriptions, hear } = create(t);
+test("ignores and counts malformed events", async (t) => {
+  const { tally, subscriptions, waitForEvents } = create(t);
   const { url, next } = await listen(t);
   subscriptions.replace([{ id: "e1", url }]);
   const stream = await next();
@@ -162,11 +168,11 @@
     event("load", null),
   ];
   stream.write(wrong.join("") + event("news", {}) + load(1));
-  t.is((await hear(1))[0].type, "load");
+  t.is((await waitForEvents(1))[0].type, "load");
   t.is(tally.total("endpoint.event_malformed"), wrong.length);
 });
 
-test("unsubscribes from an endpoint that left or moved", async (t) => {
+test("unsubscribes from an endpoint that left or changed its URL", async (t) => {
   const { subscriptions } = create(t);
   const [first, second] = [await listen(t), await listen(t)];
   subscriptions.replace([{ id: "e1", url: first.url }]);
@@ -179,7 +185,7 @@
   t.pass();
 });
 
-test("an offset follows a clock that drifts or starts anew", (t) => {
+test("the clock offset follows a clock that drifts or restarts", (t) => {
   const offset = clockOffset.ClockOffset.create();
   t.is(offset.toHost(1000, 50), 50);
   t.is(offset.toHost(2000, 1250), 1050);
