--- a/src/settings/cross_checks.ts
+++ b/src/settings/cross_checks.ts
@@ -1,4 +1,5 @@
-/** Checks of settings that a schema cannot say: one part against another.
+/** Consistency checks between parts of the settings that the JSON schema cannot
+ * express, such as references and unique names.
  * @module */
 
 import * as columns from "../control/table/column.ts";
@@ -6,7 +7,7 @@
 import type * as table from "../schema/table_types.ts";
 import type * as settingsError from "./settings_error.ts";
 
-/** Finds what is wrong with settings that match their schema. */
+/** Yields the findings of one rule for settings that match their schema. */
 type Check = (
   settings: settings.Settings,
 ) => Iterable<settingsError.Finding>;
@@ -15,11 +16,11 @@
 
 const VOTER_COUNTS = [1, 3, 5];
 
-/** Yields all findings, in the order of the schema. */
+/** Yields the findings of all checks, in the order of the schema's keys. */
 export function* crossCheck(
-  of: settings.Settings,
+  checked: settings.Settings,
 ): Iterable<settingsError.Finding> {
-  for (const check of checks) yield* check(of);
+  for (const check of checks) yield* check(checked);
 }
 
 const checks: readonly Check[] = [
@@ -36,11 +37,11 @@
 
 function* checkHost({ host, fleet }: settings.Settings) {
   if (fleet.hosts.some(({ id }) => id === host)) return;
-  const known = fleet.hosts.map(({ id }) => id).join(", ");
+  const ids = fleet.hosts.map(({ id }) => id).join(", ");
   yield {
     path: ["host"],
     found: show(host),
-    expected: `one of the ids in fleet.hosts: ${known}`,
+    expected: `one of the ids in fleet.hosts: ${ids}`,
   };
 }
 
@@ -55,9 +56,9 @@
 
 function* checkVoters({ host, folder, fleet }: settings.Settings) {
   const voters = fleet.hosts.filter(({ voter }) => voter);
-  const alone = fleet.hosts.length === 1;
-  const fits = VOTER_COUNTS.includes(voters.length);
-  if (!fits && !(alone && voters.length === 0)) {
+  const isSingleHost = fleet.hosts.length === 1;
+  const isValidCount = VOTER_COUNTS.includes(voters.length);
+  if (!isValidCount && !(isSingleHost && voters.length === 0)) {
     yield {
       path: ["fleet", "hosts"],
       found: `${voters.length} voters`,
@@ -73,13 +74,13 @@
 }
 
 function* checkObservers({ fleet: { hosts } }: settings.Settings) {
-  const voting = hosts.some(({ voter }) => voter);
+  const hasVoters = hosts.some(({ voter }) => voter);
   for (const [pos, { voter, observer }] of hosts.entries()) {
-    if (!observer || (voting && !voter)) continue;
+    if (!observer || (hasVoters && !voter)) continue;
     yield {
       path: ["fleet", "hosts", pos, "observer"] as Path,
       found: "true",
-      expected: voting ? "no observer that votes" : "voters to observe",
+      expected: hasVoters ? "no observer that votes" : "voters to observe",
     };
   }
 }
@@ -97,17 +98,17 @@
 function* checkServices({ services }: settings.Settings) {
   const names = services.map(({ name }) => name);
   yield* unique(names, { at: ["services"], key: "name" });
-  const known = new Set<string>();
+  const seen = new Set<string>();
   for (const [pos, { endpoints = [] }] of services.entries()) {
-    for (const [place, { id }] of endpoints.entries()) {
-      if (known.has(id)) {
+    for (const [endpointPos, { id }] of endpoints.entries()) {
+      if (seen.has(id)) {
         yield {
-          path: ["services", pos, "endpoints", place, "id"],
+          path: ["services", pos, "endpoints", endpointPos, "id"],
           found: `${show(id)} again`,
           expected: "an id that no other endpoint has",
         };
       }
-      known.add(id);
+      seen.add(id);
     }
   }
 }
@@ -123,32 +124,32 @@
   }
 }
 
-interface Stages {
+interface StageList {
   stages: readonly settings.Stage[];
   byName: ReadonlyMap<string, settings.Service>;
 }
 
-function* checkStages(at: Path, { stages, byName }: Stages) {
-  let encoded = false;
+function* checkStages(at: Path, { stages, byName }: StageList) {
+  let hasEncoder = false;
   for (const [pos, stage] of stages.entries()) {
     const service = byName.get(stage.service);
-    const finding = explainStage(stage, { service, encoded });
+    const finding = checkStage(stage, { service, hasEncoder });
     if (finding !== undefined) {
       yield { ...finding, path: [...at, pos, ...finding.path] };
     }
-    encoded ||= service?.kind === "encoder";
+    hasEncoder ||= service?.kind === "encoder";
   }
 }
 
-interface StagePlace {
+interface StageContext {
   service: settings.Service | undefined;
-  /** Whether an earlier stage is an encoder. */
-  encoded: boolean;
+  /** Whether an earlier stage of the pipeline is an encoder. */
+  hasEncoder: boolean;
 }
 
-function explainStage(
+function checkStage(
   stage: settings.Stage,
-  { service, encoded }: StagePlace,
+  { service, hasEncoder }: StageContext,
 ): settingsError.Finding | undefined {
   if (service === undefined) {
     const found = show(stage.service);
@@ -160,20 +161,20 @@
     const expected = "an engine, encoder, retriever or reranker";
     return { path: ["service"], found, expected };
   }
-  if (kind === "retriever" && !encoded) {
+  if (kind === "retriever" && !hasEncoder) {
     const expected = "an encoder in an earlier stage, for its embedding";
     return { path: ["service"], found, expected };
   }
-  return explainOptions(stage, kind);
+  return checkOptions(stage, kind);
 }
 
-function explainOptions(
+function checkOptions(
   stage: settings.Stage,
   kind: settings.Service["kind"],
 ): settingsError.Finding | undefined {
   for (const [option, kinds] of Object.entries(optionKinds)) {
-    const given = stage[option as keyof settings.Stage] !== undefined;
-    if (!given || kinds.includes(kind)) continue;
+    const isSet = stage[option as keyof settings.Stage] !== undefined;
+    if (!isSet || kinds.includes(kind)) continue;
     const expected = `${option} only where the service is ${
       kinds.join(" or ")
     }`;
@@ -181,6 +182,7 @@
   }
 }
 
+/** Kinds of service that accept each option of a stage. */
 const optionKinds: Record<string, readonly string[]> = {
   top: ["retriever", "reranker"],
   maxTokens: ["engine"],
@@ -217,13 +219,13 @@
   names: readonly string[],
   { at, key }: { at: Path; key: string },
 ) {
-  const known = new Set<string>();
+  const seen = new Set<string>();
   for (const [pos, name] of names.entries()) {
-    if (known.has(name)) {
+    if (seen.has(name)) {
       const path: Path = [...at, pos, key];
       yield { path, found: `${show(name)} again`, expected: "unique values" };
     }
-    known.add(name);
+    seen.add(name);
   }
 }
 
--- a/src/settings/document.ts
+++ b/src/settings/document.ts
@@ -1,10 +1,10 @@
-/** A YAML document that knows the line of each of its values.
+/** A YAML document that maps paths of values to line numbers.
  * @module */
 
 import * as yaml from "yaml";
 import * as settingsError from "./settings_error.ts";
 
-/** A parsed file. */
+/** A parsed YAML file. */
 export class Document {
   readonly file: string;
   #root: yaml.Document;
@@ -20,7 +20,7 @@
     this.#lines = lines;
   }
 
-  /** Parses `text`, or throws a `SettingsError`. */
+  /** Parses `text`; throws a `SettingsError` when it is not valid YAML. */
   static parse(file: string, text: string): Document {
     const lineCounter = new yaml.LineCounter();
     const root = yaml.parseDocument(text, { lineCounter, prettyErrors: false });
@@ -46,14 +46,14 @@
     }
   }
 
-  /** The error of a finding in this document. */
+  /** Converts a finding into an error with file and line. */
   error(finding: settingsError.Finding): settingsError.SettingsError {
     const line = this.lineOf(finding.path);
     const { file } = this;
     return new settingsError.SettingsError({ ...finding, file, line });
   }
 
-  /** Line of the value at `path`, or of the nearest one around it. */
+  /** Line of the value at `path`, or of its nearest existing ancestor. */
   lineOf(path: readonly (string | number)[]): number {
     let node: unknown = this.#root.contents;
     let offset = 0;
--- a/src/settings/effective.ts
+++ b/src/settings/effective.ts
@@ -1,18 +1,18 @@
-/** Settings of one host out of those of a fleet.
+/** Derives the effective settings of one host from those of the fleet.
  * @module */
 
 import * as path from "node:path";
 import type * as settings from "../schema/settings_types.ts";
 
-/** Where settings come from, and for which host. */
+/** The settings file, and the host that the settings are for. */
 export interface Origin {
-  /** Relative paths start from its folder. */
+  /** Relative paths are resolved against the folder of this file. */
   file: string;
-  /** Id of the host, in place of the one in the file. */
+  /** Id of the host; overrides the one in the file. */
   host?: string;
 }
 
-/** Takes a host's own listeners, fills in its id and makes paths absolute. */
+/** Sets the host's id and own listeners, and makes paths absolute. */
 export function resolve(
   from: settings.Settings,
   { file, host = from.host }: Origin,
--- a/src/settings/examples_test.ts
+++ b/src/settings/examples_test.ts
@@ -28,7 +28,7 @@
     t.is(new Set(hosts.map(({ folder }) => folder)).size, 6);
   });
 
-  test(`the secrets of the example ${deployment} can be read`, (t) => {
+  test(`all secrets of the example ${deployment} can be read`, (t) => {
     const { fleet, operators, endpointToken } = load(deployment);
     t.is(settings.readSecret(fleet.key!), `sample-${deployment}-fleet`);
     t.is(settings.readSecret(endpointToken!), `sample-${deployment}-endpoint`);
@@ -37,14 +37,14 @@
     }
   });
 
-  test(`the example ${deployment} fills a table whose tokens are known`, (t) => {
-    let filled = table.Table.create();
+  test(`the example ${deployment} creates accounts with known tokens`, (t) => {
+    let current = table.Table.create();
     for (const edit of settings.initialEdits(load(deployment).table)) {
-      const applied = filled.apply(edit);
+      const applied = current.apply(edit);
       t.is(applied.answer.type, "accepted");
-      filled = applied.table;
+      current = applied.table;
     }
-    const accounts = filled.rows("account/");
+    const accounts = current.rows("account/");
     t.is(accounts.length, 5);
     for (const { row, cells } of accounts) {
       const token = `sample-${row.slice("account/".length)}`;
--- a/src/settings/initial_edits.ts
+++ b/src/settings/initial_edits.ts
@@ -1,17 +1,17 @@
-/** The table's first rows, as edits of an empty table.
+/** Converts the initial rows in the settings into edits of an empty table.
  * @module */
 
 import type * as settings from "../schema/settings_types.ts";
 import type * as table from "../schema/table_types.ts";
 
-/** Actor of the edits that settings make. */
+/** Actor recorded for edits that come from the settings. */
 const ACTOR = "settings";
 
-/** Most changes in one edit; see schema/table.yaml. */
+/** Maximum number of changes in one edit; see schema/table.yaml. */
 export const MAX_CHANGES_PER_EDIT = 4000;
 
-/** Edits that fill an empty table. Their operation ids are always the same,
- * so that hosts which make them at once apply them once. */
+/** Edits that fill an empty table. Their operation ids are deterministic, so
+ * that edits submitted by several hosts at the same time are applied once. */
 export function initialEdits(
   rows: readonly settings.InitialRow[] = [],
 ): readonly table.Edit[] {
--- a/src/settings/load.ts
+++ b/src/settings/load.ts
@@ -1,4 +1,4 @@
-/** Reads settings: parses YAML, checks it, fills in what depends on the host.
+/** Loads settings: parses YAML, validates it and resolves host-specific values.
  * @module */
 
 import * as fs from "node:fs";
@@ -10,14 +10,14 @@
 import * as effective from "./effective.ts";
 import * as settingsError from "./settings_error.ts";
 
-/** What a command line may say beside the file. */
+/** Command-line overrides of the settings file. */
 export interface LoadOptions {
-  /** Id of the host, in place of the one in the file. */
+  /** Id of the host; overrides the one in the file. */
   host?: string;
 }
 
-/** Reads and checks a settings file, or throws a `SettingsError`. The
- * settings that come back are those of one host, with absolute paths. */
+/** Reads and validates a settings file. Returns the settings of one host, with
+ * absolute paths; throws a `SettingsError` when the file cannot be used. */
 export function load(
   file: string,
   options: LoadOptions = {},
@@ -27,11 +27,12 @@
 
 /** Options of `parse`. */
 export interface ParseOptions extends LoadOptions {
-  /** Name for messages; relative paths start from its folder. */
+  /** File name in error messages; relative paths are resolved against its
+   * folder. */
   file: string;
 }
 
-/** Checks the text of a settings file, as `load` does. */
+/** Validates and resolves the text of a settings file, as `load` does. */
 export function parse(text: string, options: ParseOptions): settings.Settings {
   const source = document.Document.parse(options.file, text);
   const checked = checkSchema(source);
--- a/src/settings/mod.ts
+++ b/src/settings/mod.ts
@@ -1,5 +1,5 @@
-/** Settings of a host: one YAML file for a fleet, checked whole before
- * anything starts.
+/** Settings of a host, read from one YAML file for the whole fleet and fully
+ * validated before any part of the host starts.
  * @module */
 
 export { initialEdits, MAX_CHANGES_PER_EDIT } from "./initial_edits.ts";
--- a/src/settings/secrets.ts
+++ b/src/settings/secrets.ts
@@ -1,4 +1,5 @@
-/** Reads secrets that settings refer to; values stay out of messages.
+/** Reads the secrets that settings refer to. Error messages never contain the
+ * values of secrets.
  * @module */
 
 import * as fs from "node:fs";
@@ -8,7 +9,8 @@
 /** Environment variables by name. */
 export type Environment = Readonly<Record<string, string | undefined>>;
 
-/** The value of a secret, or a `SettingsError` when there is none. */
+/** Returns the value of a secret; throws a `SettingsError` when it is missing
+ * or empty. */
 export function readSecret(
   secret: settings.Secret,
   environment: Environment = process.env,
--- a/src/settings/settings_error.ts
+++ b/src/settings/settings_error.ts
@@ -1,27 +1,28 @@
-/** The error of a settings file that cannot be used.
+/** Errors of settings files and secrets.
  * @module */
 
-/** What is wrong, and where in the document. */
+/** An invalid value: its path in the document, its value and what is expected
+ * instead. */
 export interface Finding {
-  /** Steps from the root of the document. */
+  /** Keys and indices from the root of the document. */
   path: readonly (string | number)[];
   found: string;
   expected: string;
 }
 
-/** A finding in a file. */
+/** A finding with its file and line. */
 export interface Location extends Finding {
   file: string;
-  /** Counts from 1; 0 when no line can be named. */
+  /** Line number from 1; 0 when the line is unknown. */
   line: number;
 }
 
-/** A settings file, or a secret it refers to, cannot be used. */
+/** Thrown when a settings file, or a secret it refers to, cannot be used. */
 export class SettingsError extends Error {
   override readonly name = "SettingsError";
   readonly file: string;
   readonly line: number;
-  /** JSON pointer of the offending value. */
+  /** JSON pointer to the invalid value. */
   readonly path: string;
   readonly found: string;
   readonly expected: string;
