--- a/src/telemetry/bounded_logger.ts
+++ b/src/telemetry/bounded_logger.ts
@@ -1,46 +1,46 @@
-/** A logger whose volume is bounded: what is left out is counted, and the
- * count is written.
+/** A logger with a rate limit. Omitted lines are counted, and the count is
+ * logged with the next line that is written.
  * @module */
 
 import type * as runtime from "../runtime/mod.ts";
 import type * as logging from "./logger.ts";
 
-/** Bounds of a logger. */
+/** Token-bucket limits of a logger. */
 export interface LogBounds {
-  /** Lines a second that are written over time. */
+  /** Sustained rate in lines per second. */
   readonly rate: number;
-  /** Lines that may be written at once. */
+  /** Maximum number of lines written at once. */
   readonly burst: number;
 }
 
-/** Of a busy host some requests each second, with room for a bad minute: a
- * line costs about 20 microseconds. */
-const BOUNDS: LogBounds = { rate: 60, burst: 600 };
+/** Covers part of a busy host's requests each second, with a burst for a minute
+ * of unusually many lines; writing a line takes about 20 microseconds. */
+const DEFAULT_BOUNDS: LogBounds = { rate: 60, burst: 600 };
 
-/** Bounds what `logger` writes; errors are always written. */
+/** Limits the rate of `info` and `warn` lines; errors are always written. */
 export function bound(
   logger: logging.Logger,
   clock: runtime.Clock,
-  { rate, burst }: LogBounds = BOUNDS,
+  { rate, burst }: LogBounds = DEFAULT_BOUNDS,
 ): logging.Logger {
-  let allowance = burst;
-  let at = clock.now();
+  let tokens = burst;
+  let refilledAt = clock.now();
   let omitted = 0;
-  const isAllowed = () => {
+  const tryTake = () => {
     const now = clock.now();
-    allowance = Math.min(burst, allowance + (now - at) / 1000 * rate);
-    at = now;
-    if (allowance < 1) {
+    tokens = Math.min(burst, tokens + (now - refilledAt) / 1000 * rate);
+    refilledAt = now;
+    if (tokens < 1) {
       omitted++;
       return false;
     }
-    allowance--;
-    if (omitted > 0) logger.warn({ omitted }, "Log lines were left out");
+    tokens--;
+    if (omitted > 0) logger.warn({ omitted }, "Log lines omitted");
     omitted = 0;
     return true;
   };
   const write = (level: "info" | "warn") => (fields: object, text: string) => {
-    if (isAllowed()) logger[level](fields, text);
+    if (tryTake()) logger[level](fields, text);
   };
   return {
     debug: (fields, text) => logger.debug(fields, text),
--- a/src/telemetry/exposition.ts
+++ b/src/telemetry/exposition.ts
@@ -1,20 +1,20 @@
-/** Counters and histograms as text, for collectors that fetch them.
+/** Metrics in the Prometheus text format, for collectors that scrape them.
  * @module */
 
 import * as prometheus from "prom-client";
 import type * as measuring from "./metrics.ts";
 import * as names from "./names.ts";
 
-/** Upper bounds of a histogram's buckets in milliseconds: from a call inside a
+/** Upper bounds of the histogram buckets, from the duration of a call within a
  * data centre to the longest deadline. */
-const BUCKETS = [1, 5, 20, 50, 100, 200, 400, 800, 1500, 3000, 6000, 15_000];
+const BUCKETS_MS = [1, 5, 20, 50, 100, 200, 400, 800, 1500, 3000, 6000, 15_000];
 
 type Metric =
   | prometheus.Counter
   | prometheus.Histogram
   | prometheus.Gauge;
 
-/** Measurements of one process as text. */
+/** The metrics of one process in a Prometheus registry. */
 export class Exposition implements measuring.Metrics {
   readonly #registry = new prometheus.Registry();
   readonly #metrics = new Map<string, Metric>();
@@ -42,15 +42,15 @@
     gauge.set({ ...labels }, value);
   }
 
-  /** All measurements in the text format. */
+  /** All metrics in the text format. */
   text(): Promise<string> {
     return this.#registry.metrics();
   }
 
-  /** The metric of a name; its labels are those of its first use. */
+  /** Finds or registers a metric; its label names are fixed by its first use. */
   #metric(name: names.Name, labels: measuring.Labels): Metric {
-    const known = this.#metrics.get(name);
-    if (known !== undefined) return known;
+    const existing = this.#metrics.get(name);
+    if (existing !== undefined) return existing;
     const { type, help } = names.metrics[name];
     const options = {
       name: `chicoryloft_${name.replaceAll(".", "_")}`,
@@ -58,9 +58,9 @@
       labelNames: Object.keys(labels),
       registers: [this.#registry],
     };
-    const made = MAKERS[type](options);
-    this.#metrics.set(name, made);
-    return made;
+    const metric = FACTORIES[type](options);
+    this.#metrics.set(name, metric);
+    return metric;
   }
 }
 
@@ -71,10 +71,11 @@
   registers: prometheus.Registry[];
 }
 
-const MAKERS: Readonly<
+const FACTORIES: Readonly<
   Record<names.Description["type"], (options: MetricOptions) => Metric>
 > = {
   count: (options) => new prometheus.Counter(options),
-  time: (options) => new prometheus.Histogram({ ...options, buckets: BUCKETS }),
+  time: (options) =>
+    new prometheus.Histogram({ ...options, buckets: BUCKETS_MS }),
   gauge: (options) => new prometheus.Gauge(options),
 };
--- a/src/telemetry/logger.ts
+++ b/src/telemetry/logger.ts
@@ -1,10 +1,10 @@
-/** Log lines as JSON by `pino`: one line for a change of state, none for a
- * request. What happens often is a counter.
+/** JSON log lines written by `pino`. State changes are logged; frequent events
+ * such as single requests are counted in metrics instead.
  * @module */
 
 import * as pino from "pino";
 
-/** Writes log lines; `fields` come first, then one plain sentence. */
+/** Writes log lines with structured fields and a message. */
 export interface Logger {
   debug(fields: object, message: string): void;
   info(fields: object, message: string): void;
@@ -12,15 +12,15 @@
   error(fields: object, message: string): void;
 }
 
-/** Least important lines that are written. */
+/** Minimum level of lines that are written. */
 export type Level = "debug" | "info" | "warn" | "error" | "silent";
 
-/** Takes finished lines. */
+/** Receives formatted lines. */
 export interface Destination {
   write(line: string): void;
 }
 
-/** Writes nothing. */
+/** A logger that discards all lines. */
 export const noLogger: Logger = {
   debug() {},
   info() {},
@@ -37,6 +37,7 @@
   "cookie",
 ];
 
+/** Paths of secrets at the top level and up to two levels below it. */
 const REDACTED_PATHS = SECRET_KEYS.flatMap((key) => [
   key,
   `*.${key}`,
@@ -52,7 +53,7 @@
   destination?: Destination;
 }
 
-/** Creates a logger whose lines name the host and hide secrets. */
+/** Creates a logger that adds the host's id to each line and redacts secrets. */
 export function createLogger(options: Options): Logger {
   const { host, level = "info", destination } = options;
   return pino.pino({
--- a/src/telemetry/metrics.ts
+++ b/src/telemetry/metrics.ts
@@ -1,22 +1,23 @@
-/** Where the parts of a host send their counts, times and gauges.
+/** Interface through which the parts of a host record metrics.
  * @module */
 
 import type * as names from "./names.ts";
 
-/** Splits a metric, such as `{service: "lm-pool"}`; values are few. */
+/** Labels of a metric, such as `{service: "lm-pool"}`; a label has few distinct
+ * values. */
 export type Labels = Readonly<Record<string, string>>;
 
-/** Takes measurements; never throws and never waits. */
+/** Records metrics; never throws and never blocks. */
 export interface Metrics {
-  /** Adds `by`, 1 when absent, to a counter. */
+  /** Adds `by` (default 1) to a counter. */
   count(name: names.CountName, by?: number, labels?: Labels): void;
-  /** Records a time in milliseconds. */
+  /** Records a duration in milliseconds. */
   time(name: names.TimeName, ms: number, labels?: Labels): void;
   /** Sets a gauge. */
   gauge(name: names.GaugeName, value: number, labels?: Labels): void;
 }
 
-/** Forgets all measurements. */
+/** Discards all measurements. */
 export const noMetrics: Metrics = {
   count() {},
   time() {},
--- a/src/telemetry/mod.ts
+++ b/src/telemetry/mod.ts
@@ -1,5 +1,5 @@
-/** Metrics and logs. Metric names are one documented list; the logger writes
- * changes of state only and hides secrets.
+/** Metrics and logs. All metric names are declared in one documented list; the
+ * logger redacts secrets.
  * @module */
 
 export { bound as boundLogger, type LogBounds } from "./bounded_logger.ts";
--- a/src/telemetry/names.ts
+++ b/src/telemetry/names.ts
@@ -1,17 +1,17 @@
-/** The documented list of metrics: a name that is not here does not compile.
- * Each part of the system has its own block; add a line before the first use.
+/** The documented list of metrics, in one block for each part of the system. A
+ * name that is not declared here does not compile.
  * @module */
 
-/** What a metric counts or measures, for people. */
+/** Type and documentation of a metric. */
 export interface Description {
   type: "count" | "time" | "gauge";
-  /** What it says; times are in milliseconds. */
+  /** Help text; times are in milliseconds. */
   help: string;
 }
 
-/** Every metric by name. */
+/** All metrics by name. The help texts are part of the exposition. */
 export const metrics = {
-  // Requests passed through to services, and their pieces.
+  // Requests proxied to services, and the items of their stages.
   "gateway.ended": {
     type: "count",
     help: "Requests, by route and by how they ended: in time, late, or why not",
@@ -61,7 +61,7 @@
   "evacuation.active": { type: "gauge", help: "Data centres evacuated" },
   "log.omitted": { type: "count", help: "Log lines left out" },
 
-  // Requests of callers.
+  // Requests from callers.
   "request.arrived": { type: "count", help: "Requests read from callers" },
   "request.completed": { type: "count", help: "Answered whole, by account" },
   "request.on_time": { type: "count", help: "Answered in time, by account" },
@@ -87,7 +87,7 @@
   "call.duration": { type: "time", help: "From sending to the last byte" },
   "call.first_token": { type: "time", help: "From sending to first token" },
 
-  // Cost by stage.
+  // Resource usage by stage.
   "cost.engine_time": {
     type: "count",
     help: "Milliseconds of endpoint slots, by stage and account",
@@ -115,7 +115,7 @@
   "endpoint.event_malformed": { type: "count", help: "Events not understood" },
   "endpoint.cache_gap": { type: "count", help: "Gaps in cache events" },
 
-  // Operators and the table.
+  // Operator calls and the table.
   "operator.call": { type: "count", help: "Operators' calls" },
   "operator.denied": { type: "count", help: "Wrong operator tokens" },
   "table.edited": { type: "count", help: "Edits accepted here" },
@@ -128,7 +128,7 @@
   "log.leading": { type: "gauge", help: "1 while this host leads" },
   "log.appended": { type: "count", help: "Entries proposed here" },
 
-  // Hosts among themselves.
+  // Communication and membership between hosts.
   "peer.sent": { type: "count", help: "Envelopes sent, by channel" },
   "peer.received": { type: "count", help: "Envelopes received, by channel" },
   "peer.left_out": {
@@ -152,15 +152,15 @@
 export type Name = keyof typeof metrics;
 
 /** Names of the metrics of one type. */
-type Named<T extends Description["type"]> = {
+type NamesOfType<T extends Description["type"]> = {
   [N in Name]: (typeof metrics)[N]["type"] extends T ? N : never;
 }[Name];
 
 /** Name of a counter. */
-export type CountName = Named<"count">;
+export type CountName = NamesOfType<"count">;
 
-/** Name of a time. */
-export type TimeName = Named<"time">;
+/** Name of a duration metric. */
+export type TimeName = NamesOfType<"time">;
 
 /** Name of a gauge. */
-export type GaugeName = Named<"gauge">;
+export type GaugeName = NamesOfType<"gauge">;
--- a/src/telemetry/statsd.ts
+++ b/src/telemetry/statsd.ts
@@ -4,27 +4,28 @@
 import type * as hotShots from "hot-shots";
 import type * as metrics from "./metrics.ts";
 
-/** Where the server listens. */
+/** Address of the statsd server. */
 export interface Address {
   address: string;
   port: number;
-  /** Put before each name; `chicoryloft.` when absent. */
+  /** Prefix of each metric name; `chicoryloft.` when absent. */
   prefix?: string;
 }
 
-/** Metrics that leave the process, and the way to end them. */
+/** Metrics that are sent to a statsd server. */
 export interface Statsd extends metrics.Metrics {
-  /** Sends what is buffered and closes the socket. */
+  /** Flushes buffered measurements and closes the socket. */
   close(): Promise<void>;
 }
 
-/** Milliseconds for which measurements are gathered into one datagram. */
-const FLUSH_INTERVAL = 1000;
+/** Interval at which buffered measurements are sent. */
+const FLUSH_INTERVAL_MS = 1000;
 
-/** Bytes of one datagram; fits an Ethernet frame. */
-const DATAGRAM_SIZE = 1400;
+/** Maximum size of a datagram; fits an Ethernet frame. */
+const MAX_DATAGRAM_BYTES = 1400;
 
-/** Loads the library, which costs about 11 MB, and opens the socket. */
+/** Opens the socket. The library takes about 11 MB of memory, so it is loaded
+ * only when statsd is used. */
 export async function open(
   to: Address,
   onError: (error: Error) => void,
@@ -35,8 +36,8 @@
     port: to.port,
     prefix: to.prefix ?? "chicoryloft.",
     cacheDns: true,
-    maxBufferSize: DATAGRAM_SIZE,
-    bufferFlushInterval: FLUSH_INTERVAL,
+    maxBufferSize: MAX_DATAGRAM_BYTES,
+    bufferFlushInterval: FLUSH_INTERVAL_MS,
     errorHandler: onError,
   });
   return wrap(client);
--- a/src/telemetry/tally.ts
+++ b/src/telemetry/tally.ts
@@ -1,10 +1,10 @@
-/** Measurements kept in memory, for dumps and tests.
+/** Metrics aggregated in memory, for state dumps and tests.
  * @module */
 
 import type * as metrics from "./metrics.ts";
 import type * as names from "./names.ts";
 
-/** Count, sum and extremes of a time, in milliseconds. */
+/** Count, sum, minimum and maximum of a duration, in milliseconds. */
 export interface TimeSummary {
   count: number;
   sum: number;
@@ -12,14 +12,14 @@
   most: number;
 }
 
-/** All that a tally holds, by name and labels. */
+/** Aggregated metrics by name and labels. */
 export interface Totals {
   counts: Record<string, number>;
   times: Record<string, TimeSummary>;
   gauges: Record<string, number>;
 }
 
-/** Adds up measurements since the start of the process. */
+/** Aggregates measurements since the start of the process. */
 export class Tally implements metrics.Metrics {
   #counts = new Map<string, number>();
   #times = new Map<string, TimeSummary>();
@@ -32,14 +32,14 @@
 
   time(name: names.TimeName, ms: number, labels?: metrics.Labels): void {
     const id = key(name, labels);
-    const spread = this.#times.get(id);
-    if (spread === undefined) {
+    const summary = this.#times.get(id);
+    if (summary === undefined) {
       this.#times.set(id, { count: 1, sum: ms, least: ms, most: ms });
     } else {
-      spread.count += 1;
-      spread.sum += ms;
-      spread.least = Math.min(spread.least, ms);
-      spread.most = Math.max(spread.most, ms);
+      summary.count += 1;
+      summary.sum += ms;
+      summary.least = Math.min(summary.least, ms);
+      summary.most = Math.max(summary.most, ms);
     }
   }
 
--- a/src/telemetry/telemetry_test.ts
+++ b/src/telemetry/telemetry_test.ts
@@ -3,7 +3,7 @@
 import test from "ava";
 import * as telemetry from "./mod.ts";
 
-test("a tally adds counters up by name and labels", (t) => {
+test("a tally sums counters by name and labels", (t) => {
   const tally = new telemetry.Tally();
   tally.count("call.failed", 1, { reason: "silent" });
   tally.count("call.failed", 2, { reason: "refused" });
@@ -16,17 +16,17 @@
   });
 });
 
-test("a tally keeps the spread of times and the last gauge", (t) => {
+test("a tally keeps a summary of times and the last gauge", (t) => {
   const tally = new telemetry.Tally();
   [5, 1, 9].forEach((ms) => tally.time("request.duration", ms));
   [3, 4].forEach((value) => tally.gauge("request.queued", value));
   const { times, gauges } = tally.toJSON();
-  const spread = { count: 3, sum: 15, least: 1, most: 9 };
-  t.deepEqual(times, { "request.duration": spread });
+  const summary = { count: 3, sum: 15, least: 1, most: 9 };
+  t.deepEqual(times, { "request.duration": summary });
   t.deepEqual(gauges, { "request.queued": 4 });
 });
 
-test("the logger hides secrets at any of three depths", (t) => {
+test("the logger redacts secrets at each of three depths", (t) => {
   const lines: string[] = [];
   const logger = telemetry.createLogger({
     host: "gisenyi-1",
@@ -39,7 +39,7 @@
   t.like(JSON.parse(lines[0]), { level: "info", host: "gisenyi-1", msg: "Hi" });
 });
 
-test("statsd gets the documented names with prefix and labels", async (t) => {
+test("statsd receives documented names with prefix and labels", async (t) => {
   const server = dgram.createSocket("udp4");
   server.bind(0, "127.0.0.1");
   await events.EventEmitter.once(server, "listening");
