--- a/src/node/accounts.ts
+++ b/src/node/accounts.ts
@@ -1,4 +1,4 @@
-/** What the request path takes from the table: accounts and policies.
+/** Derives the request path's accounts and policies from the table.
  * @module */
 
 import type * as table from "../control/table/mod.ts";
@@ -6,56 +6,56 @@
 import type * as schema from "../schema/table_types.ts";
 import type * as shares from "../shares/mod.ts";
 
-const ACCOUNTS = "account/";
-const KINDS = "kind/";
-const COLUMNS = ["rate", "concurrency"] as const;
+const ACCOUNT_PREFIX = "account/";
+const KIND_PREFIX = "kind/";
+const LIMIT_COLUMNS = ["rate", "concurrency"] as const;
 
-/** Finds accounts by the hash of their token. */
+/** Index of accounts by the hash of their token. */
 export class Accounts {
   #byHash: ReadonlyMap<string, request.Account> = new Map();
 
   private constructor() {}
 
-  /** An index without accounts. */
+  /** Creates an empty index. */
   static create(): Accounts {
     return new Accounts();
   }
 
-  /** Follows the table. */
+  /** Rebuilds the index from the table. */
   update(view: table.Table): void {
-    const accounts = view.rows(ACCOUNTS).flatMap(({ row, cells }) => {
+    const accounts = view.rows(ACCOUNT_PREFIX).flatMap(({ row, cells }) => {
       const tokenHash = cells.tokenHash?.value;
       if (typeof tokenHash !== "string") return [];
-      return [{ name: row.slice(ACCOUNTS.length), tokenHash }];
+      return [{ name: row.slice(ACCOUNT_PREFIX.length), tokenHash }];
     });
     this.#byHash = new Map(accounts.map((each) => [each.tokenHash, each]));
   }
 
-  /** The account whose token has this hash. */
+  /** Finds the account whose token has this hash. */
   find(tokenHash: string): request.Account | undefined {
     return this.#byHash.get(tokenHash);
   }
 }
 
-/** What this host may use of a limit of the fleet. */
+/** Returns this host's share of a fleet-wide limit. */
 export type ShareOf = (limit: shares.Limit) => number;
 
-/** Rows of the table that make policies. */
+/** Rows of the table that define policies. */
 export function rowsOf(view: table.Table): readonly table.Row[] {
-  return [...view.rows(ACCOUNTS), ...view.rows(KINDS)];
+  return [...view.rows(ACCOUNT_PREFIX), ...view.rows(KIND_PREFIX)];
 }
 
-/** Limits of the fleet by accounts and kinds. */
+/** Fleet-wide limits of accounts and kinds. */
 export function limitsOf(rows: readonly table.Row[]): shares.Limit[] {
   return rows.flatMap(({ row, cells }) =>
-    COLUMNS.flatMap((column) => {
+    LIMIT_COLUMNS.flatMap((column) => {
       const value = cells[column]?.value;
       return typeof value === "number" ? [{ row, column, limit: value }] : [];
     })
   );
 }
 
-/** Policies of accounts and kinds, limits cut down to this host's share. */
+/** Policies of accounts and kinds, with limits reduced to this host's share. */
 export function policiesOf(
   rows: readonly table.Row[],
   share: ShareOf,
--- a/src/node/daemon.ts
+++ b/src/node/daemon.ts
@@ -1,4 +1,4 @@
-/** The `chicoryloftd` daemon: one node, and what signals mean to it.
+/** The `chicoryloftd` daemon: runs one node and handles signals.
  * @module */
 
 import * as clipanion from "clipanion";
@@ -8,14 +8,14 @@
 /** Exit codes of the daemon. */
 const exitCodes = { ok: 0, failed: 1, settings: 2 } as const;
 
-/** Runs one host until a signal ends it. */
+/** Runs one host until it receives a termination signal. */
 export class DaemonCommand extends clipanion.Command {
   static override paths = [clipanion.Command.Default];
   static override usage = clipanion.Command.Usage({
     description: "Run one host of the system",
     details:
-      "SIGTERM and SIGINT drain the host and end it; a second one ends " +
-      "it at once. SIGUSR2 prints the state of all parts as one line of JSON.",
+      "SIGTERM and SIGINT drain and stop the host; a second signal ends it " +
+      "immediately. SIGUSR2 prints the state of all parts as one line of JSON.",
   });
 
   settings = clipanion.Option.String("--settings", {
@@ -23,7 +23,7 @@
     description: "Settings file",
   });
   host = clipanion.Option.String("--host", {
-    description: "Id of the host, in place of the one in the file",
+    description: "Id of the host; overrides the one in the file",
   });
 
   override async execute(): Promise<number> {
@@ -38,24 +38,24 @@
   }
 }
 
-/** Message of an error with those of its causes: the reason stands there. */
+/** Joins an error's message with those of its causes, which hold the reason. */
 function explain(error: unknown): string {
   const messages: string[] = [];
-  for (let at = error; at instanceof Error; at = at.cause) {
-    messages.push(at.message);
+  for (let current = error; current instanceof Error; current = current.cause) {
+    messages.push(current.message);
   }
   return messages.join(": ");
 }
 
 /** Resolves with the exit code once the host has stopped. */
 async function run(
-  of: ReturnType<typeof settings.load>,
+  hostSettings: ReturnType<typeof settings.load>,
 ): Promise<number> {
   let code: number = exitCodes.ok;
   let end = () => {};
   const ended = new Promise<void>((resolve) => end = resolve);
   const host = await node.Node.start({
-    settings: of,
+    settings: hostSettings,
     onFailure() {
       code = exitCodes.failed;
       end();
@@ -65,7 +65,7 @@
     process.stdout.write(`${JSON.stringify({ dump: host.dump() })}\n`);
   };
   const onSignal = () => {
-    // The second signal finds the default handlers, which end the process.
+    // With the handlers removed, a second signal ends the process immediately.
     process.off("SIGTERM", onSignal).off("SIGINT", onSignal);
     end();
   };
--- a/src/node/directory.ts
+++ b/src/node/directory.ts
@@ -1,4 +1,5 @@
-/** The endpoints that announce themselves: the shell of the registry.
+/** Runs the registry of announced endpoints: connects its state machine to the
+ * clock, the transport and the callers' interface.
  * @module */
 
 import * as endpoints from "../endpoints/mod.ts";
@@ -8,41 +9,44 @@
 import type * as schema from "../schema/registry_types.ts";
 import type * as telemetry from "../telemetry/mod.ts";
 
-/** What the shell needs of its host. */
+/** Options and dependencies of a directory. */
 export interface DirectoryOptions extends endpoints.Options {
   clock: runtime.Clock;
   transport: runtime.Transport;
   metrics: telemetry.Metrics;
   logger: telemetry.Logger;
-  /** The endpoints that serve changed. */
+  /** Called when the serving endpoints have changed. */
   onChange(): void;
 }
 
-/** Milliseconds over which changes gather after one was told: many endpoints
- * that come at once must not have the list made anew for each. */
-const GATHER = 20;
+/** Changes within this time after a published one are published together, so
+ * that many endpoints announced at once do not each rebuild the list. */
+const CHANGE_DEBOUNCE_MS = 20;
 
 type Handler<T> = (effect: Extract<endpoints.Effect, { type: T }>) => void;
 
-/** Keeps track of announced endpoints. */
+/** Tracks announced endpoints. */
 export class Directory {
   readonly #options: DirectoryOptions;
-  readonly #alarm: runtime.Timer;
-  readonly #gathered: runtime.Timer;
+  readonly #wakeTimer: runtime.Timer;
+  readonly #changeTimer: runtime.Timer;
   #registry: endpoints.Registry;
-  /** Answer to the announcement under way. */
-  #answer: request.NoticeResult | undefined;
-  #toldAt = -Infinity;
+  /** Result of the announcement being processed. */
+  #noticeResult: request.NoticeResult | undefined;
+  #changedAt = -Infinity;
   #stopped = false;
 
   private constructor(options: DirectoryOptions) {
     this.#options = options;
     this.#registry = endpoints.Registry.create(options);
-    this.#alarm = runtime.Timer.create(
+    this.#wakeTimer = runtime.Timer.create(
       options.clock,
       () => this.#step({ type: "wake" }),
     );
-    this.#gathered = runtime.Timer.create(options.clock, () => this.#tell());
+    this.#changeTimer = runtime.Timer.create(
+      options.clock,
+      () => this.#publishChange(),
+    );
   }
 
   /** A directory without endpoints. */
@@ -50,22 +54,22 @@
     return new Directory(options);
   }
 
-  /** Endpoints that serve, draining ones included. */
+  /** Serving endpoints, including draining ones. */
   get serving(): endpoints.Serving[] {
     return this.#registry.serving;
   }
 
-  /** Whether this copy has once equalled that of another host. */
+  /** Whether this host's registry has once matched that of another host. */
   get hasSynced(): boolean {
     return this.#registry.hasSynced;
   }
 
-  /** Begins to compare notes with other hosts. */
+  /** Starts synchronizing the registry with other hosts. */
   start(): void {
     this.#step({ type: "wake" });
   }
 
-  /** Follows the hosts that live. */
+  /** Updates the live hosts. */
   setHosts({ live, neighbours }: membership.Membership): void {
     const hosts = live.map(({ id, dataCentre, drain }) => ({
       id,
@@ -75,12 +79,12 @@
     this.#step({ type: "hosts", hosts, neighbours });
   }
 
-  /** Takes a message of another host. */
+  /** Handles a registry message from another host. */
   receive(from: string, body: schema.RegistryMessage): void {
     this.#step({ type: "message", from, body });
   }
 
-  /** Takes what an endpoint says of itself. */
+  /** Applies an endpoint's announcement or leave notice. */
   applyNotice(notice: request.Notice): Promise<request.NoticeResult> {
     const { metrics } = this.#options;
     if (notice.type === "leave") {
@@ -90,20 +94,20 @@
     }
     const { endpoint: id, announcement } = notice;
     metrics.count("endpoint.renewed");
-    this.#answer = undefined;
+    this.#noticeResult = undefined;
     this.#step({ type: "announce", id, announcement });
     const detail = "The announcement was not answered";
-    return Promise.resolve(this.#answer ?? { type: "rejected", detail });
+    return Promise.resolve(this.#noticeResult ?? { type: "rejected", detail });
   }
 
-  /** Takes no further part. */
+  /** Cancels all timers and ignores further events. */
   stop(): void {
-    this.#alarm.cancel();
-    this.#gathered.cancel();
+    this.#wakeTimer.cancel();
+    this.#changeTimer.cancel();
     this.#stopped = true;
   }
 
-  /** State for people. */
+  /** Registry state for the state dump. */
   dump(): unknown {
     return this.#registry.toJSON();
   }
@@ -117,14 +121,14 @@
       (this.#handlers[effect.type] as Handler<string>)(effect as never);
     }
     if (!effects.some(({ type }) => type === "notify")) return;
-    const due = this.#toldAt + GATHER;
-    if (now >= due) this.#tell();
-    else this.#gathered.set(due);
+    const due = this.#changedAt + CHANGE_DEBOUNCE_MS;
+    if (now >= due) this.#publishChange();
+    else this.#changeTimer.set(due);
   }
 
-  #tell(): void {
+  #publishChange(): void {
     const { clock, metrics, onChange } = this.#options;
-    this.#toldAt = clock.now();
+    this.#changedAt = clock.now();
     metrics.gauge("endpoint.known", this.serving.length);
     onChange();
   }
@@ -134,18 +138,18 @@
       const { host: from, transport } = this.#options;
       transport.send({ from, to, channel: "registry", body });
     },
-    wake: ({ at }) => this.#alarm.set(at),
+    wake: ({ at }) => this.#wakeTimer.set(at),
     accept: ({ lease }) => {
-      this.#answer = { type: "taken", lease };
+      this.#noticeResult = { type: "taken", lease };
     },
     refuse: ({ reason }) => {
       this.#options.metrics.count("endpoint.rejected");
-      this.#answer = { type: "rejected", detail: refusals[reason] };
+      this.#noticeResult = { type: "rejected", detail: refusals[reason] };
     },
-    notify: ({ change }) => this.#note(change),
+    notify: ({ change }) => this.#recordChange(change),
   };
 
-  #note(change: endpoints.Change): void {
+  #recordChange(change: endpoints.Change): void {
     const { logger, metrics } = this.#options;
     const endpoint = "id" in change ? change.id : change.entry.id;
     if (change.type === "joined") metrics.count("endpoint.announced");
--- a/src/node/directory_test.ts
+++ b/src/node/directory_test.ts
@@ -3,18 +3,18 @@
 import * as telemetry from "../telemetry/mod.ts";
 import * as directories from "./directory.ts";
 
-const COMING = 100;
+const ENDPOINT_COUNT = 100;
 
-interface Bench {
+interface Fixture {
   clock: runtime.FakeClock;
   directory: directories.Directory;
-  /** Endpoints known at each change that was told. */
-  told: number[];
+  /** Number of endpoints at each call of `onChange`. */
+  changes: number[];
 }
 
-function createBench(): Bench {
+function createFixture(): Fixture {
   const clock = new runtime.FakeClock();
-  const told: number[] = [];
+  const changes: number[] = [];
   const directory = directories.Directory.create({
     host: "a",
     lease: 60_000,
@@ -23,13 +23,13 @@
     transport: { send: () => {} },
     metrics: telemetry.noMetrics,
     logger: telemetry.noLogger,
-    onChange: () => told.push(directory.serving.length),
+    onChange: () => changes.push(directory.serving.length),
   });
   directory.start();
-  return { clock, directory, told };
+  return { clock, directory, changes };
 }
 
-async function announce({ directory }: Bench, pos: number): Promise<void> {
+async function announce({ directory }: Fixture, pos: number): Promise<void> {
   await directory.applyNotice({
     type: "announce",
     endpoint: `e${pos}`,
@@ -42,23 +42,23 @@
   });
 }
 
-test("one endpoint that comes is told at once", async (t) => {
-  const bench = createBench();
-  await announce(bench, 0);
-  t.deepEqual(bench.told, [1]);
+test("the first endpoint that announces itself is published at once", async (t) => {
+  const fixture = createFixture();
+  await announce(fixture, 0);
+  t.deepEqual(fixture.changes, [1]);
 });
 
-test("endpoints that come together are told together", async (t) => {
-  const bench = createBench();
-  for (let pos = 0; pos < COMING; pos++) await announce(bench, pos);
-  bench.clock.advance(20);
-  t.deepEqual(bench.told, [1, COMING]);
+test("endpoints announced at the same time are published together", async (t) => {
+  const fixture = createFixture();
+  for (let pos = 0; pos < ENDPOINT_COUNT; pos++) await announce(fixture, pos);
+  fixture.clock.advance(20);
+  t.deepEqual(fixture.changes, [1, ENDPOINT_COUNT]);
 });
 
-test("a stopped directory tells nothing more", async (t) => {
-  const bench = createBench();
-  for (let pos = 0; pos < COMING; pos++) await announce(bench, pos);
-  bench.directory.stop();
-  bench.clock.advance(20);
-  t.deepEqual(bench.told, [1]);
+test("a stopped directory publishes no pending changes", async (t) => {
+  const fixture = createFixture();
+  for (let pos = 0; pos < ENDPOINT_COUNT; pos++) await announce(fixture, pos);
+  fixture.directory.stop();
+  fixture.clock.advance(20);
+  t.deepEqual(fixture.changes, [1]);
 });
--- a/src/node/endpoint_subsets.ts
+++ b/src/node/endpoint_subsets.ts
@@ -1,32 +1,32 @@
-/** The endpoints that the request path of this host works with: all of a small
- * service, this host's subset of a large one.
+/** Selects the endpoints that this host's request path uses: all endpoints of a
+ * small service, and a deterministic subset of a large one.
  * @module */
 
 import type * as membership from "../membership/mod.ts";
 import type * as request from "../request/mod.ts";
 import * as routing from "../routing/mod.ts";
 
-/** Endpoints of one service up to which each host works with all. */
+/** Maximum number of endpoints of a service that every host uses in full. */
 export const MAX_UNSPLIT_ENDPOINTS = 128;
 
-/** What is known of the endpoints of one service. */
-interface Service {
-  covers: number;
-  /** Whether this host works with an endpoint, by id. */
-  chosen: Map<string, Choice>;
+/** Cached assignments of one service's endpoints. */
+interface ServiceSubset {
+  hostsPerEndpoint: number;
+  /** Assignments to this host, by endpoint id. */
+  assignments: Map<string, Assignment>;
 }
 
-interface Choice {
+interface Assignment {
   dataCentre: string;
-  covered: boolean;
+  isAssigned: boolean;
 }
 
-/** Chooses endpoints; remembers its choices until hosts come or go. */
+/** Chooses endpoints, and caches assignments until the set of hosts changes. */
 export class EndpointSubsets {
   readonly #self: string;
-  #fleet = routing.subset.SubsetSelector.create([]);
+  #selector = routing.subset.SubsetSelector.create([]);
   #hosts: readonly routing.subset.Location[] = [];
-  #services = new Map<string, Service>();
+  #services = new Map<string, ServiceSubset>();
 
   private constructor(self: string) {
     this.#self = self;
@@ -37,19 +37,20 @@
     return new EndpointSubsets(self);
   }
 
-  /** Follows the hosts that take requests; true when the choice may differ. */
+  /** Sets the live hosts; draining ones other than this host are left out.
+   * Returns whether the choice may have changed. */
   setHosts(members: readonly membership.Member[]): boolean {
     const hosts = members.filter(({ id, drain }) =>
       drain === undefined || id === this.#self
     ).map(({ id, dataCentre }) => ({ id, dataCentre }));
     if (equal(hosts, this.#hosts)) return false;
     this.#hosts = hosts;
-    this.#fleet = routing.subset.SubsetSelector.create(hosts);
+    this.#selector = routing.subset.SubsetSelector.create(hosts);
     this.#services.clear();
     return true;
   }
 
-  /** The endpoints that this host works with. */
+  /** The endpoints that this host uses. */
   choose(
     endpoints: readonly request.ReachableEndpoint[],
   ): readonly request.ReachableEndpoint[] {
@@ -61,35 +62,42 @@
       this.#services.clear();
       return endpoints;
     }
-    const present = new Map<string, Service>();
+    const present = new Map<string, ServiceSubset>();
     const chosen = endpoints.filter((endpoint) => {
       const size = sizes.get(endpoint.service)!;
       return size <= MAX_UNSPLIT_ENDPOINTS ||
-        this.#covered(endpoint, size, present);
+        this.#isAssigned(endpoint, size, present);
     });
     this.#services = present;
     return chosen;
   }
 
-  /** Moves what is known of an endpoint to `present`, so that what is gone is
-   * forgotten. */
-  #covered(
+  /** Whether this host uses an endpoint of a large service. Copies the
+   * assignment to `present`, so that those of removed endpoints are dropped. */
+  #isAssigned(
     endpoint: request.ReachableEndpoint,
     size: number,
-    present: Map<string, Service>,
+    present: Map<string, ServiceSubset>,
   ): boolean {
     const { id, service, dataCentre } = endpoint;
-    const covers = this.#fleet.hostsPerEndpoint(size);
-    const former = this.#services.get(service);
-    const known = former?.covers === covers ? former.chosen.get(id) : undefined;
-    const choice = known?.dataCentre === dataCentre ? known : {
+    const hostsPerEndpoint = this.#selector.hostsPerEndpoint(size);
+    const previous = this.#services.get(service);
+    const cached = previous?.hostsPerEndpoint === hostsPerEndpoint
+      ? previous.assignments.get(id)
+      : undefined;
+    const assignment = cached?.dataCentre === dataCentre ? cached : {
       dataCentre,
-      covered: this.#fleet.isAssigned(this.#self, endpoint, covers),
+      isAssigned: this.#selector.isAssigned(
+        this.#self,
+        endpoint,
+        hostsPerEndpoint,
+      ),
     };
-    const kept = present.get(service) ?? { covers, chosen: new Map() };
-    kept.chosen.set(id, choice);
-    present.set(service, kept);
-    return choice.covered;
+    const subset = present.get(service) ??
+      { hostsPerEndpoint, assignments: new Map() };
+    subset.assignments.set(id, assignment);
+    present.set(service, subset);
+    return assignment.isAssigned;
   }
 }
 
--- a/src/node/endpoint_subsets_test.ts
+++ b/src/node/endpoint_subsets_test.ts
@@ -3,7 +3,7 @@
 import type * as request from "../request/mod.ts";
 import type * as schema from "../schema/settings_types.ts";
 import * as localFleet from "./local_fleet.ts";
-import * as subsets from "./endpoint_subsets.ts";
+import * as endpointSubsets from "./endpoint_subsets.ts";
 
 const HOSTS = Array.from({ length: 40 }, (_, pos) => `h-${pos}`);
 
@@ -36,10 +36,10 @@
   }));
 }
 
-test("a small service is worked with whole beside a large one", (t) => {
-  const chosen = subsets.EndpointSubsets.create("h-0");
+test("a small service is used in full beside a large one", (t) => {
+  const chosen = endpointSubsets.EndpointSubsets.create("h-0");
   chosen.setHosts(members(HOSTS));
-  const small = endpoints("desk", subsets.MAX_UNSPLIT_ENDPOINTS);
+  const small = endpoints("desk", endpointSubsets.MAX_UNSPLIT_ENDPOINTS);
   t.deepEqual(chosen.choose(small), small);
   const large = endpoints("lm", 1000);
   const found = chosen.choose([...small, ...large]);
@@ -49,38 +49,38 @@
   t.true(count("lm") >= 64 && count("lm") < 200, String(count("lm")));
 });
 
-test("together the hosts work with every endpoint of a large service", (t) => {
+test("all hosts together cover every endpoint of a large service", (t) => {
   const large = endpoints("lm", 1000);
   const found = HOSTS.flatMap((id) => {
-    const chosen = subsets.EndpointSubsets.create(id);
+    const chosen = endpointSubsets.EndpointSubsets.create(id);
     chosen.setHosts(members(HOSTS));
     return chosen.choose(large).map((endpoint) => endpoint.id);
   });
   t.is(new Set(found).size, large.length);
 });
 
-test("what is remembered of a choice equals a fresh one", (t) => {
-  const kept = subsets.EndpointSubsets.create("h-3");
+test("a choice from cached assignments equals an uncached one", (t) => {
+  const kept = endpointSubsets.EndpointSubsets.create("h-3");
   kept.setHosts(members(HOSTS));
   kept.choose(endpoints("lm", 900));
   for (const size of [1000, 150, 100, 600]) {
-    const fresh = subsets.EndpointSubsets.create("h-3");
+    const fresh = endpointSubsets.EndpointSubsets.create("h-3");
     fresh.setHosts(members(HOSTS));
     const present = endpoints("lm", size);
     t.deepEqual(kept.choose(present), fresh.choose(present));
   }
 });
 
-test("the choice follows hosts that come, go or drain", (t) => {
+test("the choice changes when hosts join, leave or drain", (t) => {
   const large = endpoints("lm", 1000);
-  const chosen = subsets.EndpointSubsets.create("h-0");
+  const chosen = endpointSubsets.EndpointSubsets.create("h-0");
   t.true(chosen.setHosts(members(HOSTS)));
   t.false(chosen.setHosts(members(HOSTS)));
   const before = chosen.choose(large);
   t.true(chosen.setHosts(members(HOSTS, HOSTS.slice(1, 30))));
   const after = chosen.choose(large);
   t.notDeepEqual(after, before);
-  const fresh = subsets.EndpointSubsets.create("h-0");
+  const fresh = endpointSubsets.EndpointSubsets.create("h-0");
   fresh.setHosts(members(HOSTS).filter((_, pos) => pos < 1 || pos >= 30));
   t.deepEqual(after, fresh.choose(large));
   t.true(chosen.setHosts(members(["h-0"])));
@@ -91,7 +91,7 @@
   path: { dispatcher: { pools: { billing: { id: string }[] } } };
 }
 
-test("hosts of one fleet split a large service among them", async (t) => {
+test("the hosts of a fleet partition a large service", async (t) => {
   const fixed = endpoints("billing", 200).map(({ id, url, dataCentre }) => {
     return { id, url, dataCentre };
   });
--- a/src/node/engine_orders.ts
+++ b/src/node/engine_orders.ts
@@ -1,5 +1,6 @@
-/** Orders to engines, wired: the table and the engines that announce themselves
- * go in; calls go out while this host holds the lease of the log.
+/** Connects the reconciler of engine orders to its host: passes on the table
+ * and the announced engines. Orders are sent only while this host holds the
+ * lease of the log.
  * @module */
 
 import * as control from "../control/mod.ts";
@@ -10,10 +11,10 @@
 import type * as telemetry from "../telemetry/mod.ts";
 import type * as tableSource from "./table_source.ts";
 
-/** Loads a second over all engines when the settings name none. */
-const LOAD_RATE = 1;
+/** Model loads per second over all engines when the settings give no rate. */
+const DEFAULT_LOAD_RATE = 1;
 
-/** What orders need of their host. */
+/** Options and dependencies of engine orders. */
 export interface Options {
   settings: schema.Settings;
   clock: runtime.Clock;
@@ -21,7 +22,7 @@
   source: tableSource.TableSource;
 }
 
-/** Orders the engines from the host that leads. */
+/** Sends orders to the engines from the lease holder. */
 export class EngineOrders {
   readonly #source: tableSource.TableSource;
   readonly #reconciler: orders.Reconciler;
@@ -33,29 +34,29 @@
       clock,
       logger,
       limits: {
-        loads: settings.limits?.loadRate ?? LOAD_RATE,
-        // Nobody else is elected earlier, whichever clock is slow.
+        loads: settings.limits?.loadRate ?? DEFAULT_LOAD_RATE,
+        // No other host can be elected earlier, even if a clock runs slow.
         lease: control.log.DEFAULT_TIMING.minElectionTimeout,
       },
       lease: () => source.lease(),
     });
   }
 
-  /** Orders that do nothing before `start`. */
+  /** Creates engine orders that are inactive until `start`. */
   static create(options: Options): EngineOrders {
     return new EngineOrders(options);
   }
 
-  /** Begins to follow the table, and to order whenever the lease is held. */
+  /** Starts watching the table, and sends orders while the lease is held. */
   start(): void {
     const { access } = this.#source;
-    const follow = () => this.#reconciler.setTable(access.view());
-    follow();
-    this.#cancel = access.watch(follow);
+    const updateTable = () => this.#reconciler.setTable(access.view());
+    updateTable();
+    this.#cancel = access.watch(updateTable);
     this.#reconciler.start();
   }
 
-  /** Follows the endpoints; engines that drain get no order any more. */
+  /** Updates the engines; draining engines receive no further orders. */
   setEngines(serving: readonly endpoints.Serving[]): void {
     const engines = serving.filter(({ phase, endpoint }) =>
       phase === "ready" && endpoint.kind === "engine"
@@ -63,13 +64,13 @@
     this.#reconciler.setEngines(engines.map(engineOf));
   }
 
-  /** Orders nothing any more. */
+  /** Stops watching the table and sending orders. */
   stop(): void {
     this.#cancel();
     this.#reconciler.stop();
   }
 
-  /** State for people. */
+  /** Reconciler state for the state dump. */
   dump(): unknown {
     return this.#reconciler.dump();
   }
--- a/src/node/engine_orders_test.ts
+++ b/src/node/engine_orders_test.ts
@@ -12,8 +12,8 @@
 
 const SERVICES = ["lm-pool", "course-model"];
 
-/** One voter on a clock that is moved by hand, with engines beside it. */
-class Bench {
+/** A single voter on a fake clock, with simulated engines. */
+class Fixture {
   readonly clock = new runtime.FakeClock();
   readonly weights = new standins.WeightStore({
     clock: this.clock,
@@ -24,34 +24,35 @@
   readonly lines: Record<string, unknown>[] = [];
   host!: node.Node;
 
-  static async start(t: ExecutionContext): Promise<Bench> {
-    const bench = new Bench();
-    await bench.weights.start();
-    t.teardown(() => bench.weights.stop());
-    bench.host = await node.Node.start({
+  static async start(t: ExecutionContext): Promise<Fixture> {
+    const fixture = new Fixture();
+    await fixture.weights.start();
+    t.teardown(() => fixture.weights.stop());
+    fixture.host = await node.Node.start({
       settings: createSettings(t),
-      clock: bench.clock,
+      clock: fixture.clock,
       environment: { ENDPOINT: "endpoint-token" },
       logger: telemetry.createLogger({
         host: "a",
-        destination: { write: (line) => bench.lines.push(JSON.parse(line)) },
+        destination: { write: (line) => fixture.lines.push(JSON.parse(line)) },
       }),
     });
-    t.teardown(() => bench.until(bench.host.stop()));
-    await bench.until(bench.host.ready);
-    return bench;
+    t.teardown(() => fixture.advanceUntilSettled(fixture.host.stop()));
+    await fixture.advanceUntilSettled(fixture.host.ready);
+    return fixture;
   }
 
-  /** Lets time pass until `promise` is settled. */
-  async until<T>(promise: Promise<T>): Promise<T> {
+  /** Advances the clock until `promise` is settled, and returns its value. */
+  async advanceUntilSettled<T>(promise: Promise<T>): Promise<T> {
     let done = false;
     const settled = promise.finally(() => done = true);
-    await this.pass(() => done);
+    await this.advanceUntil(() => done);
     return await settled;
   }
 
-  /** Lets time pass until `done`; calls over sockets end on the way. */
-  async pass(done: () => boolean): Promise<void> {
+  /** Advances the clock until `done` returns true; pending socket calls are
+   * served between two steps. */
+  async advanceUntil(done: () => boolean): Promise<void> {
     while (!done()) {
       this.clock.advance(10);
       await new Promise((resolve) => setTimeout(resolve, 1));
@@ -85,10 +86,11 @@
     await answer.text();
   }
 
-  /** Asks for version 2 of a model on the engines of a service. */
-  async ask(service: string): Promise<void> {
+  /** Edits the table so that the engines of a service load version 2 of a
+   * model. */
+  async requestModel(service: string): Promise<void> {
     const change = { row: `service/${service}`, version: 0 };
-    await this.until(this.host.table.edit({
+    await this.advanceUntilSettled(this.host.table.edit({
       operation: service,
       actor: "ines",
       changes: [
@@ -124,47 +126,47 @@
   );
 }
 
-test("an edit of service rows loads engines at the weight store's pace", async (t) => {
-  const bench = await Bench.start(t);
+test("an edit of service rows loads models at the weight store's rate", async (t) => {
+  const fixture = await Fixture.start(t);
   for (const service of SERVICES) {
     for (const fencing of ["checks", "ignores"] as const) {
-      const engine = await bench.addEngine(t, { service, fencing });
-      await bench.announce({ id: engine.id, body: engine.announcement() });
+      const engine = await fixture.addEngine(t, { service, fencing });
+      await fixture.announce({ id: engine.id, body: engine.announcement() });
     }
-    await bench.ask(service);
+    await fixture.requestModel(service);
   }
-  await bench.pass(() => bench.engines.every(holds));
+  await fixture.advanceUntil(() => fixture.engines.every(holds));
   const load = { type: "load", model: "hull", version: "2" };
-  for (const { taken } of bench.engines) {
+  for (const { taken } of fixture.engines) {
     t.deepEqual(taken.map(({ order }) => order) as unknown[], [load]);
   }
-  t.deepEqual(bench.weights.counts, { served: 4, refused: 0 });
-  const ordered = bench.lines.filter(({ msg }) => msg === "engine ordered");
+  t.deepEqual(fixture.weights.counts, { served: 4, refused: 0 });
+  const ordered = fixture.lines.filter(({ msg }) => msg === "engine ordered");
   t.is(ordered.length, 4);
   t.like(ordered[0], { operators: ["ines"], order: load });
 });
 
-test("an order whose answer was lost is not repeated once it was carried out", async (t) => {
-  const bench = await Bench.start(t);
+test("an order whose response was lost is not repeated after it took effect", async (t) => {
+  const fixture = await Fixture.start(t);
   const options = { service: "lm-pool", fencing: "ignores" } as const;
-  const engine = await bench.addEngine(t, options);
-  const lossy = await forward(t, engine.url);
+  const engine = await fixture.addEngine(t, options);
+  const lossy = await startLossyProxy(t, engine.url);
   const body = { ...engine.announcement(), url: lossy.url };
-  await bench.announce({ id: engine.id, body });
-  await bench.ask("lm-pool");
-  await bench.pass(() => holds(engine) && lossy.readsAfterLoss() > 1);
+  await fixture.announce({ id: engine.id, body });
+  await fixture.requestModel("lm-pool");
+  await fixture.advanceUntil(() => holds(engine) && lossy.readsAfterLoss() > 1);
   t.is(engine.taken.length, 1);
-  const [ordered] = bench.lines.filter(({ msg }) => msg === "engine ordered");
+  const [ordered] = fixture.lines.filter(({ msg }) => msg === "engine ordered");
   t.like(ordered, { answer: { type: "lost" } });
 });
 
-/** Passes calls on, and keeps the answers to orders. */
-async function forward(t: ExecutionContext, to: string) {
+/** Starts a proxy to an engine that drops the responses to orders. */
+async function startLossyProxy(t: ExecutionContext, to: string) {
   let reads = 0;
   let lost = false;
   const server = http.createServer(async (incoming, response) => {
     const { method, url } = incoming;
-    // No events: a stream without end can't be passed on as a whole.
+    // The proxy buffers whole responses, so it cannot forward event streams.
     if (url === "/v1/events") return void response.writeHead(404).end();
     const chunks: Buffer[] = [];
     for await (const chunk of incoming) chunks.push(chunk);
--- a/src/node/host_context.ts
+++ b/src/node/host_context.ts
@@ -1,5 +1,5 @@
-/** What all parts of a host stand on: clock, random numbers, telemetry and
- * secrets.
+/** Dependencies shared by all parts of a host: settings, secrets, clock, random
+ * numbers and telemetry.
  * @module */
 
 import * as crypto from "node:crypto";
@@ -9,20 +9,20 @@
 import type * as options from "./options.ts";
 import * as secrets from "./secrets.ts";
 
-/** Greatest seed, exclusive. */
-const SEEDS = 2 ** 31;
+/** Exclusive upper bound of random seeds. */
+const SEED_LIMIT = 2 ** 31;
 
-/** Shared by the parts of one host. */
+/** Dependencies shared by the parts of one host. */
 export interface HostContext {
   settings: schema.Settings;
   secrets: secrets.Secrets;
   clock: runtime.Clock;
   random: runtime.Random;
   logger: telemetry.Logger;
-  /** Goes to the tally, and to statsd where the settings name it. */
+  /** Records to the tally, and to statsd if the settings configure it. */
   metrics: telemetry.Metrics;
   tally: telemetry.Tally;
-  /** Sends what is buffered. */
+  /** Flushes buffered metrics and closes their socket. */
   closeMetrics(): Promise<void>;
 }
 
@@ -40,7 +40,8 @@
     settings,
     secrets: secrets.read(settings, environment),
     clock: options.clock ?? runtime.systemClock,
-    random: options.random ?? runtime.createRandom(crypto.randomInt(SEEDS)),
+    random: options.random ??
+      runtime.createRandom(crypto.randomInt(SEED_LIMIT)),
     logger,
     metrics: telemetry.combine(targets.filter((each) => each !== undefined)),
     tally,
@@ -53,9 +54,9 @@
   logger: telemetry.Logger,
 ): Promise<telemetry.Statsd | undefined> {
   if (metrics === undefined) return undefined;
-  let failed = false;
+  let hasWarned = false;
   return await telemetry.openStatsd(metrics, ({ message }) => {
-    if (!failed) logger.warn({ message }, "Metrics cannot be sent");
-    failed = true;
+    if (!hasWarned) logger.warn({ message }, "Sending metrics failed");
+    hasWarned = true;
   });
 }
--- a/src/node/limit_shares.ts
+++ b/src/node/limit_shares.ts
@@ -1,6 +1,6 @@
-/** This host's shares of limits of the whole fleet: the shell of holder and
- * allocator. Every host holds shares; the one that leads the log gives them
- * out.
+/** This host's shares of fleet-wide limits. Connects the state machines of the
+ * share holder and the share allocator to the clock and the transport: every
+ * host holds shares, and the lease holder of the log allocates them.
  * @module */
 
 import * as runtime from "../runtime/mod.ts";
@@ -9,34 +9,34 @@
 import * as shares from "../shares/mod.ts";
 import type * as tableSource from "./table_source.ts";
 
-/** Milliseconds between looks at who leads the log. */
-const LOOK = 200;
+/** Interval at which the leader of the log is looked up. */
+const LEADER_POLL_INTERVAL_MS = 200;
 
-/** What the shell needs of its host. */
+/** Options and dependencies of limit shares. */
 export interface Options {
   settings: settings.Settings;
   clock: runtime.Clock;
   random: runtime.Random;
   transport: runtime.Transport;
   source: tableSource.TableSource;
-  /** Shares of this host changed. */
+  /** Called when the shares of this host have changed. */
   onChange(): void;
 }
 
-/** Shares of one host. */
+/** The shares of one host. */
 export class LimitShares {
-  /** Watches what callers ask. */
+  /** Measures the demand of callers for each limit. */
   readonly meter = shares.meter.Meter.create();
   readonly #options: Options;
-  readonly #look: runtime.Timer;
-  readonly #report: runtime.Timer;
-  readonly #expiry: runtime.Timer;
-  readonly #round: runtime.Timer;
+  readonly #leaderTimer: runtime.Timer;
+  readonly #reportTimer: runtime.Timer;
+  readonly #expiryTimer: runtime.Timer;
+  readonly #allocationTimer: runtime.Timer;
   #limits: readonly shares.Limit[] = [];
   #holder: shares.holder.Holder;
   #allocator = shares.allocator.Allocator.create();
   #shares: ReadonlyMap<string, number> = new Map();
-  #leading = false;
+  #isLeaseHolder = false;
   #stopped = false;
 
   private constructor(options: Options) {
@@ -44,124 +44,134 @@
     const hosts = fleet.hosts.length;
     this.#options = options;
     this.#holder = shares.holder.Holder.create({ hosts, random });
-    this.#look = runtime.Timer.create(clock, () => this.#lookAround());
-    this.#report = runtime.Timer.create(clock, () => this.#tellDemand());
-    this.#expiry = runtime.Timer.create(
+    this.#leaderTimer = runtime.Timer.create(clock, () => this.#pollLeader());
+    this.#reportTimer = runtime.Timer.create(clock, () => this.#reportDemand());
+    this.#expiryTimer = runtime.Timer.create(
       clock,
-      () => this.#hold({ type: "wake" }),
+      () => this.#stepHolder({ type: "wake" }),
     );
-    this.#round = runtime.Timer.create(clock, () => {
-      this.#followLease();
-      this.#allocate({ type: "wake" });
+    this.#allocationTimer = runtime.Timer.create(clock, () => {
+      this.#updateLease();
+      this.#stepAllocator({ type: "wake" });
     });
     this.setHosts(hosts);
   }
 
-  /** Shares of a host that has not begun to claim any. */
+  /** Creates shares that are not claimed before `start`. */
   static create(options: Options): LimitShares {
     return new LimitShares(options);
   }
 
-  /** What this host may use of a limit now. A host that is alone has all. */
+  /** This host's current share of a limit; the whole limit when the fleet has
+   * a single host. */
   share({ row, column, limit }: shares.Limit): number {
-    if (this.#alone) return limit;
+    if (this.#isSingleHost) return limit;
     return this.#shares.get(keyOf(row, column)) ?? 0;
   }
 
-  /** Begins to claim shares. */
+  /** Starts reporting demand and claiming shares. */
   start(): void {
-    if (this.#alone) return;
-    this.#lookAround();
-    this.#tellDemand();
+    if (this.#isSingleHost) return;
+    this.#pollLeader();
+    this.#reportDemand();
   }
 
-  /** Follows the limits in the table. */
+  /** Updates the limits from the table. */
   setLimits(limits: readonly shares.Limit[]): void {
     this.#limits = limits;
     this.meter.setLimits(limits);
-    this.#hold({ type: "limits", limits });
-    this.#allocate({ type: "limits", limits });
+    this.#stepHolder({ type: "limits", limits });
+    this.#stepAllocator({ type: "limits", limits });
   }
 
-  /** Follows the number of hosts that may be running. */
+  /** Updates the number of hosts that may be running. */
   setHosts(count: number): void {
-    this.#hold({ type: "hosts", count });
-    this.#allocate({ type: "hosts", count });
+    this.#stepHolder({ type: "hosts", count });
+    this.#stepAllocator({ type: "hosts", count });
   }
 
-  /** Takes a message of another host. */
+  /** Handles a shares message from another host. */
   receive(from: string, body: schema.SharesMessage): void {
     const event = { type: "message" as const, from, body };
-    if (body.type !== "report") return this.#hold(event);
-    this.#followLease();
-    this.#allocate(event);
+    if (body.type !== "report") return this.#stepHolder(event);
+    this.#updateLease();
+    this.#stepAllocator(event);
   }
 
-  /** Takes no further part. */
+  /** Cancels all timers and ignores further events. */
   stop(): void {
     this.#stopped = true;
     for (
-      const alarm of [this.#look, this.#report, this.#expiry, this.#round]
-    ) alarm.cancel();
+      const timer of [
+        this.#leaderTimer,
+        this.#reportTimer,
+        this.#expiryTimer,
+        this.#allocationTimer,
+      ]
+    ) timer.cancel();
   }
 
-  /** State for people. */
+  /** State of holder and allocator for the state dump. */
   dump(): unknown {
-    const allocator = this.#leading ? this.#allocator.toJSON() : undefined;
+    const allocator = this.#isLeaseHolder
+      ? this.#allocator.toJSON()
+      : undefined;
     return { holder: this.#holder.toJSON(), allocator };
   }
 
-  get #alone(): boolean {
+  get #isSingleHost(): boolean {
     return this.#options.settings.fleet.hosts.length === 1;
   }
 
-  #lookAround(): void {
+  #pollLeader(): void {
     const { source, clock } = this.#options;
-    this.#followLease();
+    this.#updateLease();
     const { leader } = source;
-    if (leader !== undefined) this.#hold({ type: "leader", host: leader });
-    this.#look.set(clock.now() + LOOK);
+    if (leader !== undefined) {
+      this.#stepHolder({ type: "leader", host: leader });
+    }
+    this.#leaderTimer.set(clock.now() + LEADER_POLL_INTERVAL_MS);
   }
 
-  #followLease(): void {
+  #updateLease(): void {
     const lease = this.#options.source.lease();
     if (lease !== undefined) {
       const { token: term, until } = lease;
-      this.#allocate({ type: "lead", term, until });
-    } else if (this.#leading) this.#allocate({ type: "yield" });
-    this.#leading = lease !== undefined;
+      this.#stepAllocator({ type: "lead", term, until });
+    } else if (this.#isLeaseHolder) this.#stepAllocator({ type: "yield" });
+    this.#isLeaseHolder = lease !== undefined;
   }
 
-  #tellDemand(): void {
+  #reportDemand(): void {
     const now = this.#options.clock.now();
     const demands = this.meter.read(this.#limits, now);
-    this.#hold({ type: "demand", demands });
-    this.#report.set(now + shares.holder.REPORT_INTERVAL);
+    this.#stepHolder({ type: "demand", demands });
+    this.#reportTimer.set(now + shares.holder.REPORT_INTERVAL);
   }
 
-  #hold(event: shares.holder.Event): void {
+  #stepHolder(event: shares.holder.Event): void {
     if (this.#stopped) return;
     const now = this.#options.clock.now();
     const { state, effects } = this.#holder.step(event, now);
     this.#holder = state;
     for (const effect of effects) {
-      (this.#holding[effect.type] as Handler<string>)(effect as never);
+      (this.#holderHandlers[effect.type] as Handler<string>)(effect as never);
     }
   }
 
-  #allocate(event: shares.allocator.Event): void {
+  #stepAllocator(event: shares.allocator.Event): void {
     if (this.#stopped) return;
     const now = this.#options.clock.now();
     const { state, effects } = this.#allocator.step(event, now);
     this.#allocator = state;
     for (const effect of effects) {
       if (effect.type === "send") this.#send(effect);
-      else if (effect.at === Infinity) this.#round.cancel();
-      else this.#round.set(effect.at);
+      else if (effect.at === Infinity) this.#allocationTimer.cancel();
+      else this.#allocationTimer.set(effect.at);
     }
   }
 
-  readonly #holding: { [T in HolderEffect["type"]]: Handler<T> } = {
+  readonly #holderHandlers: { [T in HolderEffect["type"]]: Handler<T> } = {
     send: (effect) => this.#send(effect),
     notify: (effect) => {
       this.#shares = new Map(effect.shares.map(({ row, column, share }) => {
@@ -169,7 +179,7 @@
       }));
       this.#options.onChange();
     },
-    wake: ({ at }) => this.#expiry.set(at),
+    wake: ({ at }) => this.#expiryTimer.set(at),
   };
 
   #send({ to, body }: { to: string; body: schema.SharesMessage }): void {
--- a/src/node/limit_shares_test.ts
+++ b/src/node/limit_shares_test.ts
@@ -8,41 +8,44 @@
 const ROW = "account/crews";
 const HOSTS = ["a", "b", "c"];
 
-interface Shares {
+interface SharesDump {
   shares: {
     holder: { shares: { row: string; column: string; share: number }[] };
   };
 }
 
-/** Three voters with one limit, and the most that they shared out. */
-class Bench {
+/** Three voters with one limit, and the highest total of their shares. */
+class Fixture {
   fleet!: localFleet.LocalFleet;
-  most = 0;
+  maxTotal = 0;
   #calls = 0;
 
-  static async start(t: ExecutionContext): Promise<Bench> {
-    const bench = new Bench();
+  static async start(t: ExecutionContext): Promise<Fixture> {
+    const fixture = new Fixture();
     const tokenHash = crypto.createHash("sha256").update(TOKEN).digest("hex");
     const table: schema.InitialRow[] = [
       { row: ROW, cells: { rate: RATE, tokenHash } },
     ];
-    bench.fleet = await localFleet.LocalFleet.start({
+    fixture.fleet = await localFleet.LocalFleet.start({
       voters: HOSTS,
       settings: { table },
-      onAdvance: () => bench.#watch(),
+      onAdvance: () => fixture.#recordTotal(),
     });
-    t.teardown(() => bench.fleet.stop());
-    return bench;
+    t.teardown(() => fixture.fleet.stop());
+    return fixture;
   }
 
   share(id: string): number {
-    const { shares } = this.fleet.get(id).dump() as Shares;
+    const { shares } = this.fleet.get(id).dump() as SharesDump;
     const found = shares.holder.shares.find(({ row }) => row === ROW);
     return found?.share ?? 0;
   }
 
-  /** Asks one host without pause until its share is as wished. */
-  async ask(id: string, wished: (share: number) => boolean): Promise<void> {
+  /** Calls one host repeatedly until its share meets a condition. */
+  async callUntil(
+    id: string,
+    wished: (share: number) => boolean,
+  ): Promise<void> {
     const { callersPort } = this.fleet.get(id);
     const url = `http://127.0.0.1:${callersPort}/v1/services/billing/pay`;
     const headers = { authorization: `Bearer ${TOKEN}` };
@@ -54,28 +57,28 @@
     }
   }
 
-  #watch(): void {
+  #recordTotal(): void {
     if (++this.#calls % 10 !== 0 || this.fleet === undefined) return;
     const ids = [...this.fleet.hosts.keys()];
     const sum = ids.reduce((sum, id) => sum + this.share(id), 0);
-    this.most = Math.max(this.most, sum);
+    this.maxTotal = Math.max(this.maxTotal, sum);
   }
 }
 
-test("a limit goes to the host that is asked, and never above the cell", async (t) => {
-  const bench = await Bench.start(t);
-  await bench.ask("b", (share) => share > 0.8 * RATE);
-  await bench.ask("c", (share) => share > 0.4 * RATE);
-  t.true(bench.most > 0.8 * RATE);
-  t.true(bench.most <= RATE + 1e-6, String(bench.most));
+test("a limit moves to the host with demand, and shares never exceed it", async (t) => {
+  const fixture = await Fixture.start(t);
+  await fixture.callUntil("b", (share) => share > 0.8 * RATE);
+  await fixture.callUntil("c", (share) => share > 0.4 * RATE);
+  t.true(fixture.maxTotal > 0.8 * RATE);
+  t.true(fixture.maxTotal <= RATE + 1e-6, String(fixture.maxTotal));
 });
 
-test("a host that is cut off falls back to its safe share", async (t) => {
-  const bench = await Bench.start(t);
-  await bench.ask("a", (share) => share > 0.8 * RATE);
-  await bench.fleet.isolate("a");
-  await bench.fleet.advanceUntil(() => bench.share("a") < 0.1 * RATE);
-  t.is(bench.share("a"), RATE * 0.25 / 4);
-  await bench.ask("b", (share) => share > 0.7 * RATE);
-  t.true(bench.most <= RATE + 1e-6, String(bench.most));
+test("an isolated host falls back to its safe share", async (t) => {
+  const fixture = await Fixture.start(t);
+  await fixture.callUntil("a", (share) => share > 0.8 * RATE);
+  await fixture.fleet.isolate("a");
+  await fixture.fleet.advanceUntil(() => fixture.share("a") < 0.1 * RATE);
+  t.is(fixture.share("a"), RATE * 0.25 / 4);
+  await fixture.callUntil("b", (share) => share > 0.7 * RATE);
+  t.true(fixture.maxTotal <= RATE + 1e-6, String(fixture.maxTotal));
 });
--- a/src/node/local_fleet.ts
+++ b/src/node/local_fleet.ts
@@ -1,53 +1,53 @@
-/** Hosts of one fleet in one process, over loopback sockets and on one clock
- * that is moved by hand, for tests.
+/** A fleet of hosts in one process, connected over loopback sockets and driven
+ * by one fake clock, for tests.
  * @module */
 
 import * as fs from "node:fs";
 import * as os from "node:os";
 import * as path from "node:path";
-import * as relays from "../peers/tcp_proxy.ts";
+import * as tcpProxy from "../peers/tcp_proxy.ts";
 import * as runtime from "../runtime/mod.ts";
 import type * as schema from "../schema/settings_types.ts";
 import * as telemetry from "../telemetry/mod.ts";
 import * as node from "./node.ts";
 
-/** Milliseconds of the clock between two looks at the sockets. */
-const STEP = 5;
+/** Step of the fake clock; the sockets are served between two steps. */
+const CLOCK_STEP_MS = 5;
 
 interface Dump {
   peers: { port: number };
 }
 
-/** What stands for the dump of a host that does not run. */
-const NONE: Dump = { peers: { port: 1 } };
+/** Dump assumed for a host that is not running. */
+const STOPPED_HOST_DUMP: Dump = { peers: { port: 1 } };
 
-/** What the hosts of a local fleet are made from. */
+/** Options of a local fleet. */
 export interface Options {
-  /** Ids of the hosts that vote. */
+  /** Ids of the voters. */
   voters: readonly string[];
   /** Ids of further hosts. */
   others?: readonly string[];
   settings?: Partial<schema.Settings>;
-  /** Changes to hosts of the list. */
+  /** Overrides of host settings, by host id. */
   hosts?: Readonly<Record<string, Partial<schema.Host>>>;
-  /** Called each time that the clock has moved. */
+  /** Called after each step of the clock. */
   onAdvance?(): void;
 }
 
-/** Hosts that run. */
+/** The running hosts of a fleet. */
 export class LocalFleet {
   readonly clock = new runtime.FakeClock();
   readonly hosts = new Map<string, node.Node>();
   readonly #folder = fs.mkdtempSync(path.join(os.tmpdir(), "chicoryloft-"));
   readonly #options: Options;
-  /** Relays in front of each host, by the host that dials. */
-  readonly #relays = new Map<string, Map<string, relays.TcpProxy>>();
+  /** Proxies between hosts, by the id of the dialing host, then of the target. */
+  readonly #proxies = new Map<string, Map<string, tcpProxy.TcpProxy>>();
 
   private constructor(options: Options) {
     this.#options = options;
   }
 
-  /** Starts all hosts and waits until they serve callers. */
+  /** Starts all hosts and waits until they are ready. */
   static async start(options: Options): Promise<LocalFleet> {
     const fleet = new LocalFleet(options);
     try {
@@ -76,21 +76,21 @@
     await this.advanceUntilSettled(Promise.all(ready));
   }
 
-  /** A host that runs. */
+  /** Returns a running host by its id. */
   get(id: string): node.Node {
     return this.hosts.get(id)!;
   }
 
-  /** Lets time pass until `done`. */
+  /** Advances the clock until `done` returns true. */
   async advanceUntil(done: () => boolean): Promise<void> {
     while (!done()) {
-      this.clock.advance(STEP);
+      this.clock.advance(CLOCK_STEP_MS);
       this.#options.onAdvance?.();
       await new Promise((resolve) => setTimeout(resolve, 1));
     }
   }
 
-  /** Lets time pass until `promise` is settled. */
+  /** Advances the clock until `promise` is settled, and returns its value. */
   async advanceUntilSettled<T>(promise: Promise<T>): Promise<T> {
     let done = false;
     const settled = Promise.allSettled([promise]).then(() => done = true);
@@ -99,11 +99,11 @@
     return await promise;
   }
 
-  /** Cuts a host off from all others for good. */
+  /** Closes all connections between a host and the others permanently. */
   async isolate(id: string): Promise<void> {
-    for (const [from, dialled] of this.#relays) {
-      for (const [to, relay] of dialled) {
-        if (from === id || to === id) await relay.close();
+    for (const [from, proxiesByTarget] of this.#proxies) {
+      for (const [to, proxy] of proxiesByTarget) {
+        if (from === id || to === id) await proxy.close();
       }
     }
   }
@@ -115,15 +115,16 @@
     await this.advanceUntilSettled(
       Promise.all(hosts.map((host) => host.stop())),
     );
-    for (const dialled of this.#relays.values()) {
-      for (const relay of dialled.values()) await relay.close();
+    for (const proxiesByTarget of this.#proxies.values()) {
+      for (const proxy of proxiesByTarget.values()) await proxy.close();
     }
     fs.rmSync(this.#folder, { recursive: true });
   }
 
-  /** Port that a host listens on for others. */
+  /** Port on which a host listens for its peers. */
   #portOf(id: string): number {
-    const { peers } = this.hosts.get(id)?.dump() as Dump | undefined ?? NONE;
+    const { peers } = this.hosts.get(id)?.dump() as Dump | undefined ??
+      STOPPED_HOST_DUMP;
     return peers.port;
   }
 
@@ -131,14 +132,17 @@
     id: string,
     hosts: readonly schema.Host[],
   ): Promise<schema.Settings> {
-    const dialled = new Map<string, relays.TcpProxy>();
-    this.#relays.set(id, dialled);
+    const proxiesByTarget = new Map<string, tcpProxy.TcpProxy>();
+    this.#proxies.set(id, proxiesByTarget);
     for (const { id: to } of hosts) {
       if (to === id) continue;
-      dialled.set(to, await relays.TcpProxy.create(() => this.#portOf(to)));
+      proxiesByTarget.set(
+        to,
+        await tcpProxy.TcpProxy.create(() => this.#portOf(to)),
+      );
     }
     const [first, ...rest] = hosts.map((host) => {
-      return { ...host, port: dialled.get(host.id)?.port ?? host.port };
+      return { ...host, port: proxiesByTarget.get(host.id)?.port ?? host.port };
     });
     const { voters, settings } = this.#options;
     return {
--- a/src/node/loopback.ts
+++ b/src/node/loopback.ts
@@ -1,9 +1,10 @@
-/** Transport of a host that is alone: what it sends to itself arrives.
+/** Transport of a single-host fleet, which delivers only messages to itself.
  * @module */
 
 import type * as runtime from "../runtime/mod.ts";
 
-/** Delivers to one host, after the present step. */
+/** Delivers envelopes to the sending host in a microtask, after the current
+ * step. */
 export class Loopback implements runtime.Transport {
   readonly #self: string;
   readonly #onEnvelope: (envelope: runtime.Envelope) => void;
@@ -17,7 +18,7 @@
     this.#onEnvelope = onEnvelope;
   }
 
-  /** A transport that delivers nothing before `start`. */
+  /** Creates a transport that delivers nothing before `start`. */
   static create(
     self: string,
     onEnvelope: (envelope: runtime.Envelope) => void,
--- a/src/node/members.ts
+++ b/src/node/members.ts
@@ -1,4 +1,5 @@
-/** The hosts of the system around this one: the shell of membership.
+/** Tracks the other hosts of the fleet: connects the membership state machine to
+ * the clock and the transport.
  * @module */
 
 import * as membership from "../membership/mod.ts";
@@ -6,40 +7,40 @@
 import type * as schema from "../schema/membership_types.ts";
 import type * as telemetry from "../telemetry/mod.ts";
 
-/** What the shell needs of its host. */
+/** Options and dependencies of members. */
 export interface MembersOptions extends membership.Options {
   clock: runtime.Clock;
   transport: runtime.Transport;
   metrics: telemetry.Metrics;
   logger: telemetry.Logger;
-  /** The live hosts, or what they say of themselves, changed. */
+  /** Called when the live hosts or their metadata have changed. */
   onChange(): void;
 }
 
 type Handler<T> = (effect: Extract<membership.Effect, { type: T }>) => void;
 
-/** Keeps track of the other hosts. */
+/** Tracks the other hosts. */
 export class Members {
   readonly #options: MembersOptions;
-  readonly #alarm: runtime.Timer;
+  readonly #wakeTimer: runtime.Timer;
   #membership: membership.Membership;
-  #left = false;
+  #hasLeft = false;
 
   private constructor(options: MembersOptions) {
     this.#options = options;
     this.#membership = membership.Membership.create(options);
-    this.#alarm = runtime.Timer.create(
+    this.#wakeTimer = runtime.Timer.create(
       options.clock,
       () => this.#step({ type: "wake" }),
     );
   }
 
-  /** Members that this host has not begun to look for. */
+  /** Creates members that are not contacted before `start`. */
   static create(options: MembersOptions): Members {
     return new Members(options);
   }
 
-  /** The view of the hosts as it is now. */
+  /** Current membership as this host sees it. */
   get membership(): membership.Membership {
     return this.#membership;
   }
@@ -50,26 +51,26 @@
     this.#options.onChange();
   }
 
-  /** Takes a message of another host. */
+  /** Handles a membership message from another host. */
   receive(from: string, body: schema.MembershipMessage): void {
     this.#step({ type: "message", from, body });
   }
 
-  /** Tells the others that this host takes no new work. */
+  /** Announces to the other hosts that this host accepts no new work. */
   drain(reason: string): void {
     this.#step({ type: "drain", reason });
   }
 
-  /** Tells the others that this host goes, and takes no further part. */
+  /** Announces that this host leaves the fleet, and ignores further events. */
   leave(): void {
     this.#step({ type: "leave" });
-    this.#alarm.cancel();
-    this.#left = true;
+    this.#wakeTimer.cancel();
+    this.#hasLeft = true;
   }
 
   #step(event: membership.Event): void {
-    // News that comes in after the host has left must not set the alarm again.
-    if (this.#left) return;
+    // Messages received after leaving must not set the timer again.
+    if (this.#hasLeft) return;
     const now = this.#options.clock.now();
     const { state, effects } = this.#membership.step(event, now);
     this.#membership = state;
@@ -87,7 +88,7 @@
       const { self, transport } = this.#options;
       transport.send({ from: self.id, to, channel: "membership", body });
     },
-    wake: ({ at }) => this.#alarm.set(at),
+    wake: ({ at }) => this.#wakeTimer.set(at),
     notify: ({ change }) => {
       const { type, member: { id: member } } = change;
       const { logger, metrics } = this.#options;
--- a/src/node/members_test.ts
+++ b/src/node/members_test.ts
@@ -3,7 +3,7 @@
 import * as telemetry from "../telemetry/mod.ts";
 import * as members from "./members.ts";
 
-test("a host that has left answers nobody and sets no timer", (t) => {
+test("a host that has left sends no messages and sets no timer", (t) => {
   const clock = new runtime.FakeClock();
   const sent: runtime.Envelope[] = [];
   const self = { id: "a", dataCentre: "hall", address: "127.0.0.1", port: 1 };
--- a/src/node/node.ts
+++ b/src/node/node.ts
@@ -10,55 +10,62 @@
 import * as operators from "../operators/mod.ts";
 import type * as runtime from "../runtime/mod.ts";
 import type * as schema from "../schema/settings_types.ts";
-import * as foundation from "./host_context.ts";
+import * as hostContext from "./host_context.ts";
 import type * as options from "./options.ts";
 import * as parts from "./parts.ts";
 import * as readiness from "./readiness.ts";
 import * as serving from "./serving.ts";
 import * as version from "./version.ts";
 
-/** Milliseconds in which peers hear that this host is gone. */
-const FAREWELL = 200;
+/** Time for the leave message to reach the peers before the transport closes. */
+const LEAVE_PROPAGATION_MS = 200;
 
-/** One host in this process. */
+/** A host of the fleet. */
 export class Node implements operators.Host {
-  /** Resolves once callers are served: the table is that of the fleet. */
+  /** Resolves once callers are served, after the table has caught up with the
+   * fleet; rejects when the host stops before. */
   readonly ready: Promise<void>;
-  readonly #foundation: foundation.HostContext;
+  readonly #context: hostContext.HostContext;
   readonly #parts: parts.Parts;
-  readonly #started: number;
+  readonly #startedAt: number;
   #operators: operators.Server | undefined;
   #state: operators.HostState = "ready";
   #stopping: Promise<void> | undefined;
   #stopWaiting = () => {};
 
-  private constructor(base: foundation.HostContext, made: parts.Parts) {
-    this.#foundation = base;
-    this.#parts = made;
-    this.#started = base.clock.now();
+  private constructor(
+    context: hostContext.HostContext,
+    startedParts: parts.Parts,
+  ) {
+    this.#context = context;
+    this.#parts = startedParts;
+    this.#startedAt = context.clock.now();
     this.ready = this.#serveCallers();
-    // A stop before readiness is no failure of whoever waits for neither.
-    this.ready.catch((err) => base.logger.debug({ err }, "Host never ready"));
+    // If nobody awaits `ready`, a stop before readiness must not become an
+    // unhandled rejection.
+    this.ready.catch((err) =>
+      context.logger.debug({ err }, "Host did not become ready")
+    );
   }
 
-  /** Reads secrets and the disk, listens for peers and operators, and begins
-   * to follow the fleet. Callers are served once `ready` resolves. */
+  /** Reads secrets and stored state, listens for peers and operators, and joins
+   * the fleet. Callers are served once `ready` resolves. */
   static async start(options: options.Options): Promise<Node> {
-    const base = await foundation.create(options);
-    const made = await parts.start(base, options);
-    const host = new Node(base, made);
+    const context = await hostContext.create(options);
+    const startedParts = await parts.start(context, options);
+    const host = new Node(context, startedParts);
     try {
       host.#operators = await operators.Server.start({
         listener: options.settings.listen.operators,
-        operators: operators.Operators.create(base.secrets.operators),
+        operators: operators.Operators.create(context.secrets.operators),
         host,
-        ...base,
+        ...context,
       });
     } catch (error) {
       await host.stop();
       throw error;
     }
-    base.logger.info({ version: version.VERSION }, "Host started");
+    context.logger.info({ version: version.VERSION }, "Host started");
     return host;
   }
 
@@ -78,16 +85,16 @@
   }
 
   pipelines(): readonly schema.Pipeline[] {
-    return this.#foundation.settings.pipelines;
+    return this.#context.settings.pipelines;
   }
 
   endpoints(): readonly operators.EndpointView[] {
-    const { settings } = this.#foundation;
+    const { settings } = this.#context;
     return serving.views(settings, this.#parts.directory.serving);
   }
 
   status(): operators.Status {
-    const { settings, clock } = this.#foundation;
+    const { settings, clock } = this.#context;
     const { source, members, path } = this.#parts;
     const self = settings.fleet.hosts.find(({ id }) => id === settings.host)!;
     return {
@@ -96,7 +103,7 @@
       region: self.region,
       version: version.VERSION,
       state: this.#state,
-      uptime: Math.round(clock.now() - this.#started),
+      uptime: Math.round(clock.now() - this.#startedAt),
       revision: source.access.view().revision,
       inFlight: path.inFlight,
       endpoints: this.endpoints().length,
@@ -108,7 +115,7 @@
   }
 
   dump(): unknown {
-    const { tally, settings } = this.#foundation;
+    const { tally, settings } = this.#context;
     const { source, members, path, directory, transport } = this.#parts;
     const { orders, limits } = this.#parts;
     const rows = source.access.view().rows();
@@ -127,18 +134,19 @@
     };
   }
 
-  /** Refuses new requests, finishes the others, and stays. */
+  /** Refuses new requests and finishes those in flight; the host keeps
+   * running. */
   drain(): void {
     if (this.#state !== "ready") return;
     this.#state = "draining";
     const { path, members } = this.#parts;
     path.drain();
     members.drain("asked to drain");
-    this.#watchDrain();
+    this.#pollDrain();
   }
 
-  /** Drains, waits for requests in flight no longer than the longest deadline,
-   * leaves the fleet and closes everything. */
+  /** Drains, waits for requests in flight for at most the longest deadline,
+   * leaves the fleet and closes all connections. */
   stop(): Promise<void> {
     this.#stopping ??= this.#stop();
     return this.#stopping;
@@ -146,24 +154,24 @@
 
   async #serveCallers(): Promise<void> {
     const { source, directory, path } = this.#parts;
-    const { clock, settings, logger } = this.#foundation;
+    const { clock, settings, logger } = this.#context;
     await readiness.wait({
       clock,
       source,
       directory,
-      alone: settings.fleet.hosts.length === 1,
+      isSingleHost: settings.fleet.hosts.length === 1,
       onCancel: (cancel) => this.#stopWaiting = cancel,
     });
     await path.start();
-    logger.info({ port: path.port }, "Callers are served");
+    logger.info({ port: path.port }, "Serving callers");
   }
 
-  /** Notes when the last request in flight has ended. */
-  #watchDrain(): void {
-    const { clock, logger } = this.#foundation;
+  /** Polls until no request is in flight, then marks the host as drained. */
+  #pollDrain(): void {
+    const { clock, logger } = this.#context;
     if (this.#stopping !== undefined) return;
     if (this.#parts.path.inFlight > 0) {
-      clock.after(DRAIN_LOOK, () => this.#watchDrain());
+      clock.after(DRAIN_POLL_INTERVAL_MS, () => this.#pollDrain());
       return;
     }
     this.#state = "drained";
@@ -171,7 +179,7 @@
   }
 
   async #stop(): Promise<void> {
-    const { clock, logger, closeMetrics } = this.#foundation;
+    const { clock, logger, closeMetrics } = this.#context;
     const { path, members, source } = this.#parts;
     this.drain();
     this.#stopWaiting();
@@ -179,7 +187,7 @@
     source.drain();
     await path.stop();
     members.leave();
-    await after(clock, FAREWELL);
+    await sleep(clock, LEAVE_PROPAGATION_MS);
     await this.#operators?.close();
     await parts.stop(this.#parts);
     await closeMetrics();
@@ -187,14 +195,15 @@
   }
 }
 
-/** Milliseconds between looks at the requests that a drain waits for. */
-const DRAIN_LOOK = 50;
+/** Interval at which a draining host counts its requests in flight. */
+const DRAIN_POLL_INTERVAL_MS = 50;
 
-function after(clock: runtime.Clock, ms: number): Promise<void> {
+function sleep(clock: runtime.Clock, ms: number): Promise<void> {
   return new Promise((resolve) => void clock.after(ms, resolve));
 }
 
-/** Settings hold secrets by reference only; hashes of tokens are left out. */
+/** Removes the cells of initial rows, which contain token hashes. All other
+ * secrets in settings are references. */
 function redactSettings(settings: schema.Settings): unknown {
   const { table = [], ...rest } = settings;
   return { ...rest, table: table.map(({ row }) => row) };
--- a/src/node/node_error.ts
+++ b/src/node/node_error.ts
@@ -1,7 +1,7 @@
-/** Errors of a node as a whole.
+/** Errors of a node.
  * @module */
 
-/** A node cannot start or go on. */
+/** Thrown when a node cannot start or continue. */
 export class NodeError extends Error {
   override readonly name = "NodeError";
 }
--- a/src/node/node_test.ts
+++ b/src/node/node_test.ts
@@ -49,14 +49,14 @@
   return host;
 }
 
-/** An endpoint that answers after `release` was called. */
+/** Serves an endpoint that answers when `release` is called. */
 async function serveBilling(t: ExecutionContext) {
   let release = () => {};
   let arrive = () => {};
   const arrived = new Promise<void>((resolve) => arrive = resolve);
   const server = http.createServer((incoming, response) => {
     incoming.resume();
-    // It publishes no events.
+    // This endpoint has no event stream.
     if (incoming.url === "/v1/events") {
       return void response.writeHead(404).end();
     }
@@ -93,29 +93,34 @@
   });
 }
 
-async function look(host: node.Node, path: string) {
+async function readOperatorPath(host: node.Node, path: string) {
   const url = `http://127.0.0.1:${host.operatorsPort}${path}`;
   const headers = { authorization: "Bearer ines-token" };
   return await (await fetch(url, { headers })).json();
 }
 
-test("a host alone serves callers, endpoints and operators", async (t) => {
+test("a single host serves callers, endpoints and operators", async (t) => {
   const host = await start(t);
   const billing = await serveBilling(t);
   t.deepEqual(await (await announce(host, billing.url)).json(), {
     lease: 1500,
   });
-  t.like(await look(host, "/v1/endpoints"), {
+  t.like(await readOperatorPath(host, "/v1/endpoints"), {
     endpoints: { 0: { id: "b-1", source: "announced", slots: 2 } },
   });
   const answer = callBilling(host);
   await billing.arrived;
   billing.release();
   t.is(await (await answer).text(), "paid");
-  t.like(await look(host, "/v1/status"), { host: "a", state: "ready" });
+  t.like(await readOperatorPath(host, "/v1/status"), {
+    host: "a",
+    state: "ready",
+  });
 });
 
-test("a late leave of the last run does not end a new one", async (t) => {
+// A leave notice may arrive after the endpoint has restarted and announced a
+// higher incarnation.
+test("a delayed leave of an old incarnation does not remove a new one", async (t) => {
   const host = await start(t);
   const url = "http://127.0.0.1:1";
   const leave = async (incarnation: number) => {
@@ -134,35 +139,35 @@
   t.is(host.endpoints().length, 0);
 });
 
-test("an announcement for another kind of service is refused", async (t) => {
+test("an announcement with the wrong kind of service is rejected", async (t) => {
   const host = await start(t);
   const answer = await announce(host, "http://127.0.0.1:1", { kind: "engine" });
   t.is(answer.status, 400);
   t.deepEqual(host.endpoints(), []);
 });
 
-test("the request path hears that an endpoint has started again", async (t) => {
+test("the request path sees the new generation of a restarted endpoint", async (t) => {
   const policySet = request.createBaselinePolicies();
-  const heard = new Set<number | undefined>();
+  const generations = new Set<number | undefined>();
   policySet.choice.endpoints = (endpoints) => {
-    for (const { generation } of endpoints) heard.add(generation);
+    for (const { generation } of endpoints) generations.add(generation);
   };
   const host = await start(t, createSettings(), { policySet });
   for (const incarnation of [4, 4, 5]) {
     await announce(host, "http://127.0.0.1:1", { incarnation });
   }
-  t.deepEqual([...heard], [4, 5]);
+  t.deepEqual([...generations], [4, 5]);
 });
 
-test("a host decides by the product's own policies", async (t) => {
+test("a host uses the default policies", async (t) => {
   const host = await start(t);
-  const dump = JSON.stringify(await look(host, "/v1/dump"));
+  const dump = JSON.stringify(await readOperatorPath(host, "/v1/dump"));
   for (const part of ["gate", "backlog", "cost"]) {
     t.true(dump.includes(`"${part}":`), part);
   }
 });
 
-test("a drain finishes what is in flight and takes nothing new", async (t) => {
+test("a drain finishes requests in flight and refuses new ones", async (t) => {
   const host = await start(t);
   const billing = await serveBilling(t);
   await announce(host, billing.url);
@@ -177,7 +182,7 @@
   await stopped;
 });
 
-test("a voter keeps its table over a restart", async (t) => {
+test("a voter keeps its table across a restart", async (t) => {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), "chicoryloft-"));
   t.teardown(() => fs.rmSync(folder, { recursive: true }));
   const settings = createSettings({ folder });
@@ -196,9 +201,9 @@
   t.is(second.table.view().value("account/crews", "weight"), 7);
 });
 
-test("a dump holds all parts and no secret", async (t) => {
+test("a dump contains all parts and no secrets", async (t) => {
   const host = await start(t);
-  const dump = JSON.stringify(await look(host, "/v1/dump"));
+  const dump = JSON.stringify(await readOperatorPath(host, "/v1/dump"));
   for (const part of ["metrics", "path", "control", "members", "endpoints"]) {
     t.true(dump.includes(`"${part}"`), part);
   }
@@ -220,7 +225,7 @@
   });
 });
 
-test("policies hold this host's share of each limit of the table", (t) => {
+test("policies contain this host's share of each limit in the table", (t) => {
   const cells = { rate: 10, concurrency: 7, weight: 2 } as const;
   const changes = Object.entries(cells).map(([column, value]) => ({
     row: "account/crews",
@@ -245,7 +250,7 @@
   t.like(policy, { rate: 2.5, concurrency: 3, weight: 2 });
 });
 
-test("the version is that of the package", (t) => {
+test("the version equals that of the package", (t) => {
   const { version } = JSON.parse(fs.readFileSync("package.json", "utf8"));
   t.is(node.VERSION, version);
 });
--- a/src/node/options.ts
+++ b/src/node/options.ts
@@ -1,4 +1,4 @@
-/** What a node is made from.
+/** Options of a node.
  * @module */
 
 import type * as request from "../request/mod.ts";
@@ -7,24 +7,24 @@
 import type * as settings from "../settings/mod.ts";
 import type * as telemetry from "../telemetry/mod.ts";
 
-/** Settings, and what a program may put in place of the usual parts. */
+/** Settings, and replacements for the default parts of a node. */
 export interface Options {
   settings: schema.Settings;
-  /** The machine's clock when absent. */
+  /** The system clock when absent. */
   clock?: runtime.Clock;
-  /** Seeded by the machine when absent. */
+  /** Seeded from the system's random source when absent. */
   random?: runtime.Random;
-  /** Lines on standard output when absent. */
+  /** Logs to standard output when absent. */
   logger?: telemetry.Logger;
-  /** Also gets all measurements. */
+  /** Receives all measurements in addition to the tally and statsd. */
   metrics?: telemetry.Metrics;
-  /** Where secrets by `env` are; that of the process when absent. */
+  /** Environment from which `env` secrets are read; the process environment
+   * when absent. */
   environment?: settings.Environment;
-  /** The data folder of a voter; files in the folder of its settings when
-   * absent. */
+  /** Storage of a voter; files in the settings' data folder when absent. */
   storage?: runtime.Storage;
-  /** Decisions of the request path; those of `src/policies` when absent. */
+  /** Policies of the request path; those of `src/policies` when absent. */
   policySet?: request.PolicySet;
-  /** The host cannot go on and should be stopped. */
+  /** Called when the host cannot continue and should be stopped. */
   onFailure?(failure: Error): void;
 }
--- a/src/node/parts.ts
+++ b/src/node/parts.ts
@@ -1,5 +1,5 @@
-/** The parts of a host, wired: transport, table, members, endpoints and the
- * request path.
+/** Creates and connects the parts of a host: transport, table, members,
+ * endpoints, engine orders, limit shares and the request path.
  * @module */
 
 import * as policies from "../policies/mod.ts";
@@ -11,88 +11,88 @@
 import * as accounts from "./accounts.ts";
 import * as directories from "./directory.ts";
 import * as engineOrders from "./engine_orders.ts";
-import * as limiting from "./limit_shares.ts";
-import type * as foundation from "./host_context.ts";
+import * as limitShares from "./limit_shares.ts";
+import type * as hostContext from "./host_context.ts";
 import * as memberships from "./members.ts";
 import type * as options from "./options.ts";
 import * as serving from "./serving.ts";
-import * as subsetting from "./endpoint_subsets.ts";
+import * as endpointSubsets from "./endpoint_subsets.ts";
 import * as tableSource from "./table_source.ts";
 import * as transports from "./transport.ts";
 
-/** Milliseconds of an endpoint's lease when the settings name none. */
-const LEASE = 1500;
+/** Duration of an endpoint's lease when the settings give none. */
+const DEFAULT_LEASE_MS = 1500;
 
-/** Parts that run. */
+/** The running parts of a host. */
 export interface Parts {
   transport: transports.Transport;
   source: tableSource.TableSource;
   members: memberships.Members;
   directory: directories.Directory;
   orders: engineOrders.EngineOrders;
-  limits: limiting.LimitShares;
+  limits: limitShares.LimitShares;
   path: request.RequestPath;
 }
 
-/** Takes a message of one channel. */
+/** Handles the messages of one channel. */
 type Receiver = (envelope: runtime.Envelope) => void;
 
-/** Wires the parts and starts all but the callers' interface. */
+/** Connects the parts and starts all of them except the callers' interface. */
 export async function start(
-  base: foundation.HostContext,
+  context: hostContext.HostContext,
   options: options.Options,
 ): Promise<Parts> {
-  const { settings, clock, logger } = base;
+  const { settings, clock, logger } = context;
   const receivers: Partial<Record<runtime.Channel, Receiver>> = {};
   const transport = transports.create({
-    ...base,
-    key: base.secrets.fleetKey,
+    ...context,
+    key: context.secrets.fleetKey,
     onEnvelope: (envelope) => receivers[envelope.channel]?.(envelope),
   });
   const incarnation = Math.floor(clock.wall());
   const source = await tableSource.create({
-    ...base,
+    ...context,
     storage: options.storage,
     incarnation,
     transport,
-    onFailure: (failure) => fail(failure, base, options),
+    onFailure: (failure) => fail(failure, context, options),
   });
-  const orders = engineOrders.EngineOrders.create({ ...base, source });
-  const limits = limiting.LimitShares.create({
-    ...base,
+  const orders = engineOrders.EngineOrders.create({ ...context, source });
+  const limits = limitShares.LimitShares.create({
+    ...context,
     source,
     transport,
-    onChange: () => followLimits(),
+    onChange: () => updatePolicies(),
   });
-  const known = accounts.Accounts.create();
+  const accountIndex = accounts.Accounts.create();
   let rows: ReturnType<typeof accounts.rowsOf> = [];
   const path = request.RequestPath.create({
-    ...base,
+    ...context,
     log: logger,
-    accounts: (hash) => known.find(hash),
-    endpointToken: base.secrets.endpointToken,
-    notices: (notice) => take(notice),
+    accounts: (hash) => accountIndex.find(hash),
+    endpointToken: context.secrets.endpointToken,
+    notices: (notice) => applyNotice(notice),
     claims: source.claims,
     observers: [limits.meter],
-    policySet: options.policySet ?? decisions(base),
+    policySet: options.policySet ?? defaultPolicies(context),
   });
-  const subsets = subsetting.EndpointSubsets.create(settings.host);
+  const subsets = endpointSubsets.EndpointSubsets.create(settings.host);
   const directory = directories.Directory.create({
-    ...base,
+    ...context,
     host: settings.host,
-    lease: settings.limits?.endpointLease ?? LEASE,
+    lease: settings.limits?.endpointLease ?? DEFAULT_LEASE_MS,
     transport,
-    onChange: () => followEndpoints(),
+    onChange: () => updateEndpoints(),
   });
   const members = memberships.Members.create({
-    ...base,
+    ...context,
     transport,
     self: { ...selfOf(settings), incarnation },
     seeds: settings.fleet.hosts.map(({ id }) => id),
     onChange: () => {
       directory.setHosts(members.membership);
       limits.setHosts(members.membership.size);
-      if (subsets.setHosts(members.membership.live)) followEndpoints();
+      if (subsets.setHosts(members.membership.live)) updateEndpoints();
     },
   });
 
@@ -105,45 +105,45 @@
   receivers.shares = ({ from, body }) =>
     limits.receive(from, body as shares.SharesMessage);
 
-  followTable();
-  source.access.watch(followTable);
+  updateTable();
+  source.access.watch(updateTable);
   await transport.start();
   await source.start();
   members.start();
   directory.start();
   orders.start();
   limits.start();
-  followEndpoints();
+  updateEndpoints();
   return { transport, source, members, directory, orders, limits, path };
 
-  function take(notice: request.Notice): Promise<request.NoticeResult> {
+  function applyNotice(notice: request.Notice): Promise<request.NoticeResult> {
     const detail = serving.reject(settings, notice);
     if (detail === undefined) return directory.applyNotice(notice);
     return Promise.resolve({ type: "rejected", detail });
   }
 
-  function followEndpoints(): void {
+  function updateEndpoints(): void {
     orders.setEngines(directory.serving);
-    const known = serving.reachable(settings, directory.serving);
-    path.setEndpoints(subsets.choose(known));
+    const reachable = serving.reachable(settings, directory.serving);
+    path.setEndpoints(subsets.choose(reachable));
   }
 
-  function followTable(): void {
+  function updateTable(): void {
     const view = source.access.view();
-    known.update(view);
-    // Shares change each second, rows seldom.
+    accountIndex.update(view);
+    // Kept for `updatePolicies`: shares change every second, rows rarely.
     rows = accounts.rowsOf(view);
     limits.setLimits(accounts.limitsOf(rows));
-    followLimits();
+    updatePolicies();
   }
 
-  function followLimits(): void {
+  function updatePolicies(): void {
     const share: accounts.ShareOf = (limit) => limits.share(limit);
     path.setPolicies(accounts.policiesOf(rows, share));
   }
 }
 
-/** Stops all parts but the request path, which stops by itself. */
+/** Stops all parts except the request path, which the node stops first. */
 export async function stop(parts: Parts): Promise<void> {
   const { transport, source, directory, orders, limits } = parts;
   orders.stop();
@@ -153,7 +153,7 @@
   await transport.stop();
 }
 
-type Settings = foundation.HostContext["settings"];
+type Settings = hostContext.HostContext["settings"];
 
 function selfOf({ fleet, host }: Settings) {
   const { id, dataCentre, region, address, port } = fleet.hosts.find((each) =>
@@ -162,8 +162,8 @@
   return { id, dataCentre, region, address, port };
 }
 
-/** The product's decisions, unless a program brings its own. */
-function decisions({ settings, random }: foundation.HostContext) {
+/** Policies used when the options give none. */
+function defaultPolicies({ settings, random }: hostContext.HostContext) {
   const { dataCentre } = selfOf(settings);
   const { inFlight } = settings.limits ?? {};
   return policies.create({ dataCentre, random, inFlight });
@@ -171,7 +171,7 @@
 
 function fail(
   failure: Error,
-  { logger }: foundation.HostContext,
+  { logger }: hostContext.HostContext,
   { onFailure }: options.Options,
 ): void {
   logger.error({ err: failure }, "Host failed");
--- a/src/node/readiness.ts
+++ b/src/node/readiness.ts
@@ -1,4 +1,4 @@
-/** When a host may serve callers.
+/** Decides when a starting host may serve callers.
  * @module */
 
 import type * as runtime from "../runtime/mod.ts";
@@ -6,52 +6,54 @@
 import * as nodeError from "./node_error.ts";
 import type * as tableSource from "./table_source.ts";
 
-/** Milliseconds between looks. */
-const LOOK = 20;
+/** Interval at which readiness is checked. */
+const POLL_INTERVAL_MS = 20;
 
-/** Milliseconds that a host waits for another host's endpoints. */
-const ENDPOINT_PATIENCE = 3000;
+/** Maximum time that a host waits to synchronize endpoints with another host. */
+const ENDPOINT_SYNC_TIMEOUT_MS = 3000;
 
-/** What readiness depends on. */
+/** Dependencies of readiness. */
 export interface Options {
   clock: runtime.Clock;
   source: tableSource.TableSource;
   directory: directories.Directory;
-  /** Whether there is no other host. */
-  alone: boolean;
-  /** Gets the way to give up. */
+  /** Whether the fleet has no other host. */
+  isSingleHost: boolean;
+  /** Receives a function that cancels the wait. */
   onCancel(cancel: () => void): void;
 }
 
-/** Resolves once the table in force takes nothing back and the endpoints are
- * known; rejects when it is given up. */
+/** Resolves once the table is loaded, no older than before the host's start, and
+ * the endpoints are synchronized, or the timeouts for these have passed; rejects
+ * when the wait is cancelled. */
 export async function wait(options: Options): Promise<void> {
-  let given = false;
-  options.onCancel(() => given = true);
+  let isCancelled = false;
+  options.onCancel(() => isCancelled = true);
   await options.source.catchUp();
-  if (given) throw gaveUp();
-  await waitForBoth(options);
+  if (isCancelled) throw cancelled();
+  await waitForTableAndEndpoints(options);
 }
 
-function waitForBoth(options: Options): Promise<void> {
-  const { clock, source, directory, alone } = options;
-  const patience = clock.now() + ENDPOINT_PATIENCE;
+function waitForTableAndEndpoints(options: Options): Promise<void> {
+  const { clock, source, directory, isSingleHost } = options;
+  const syncDeadline = clock.now() + ENDPOINT_SYNC_TIMEOUT_MS;
   return new Promise((resolve, reject) => {
     let cancel: runtime.Cancel = () => {};
     options.onCancel(() => {
       cancel();
-      reject(gaveUp());
+      reject(cancelled());
     });
-    look();
+    check();
 
-    function look(): void {
-      const known = alone || directory.hasSynced || clock.now() >= patience;
-      if (source.isLoaded && known) resolve();
-      else cancel = clock.after(LOOK, look);
+    function check(): void {
+      const isSynced = isSingleHost || directory.hasSynced ||
+        clock.now() >= syncDeadline;
+      if (source.isLoaded && isSynced) resolve();
+      else cancel = clock.after(POLL_INTERVAL_MS, check);
     }
   });
 }
 
-function gaveUp(): nodeError.NodeError {
+function cancelled(): nodeError.NodeError {
   return new nodeError.NodeError("the host stopped before it was ready");
 }
--- a/src/node/secrets.ts
+++ b/src/node/secrets.ts
@@ -1,18 +1,18 @@
-/** Secrets of a host, read once at its start.
+/** Secrets of a host, read once at startup.
  * @module */
 
 import type * as operators from "../operators/mod.ts";
 import type * as schema from "../schema/settings_types.ts";
 import * as settings from "../settings/mod.ts";
 
-/** Plain secrets; they stay out of logs and dumps. */
+/** Secrets in plain text; they must not appear in logs or dumps. */
 export interface Secrets {
   fleetKey?: string;
   endpointToken?: string;
   operators: readonly operators.Credential[];
 }
 
-/** Reads all secrets, or throws a `SettingsError`. */
+/** Reads all secrets; throws a `SettingsError` when one is missing. */
 export function read(
   { fleet, endpointToken, operators = [] }: schema.Settings,
   environment: settings.Environment,
--- a/src/node/serving.ts
+++ b/src/node/serving.ts
@@ -1,5 +1,5 @@
-/** The endpoints that calls can be sent to: those that announce themselves and
- * those that the settings name.
+/** Lists the endpoints that can receive calls: announced endpoints and static
+ * ones from the settings.
  * @module */
 
 import type * as endpoints from "../endpoints/mod.ts";
@@ -7,10 +7,11 @@
 import type * as request from "../request/mod.ts";
 import type * as settings from "../schema/settings_types.ts";
 
-/** Calls that an endpoint runs at once when nobody says. */
-const SLOTS = 8;
+/** Concurrent calls per endpoint when neither its announcement nor its service
+ * gives a number. */
+const DEFAULT_SLOTS = 8;
 
-/** Endpoints that calls can be sent to, or that finish theirs. */
+/** Endpoints that can receive calls, and draining ones that finish theirs. */
 export function reachable(
   { services }: settings.Settings,
   serving: readonly endpoints.Serving[],
@@ -18,12 +19,12 @@
   const byName = new Map(services.map((service) => [service.name, service]));
   const announced = serving.map((entry) => {
     const service = byName.get(entry.endpoint.service);
-    return fromEntry(entry, service?.slots ?? SLOTS);
+    return fromEntry(entry, service?.slots ?? DEFAULT_SLOTS);
   });
-  return [...announced, ...services.flatMap(fixed)];
+  return [...announced, ...services.flatMap(staticEndpoints)];
 }
 
-/** The same endpoints for people. */
+/** The same endpoints as shown to operators. */
 export function views(
   of: settings.Settings,
   serving: readonly endpoints.Serving[],
@@ -35,20 +36,21 @@
   }));
 }
 
-/** Says why an endpoint may not announce itself so, or undefined. */
+/** Returns the reason for which a notice is rejected, or undefined when it is
+ * valid. */
 export function reject(
   { services }: settings.Settings,
   { endpoint, ...notice }: request.Notice,
 ): string | undefined {
-  if (services.flatMap(fixed).some(({ id }) => id === endpoint)) {
+  if (services.flatMap(staticEndpoints).some(({ id }) => id === endpoint)) {
     return `the settings name ${endpoint}`;
   }
   if (notice.type === "leave") return undefined;
   const { service, kind } = notice.announcement;
-  const known = services.find(({ name }) => name === service);
-  if (known === undefined) return `there is no service ${service}`;
-  if (known.kind === kind) return undefined;
-  return `${service} is of kind ${known.kind}, not ${kind}`;
+  const expectedService = services.find(({ name }) => name === service);
+  if (expectedService === undefined) return `there is no service ${service}`;
+  if (expectedService.kind === kind) return undefined;
+  return `${service} is of kind ${expectedService.kind}, not ${kind}`;
 }
 
 function fromEntry(
@@ -69,8 +71,10 @@
   };
 }
 
-function fixed(service: settings.Service): request.ReachableEndpoint[] {
-  const { name, kind, slots = SLOTS, endpoints = [] } = service;
+function staticEndpoints(
+  service: settings.Service,
+): request.ReachableEndpoint[] {
+  const { name, kind, slots = DEFAULT_SLOTS, endpoints = [] } = service;
   return endpoints.map(({ id, url, dataCentre }) => ({
     id,
     service: name,
--- a/src/node/table_source.ts
+++ b/src/node/table_source.ts
@@ -1,5 +1,5 @@
-/** Where a host's table comes from: the replicated log, or one copy in memory
- * where no host of the fleet votes.
+/** Source of a host's table: the replicated log, or one copy in memory when the
+ * fleet has no voters.
  * @module */
 
 import * as control from "../control/mod.ts";
@@ -12,7 +12,7 @@
 import * as storage from "../storage/mod.ts";
 import type * as telemetry from "../telemetry/mod.ts";
 
-/** What a source needs of its host. */
+/** Options and dependencies of a table source. */
 export interface Options {
   settings: schema.Settings;
   incarnation: number;
@@ -21,40 +21,42 @@
   transport: control.Transport;
   metrics: telemetry.Metrics;
   logger: telemetry.Logger;
-  /** The data folder of a voter, in place of files. */
+  /** Storage of a voter; files in its data folder when absent. */
   storage?: runtime.Storage;
-  /** The journal of a voter failed. */
+  /** Called when a voter's journal has failed. */
   onFailure(failure: Error): void;
 }
 
-/** The table with all that belongs to it. */
+/** The table, its claims and its lease. */
 export interface TableSource {
   readonly access: operators.TableAccess;
-  /** Claims of idempotency keys; absent where nothing would keep them. */
+  /** Claims of idempotency keys; absent when there is no replicated log to store
+   * them. */
   readonly claims?: request.Claims;
-  /** Whether there is a table, unless the settings begin without rows. */
+  /** Whether the table has been loaded; always true when the settings have no
+   * initial rows. */
   readonly isLoaded: boolean;
   start(): Promise<void>;
-  /** Resolves once the table is no older than any that was in force when this
-   * host started, or when no quorum says so in time. */
+  /** Resolves once the table is at least as recent as any in force when this
+   * host started, or when no quorum confirms this in time. */
   catchUp(): Promise<boolean>;
-  /** Takes an envelope of the channels log, watch and control. */
+  /** Handles an envelope of the channels log, watch or control. */
   receive(envelope: runtime.Envelope): void;
-  /** Host that takes edits, as far as known here. */
+  /** Id of the host that accepts edits, if known. */
   readonly leader: string | undefined;
-  /** The right to order engines and to share out limits, by a fresh look at
-   * the clock; undefined where it is not held. */
+  /** The lease that permits ordering engines and allocating limits, checked
+   * against the current time; undefined when this host does not hold it. */
   lease(): orders.Lease | undefined;
-  /** Hands leadership over, before a stop. */
+  /** Transfers leadership to another host before a stop. */
   drain(): void;
-  /** Finishes the settlements of claims, within a bound, and stops. */
+  /** Waits a bounded time for pending settlements of claims, then stops. */
   stop(): Promise<void>;
-  /** How control is, in a few values. */
+  /** Summary of the control state for the host's status. */
   status(): unknown;
   dump(): unknown;
 }
 
-/** The source that the settings ask for. */
+/** Creates the source that the settings require. */
 export async function create(options: Options): Promise<TableSource> {
   const { settings: { host, folder, fleet } } = options;
   const voters = fleet.hosts.filter(({ voter }) => voter).map(({ id }) => id);
@@ -83,17 +85,17 @@
   };
 }
 
-/** Storage that may have something to close. */
-type Disk = runtime.Storage & { close?(): Promise<void> };
+/** Storage that may need to be closed. */
+type CloseableStorage = runtime.Storage & { close?(): Promise<void> };
 
-interface Quorum {
+interface VoterOptions {
   voters: readonly string[];
-  files: Disk | undefined;
+  files: CloseableStorage | undefined;
 }
 
 function createReplicated(
   options: Options,
-  { voters, files }: Quorum,
+  { voters, files }: VoterOptions,
 ): TableSource {
   const { settings: { host, table, fleet } } = options;
   const observers = fleet.hosts.filter(({ observer }) => observer);
--- a/src/node/transport.ts
+++ b/src/node/transport.ts
@@ -1,4 +1,5 @@
-/** The transport of a host: to its peers, or to itself when it is alone.
+/** Transport of a host: connections to its peers, or a loopback when the fleet
+ * has a single host.
  * @module */
 
 import type * as control from "../control/mod.ts";
@@ -14,17 +15,17 @@
 import type * as telemetry from "../telemetry/mod.ts";
 import * as loopback from "./loopback.ts";
 
-/** A transport with a life. */
+/** A transport that can be started and stopped. */
 export interface Transport extends control.Transport {
   start(): Promise<void>;
   stop(): Promise<void>;
   dump(): unknown;
 }
 
-/** What a transport is made from. */
+/** Options and dependencies of a transport. */
 export interface Options {
   settings: settings.Settings;
-  /** Fleet key; without one, a host is believed to be who it says. */
+  /** Fleet key; without one, peers are not authenticated. */
   key?: string;
   clock: runtime.Clock;
   metrics: telemetry.Metrics;
@@ -32,7 +33,7 @@
   onEnvelope(envelope: runtime.Envelope): void;
 }
 
-/** A transport that neither listens nor dials yet. */
+/** Creates a transport that neither listens nor dials before `start`. */
 export function create(options: Options): Transport {
   const { settings: { host: self, fleet: { hosts } }, onEnvelope } = options;
   if (hosts.length === 1) return loopback.Loopback.create(self, onEnvelope);
--- a/src/node/version.ts
+++ b/src/node/version.ts
@@ -1,5 +1,5 @@
 /** Version of the package.
  * @module */
 
-/** Equal to the one in package.json. */
+/** Must equal the version in package.json. */
 export const VERSION = "0.1.0";
