--- a/bench/capacity/matters_log.ts
+++ b/bench/capacity/matters_log.ts
@@ -255,7 +255,7 @@
 ];
 
 function claim(count: number): table.State {
-  const machine = table.createMachine();
+  const machine = table.createStateMachine();
   let state = machine.empty;
   for (let pos = 0; pos < count; pos++) {
     state = machine.apply(state, machines.createClaim(pos)).state;
--- a/bench/capacity/tables.ts
+++ b/bench/capacity/tables.ts
@@ -18,7 +18,7 @@
   };
   const edit = { operation: `op-${pos}`, actor: "an", changes: [change] };
   const command = { type: "edit" as const, id: "x", at: 0, edit };
-  return table.createMachine().apply(state, command).state;
+  return table.createStateMachine().apply(state, command).state;
 }
 
 /** Something sent on the watch channel. */
--- a/bench/machine.ts
+++ b/bench/machine.ts
@@ -16,7 +16,7 @@
 
 /** A machine's state with a table of `accounts` rows of six cells. */
 export function fill(accounts: number): table.State {
-  const machine = table.createMachine();
+  const machine = table.createStateMachine();
   let state = machine.empty;
   for (let pos = 0; pos < accounts; pos++) {
     const changes = COLUMNS.map((column) => ({
--- a/bench/members/shares.ts
+++ b/bench/members/shares.ts
@@ -74,7 +74,7 @@
     limits: readonly shares.Limit[];
   },
 ): void {
-  const meter = shares.meter.Meter.create();
+  const meter = shares.meter.DemandMeter.create();
   meter.setLimits(limits);
   const asked = () => {
     const most = 2 * REQUESTS_PER_HOST;
--- a/bench/table.ts
+++ b/bench/table.ts
@@ -69,7 +69,7 @@
 }
 
 function weighClaims(): result.Result[] {
-  const machine = table.createMachine();
+  const machine = table.createStateMachine();
   const bytes = gauge.weigh(() => {
     let state = machine.empty;
     for (let pos = 0; pos < OPERATIONS; pos++) {
@@ -89,7 +89,7 @@
 
 /** Changes one cell of each account in turn. */
 function editor(first: table.State): () => table.Step {
-  const machine = table.createMachine();
+  const machine = table.createStateMachine();
   const { size } = first.table;
   let state = first;
   let pos = 0;
@@ -121,7 +121,7 @@
 }
 
 function timeClaim(size: number): number {
-  const machine = table.createMachine();
+  const machine = table.createStateMachine();
   let state = machine.empty;
   for (let pos = 0; pos < size; pos++) {
     state = machine.apply(state, machines.createClaim(pos)).state;
--- a/src/control/claims/claims.ts
+++ b/src/control/claims/claims.ts
@@ -5,27 +5,27 @@
 
 import type * as schema from "../../schema/command_types.ts";
 import * as trie from "../table/trie.ts";
-import * as expiry from "../table/expiry.ts";
+import * as expiry from "../table/expiry_index.ts";
 
 /** Bounds of the claims; equal on all replicas. */
 export interface Limits {
   /** Milliseconds that a claim's outcome is kept after its lease. */
-  keep: number;
+  retentionMs: number;
   /** Most claims; past it new ones are refused as not run. */
-  count: number;
+  maxCount: number;
   /** Characters of all kept answers; past it only outcomes are kept. */
-  answers: number;
+  maxTotalAnswerLength: number;
   /** Characters of one kept answer. */
-  answer: number;
+  maxAnswerLength: number;
 }
 
 /** Ten minutes, longer than any deadline and the resends after it. A claim
  * takes about 1 KB without its answer, so the memory is bounded by 40 MB. */
 export const LIMITS: Limits = {
-  keep: 600_000,
-  count: 32_768,
-  answers: 8 * 1024 * 1024,
-  answer: 64 * 1024,
+  retentionMs: 600_000,
+  maxCount: 32_768,
+  maxTotalAnswerLength: 8 * 1024 * 1024,
+  maxAnswerLength: 64 * 1024,
 };
 
 /** How a claimed request ended. */
@@ -48,7 +48,7 @@
 }
 
 /** Answer to a claim. */
-export type Reply =
+export type ClaimReply =
   | { type: "granted"; token: string }
   | { type: "held"; host: string }
   | { type: "answered"; answer: schema.StoredAnswer }
@@ -57,7 +57,7 @@
   | { type: "full" };
 
 /** Answer to a settlement; `lost` when the token no longer holds the key. */
-export type Settled = { type: "settled" } | { type: "lost" };
+export type SettleReply = { type: "settled" } | { type: "lost" };
 
 /** Claims after a command, and its answer. */
 export interface Step<R> {
@@ -74,7 +74,7 @@
 interface Parts {
   limits: Limits;
   claims: trie.Trie<Claim>;
-  due: expiry.Expiry;
+  due: expiry.ExpiryIndex;
   /** Characters of all kept answers. */
   bytes: number;
   /** Lowest incarnation of each host that may still run something. */
@@ -94,7 +94,7 @@
     return new Claims({
       limits,
       claims: trie.Trie.create<Claim>(),
-      due: expiry.Expiry.create(now),
+      due: expiry.ExpiryIndex.create(now),
       bytes: 0,
       incarnations: {},
     });
@@ -125,13 +125,13 @@
   }
 
   /** Grants the key, or says what is known of it. */
-  claim(command: schema.ClaimCommand, now: number): Step<Reply> {
+  claim(command: schema.ClaimCommand, now: number): Step<ClaimReply> {
     const seen = this.#retire(command.host, command.incarnation);
     const known = seen.#parts.claims.get(command.key);
     if (known !== undefined) {
       return { claims: seen, reply: seen.#known(known, command, now) };
     }
-    if (seen.size >= seen.#parts.limits.count) {
+    if (seen.size >= seen.#parts.limits.maxCount) {
       return { claims: seen, reply: { type: "full" } };
     }
     const { key, fingerprint, id: token, host, incarnation, lease } = command;
@@ -148,12 +148,12 @@
   }
 
   /** Ends a claim; `not-run` frees its key. */
-  settle(command: schema.SettleCommand): Step<Settled> {
+  settle(command: schema.SettleCommand): Step<SettleReply> {
     const known = this.#parts.claims.get(command.key);
     if (known === undefined || known.token !== command.token) {
       return { claims: this, reply: { type: "lost" } };
     }
-    const reply: Settled = { type: "settled" };
+    const reply: SettleReply = { type: "settled" };
     // What ran stays ran: a late or doubled settlement changes nothing.
     if (known.outcome === "ran") return { claims: this, reply };
     if (command.outcome === "not-run") {
@@ -171,7 +171,7 @@
   }
 
   /** Lowest incarnation of `host` that may still run something. */
-  lowest(host: string): number {
+  lowestIncarnation(host: string): number {
     return this.#parts.incarnations[host] ?? 0;
   }
 
@@ -184,7 +184,7 @@
     return claims;
   }
 
-  #known(claim: Claim, command: schema.ClaimCommand, now: number): Reply {
+  #known(claim: Claim, command: schema.ClaimCommand, now: number): ClaimReply {
     if (claim.fingerprint !== command.fingerprint) return { type: "mismatch" };
     if (claim.answer !== undefined) {
       return { type: "answered", answer: claim.answer };
@@ -201,7 +201,7 @@
   }
 
   #lost({ host, incarnation, expires }: Claim, now: number): boolean {
-    return now >= expires || incarnation < this.lowest(host);
+    return now >= expires || incarnation < this.lowestIncarnation(host);
   }
 
   #retire(host: string, incarnation: number): Claims {
@@ -215,19 +215,20 @@
   #expire(key: string, now: number): Claims {
     const claim = this.#parts.claims.get(key);
     if (claim === undefined) return this;
-    if (!expiry.swept(this.#until(claim), now)) return this;
+    if (!expiry.isSwept(this.#until(claim), now)) return this;
     return this.#drop(claim);
   }
 
   #until(claim: Claim): number {
-    return claim.expires + this.#parts.limits.keep;
+    return claim.expires + this.#parts.limits.retentionMs;
   }
 
   #fits(answer: schema.StoredAnswer | undefined): boolean {
     if (answer === undefined) return false;
     const { bytes, limits } = this.#parts;
     const size = sizeOf(answer);
-    return size <= limits.answer && bytes + size <= limits.answers;
+    return size <= limits.maxAnswerLength &&
+      bytes + size <= limits.maxTotalAnswerLength;
   }
 
   #put(claim: Claim): Claims {
--- a/src/control/claims/claims_test.ts
+++ b/src/control/claims/claims_test.ts
@@ -5,7 +5,12 @@
 import * as claims from "./mod.ts";
 
 const SEED = 5;
-const LIMITS = { keep: 10_000, count: 3, answers: 100, answer: 60 };
+const LIMITS = {
+  retentionMs: 10_000,
+  maxCount: 3,
+  maxTotalAnswerLength: 100,
+  maxAnswerLength: 60,
+};
 
 function createClaim(
   id: string,
@@ -127,7 +132,7 @@
 
 /** Whether no key is granted to two tokens within the time that it is kept,
  * unless the first was settled as not run. */
-function grantsOnce(machine: table.Machine, steps: Steps): boolean {
+function grantsOnce(machine: table.StateMachine, steps: Steps): boolean {
   let state = machine.empty;
   const granted = new Map<string, { token: string; until: number }>();
   let at = 0;
@@ -144,7 +149,7 @@
       const other = owner !== undefined && owner.token !== id;
       if (other && at < owner.until) return false;
       if (owner === undefined || other) {
-        const until = at + 5000 + LIMITS.keep;
+        const until = at + 5000 + LIMITS.retentionMs;
         granted.set(rest.key, { token: id, until });
       }
     }
@@ -153,7 +158,7 @@
       granted.delete(rest.key);
     }
   }
-  return state.claims.size <= LIMITS.count;
+  return state.claims.size <= LIMITS.maxCount;
 }
 
 function hasRun(state: table.State, key: string): boolean {
@@ -175,8 +180,8 @@
   return { ...createSettle(id), key, outcome: end, at };
 }
 
-function createMachine(limits = LIMITS): table.Machine {
-  return table.createMachine({
+function createMachine(limits = LIMITS): table.StateMachine {
+  return table.createStateMachine({
     operations: table.operations.LIMITS,
     claims: limits,
   });
@@ -192,7 +197,7 @@
 });
 
 test("the check finds claims that are forgotten too early", (t) => {
-  const machine = createMachine({ ...LIMITS, keep: 2000 });
+  const machine = createMachine({ ...LIMITS, retentionMs: 2000 });
   const property = fc.property(anySteps, (steps) => grantsOnce(machine, steps));
   t.true(fc.check(property, { seed: SEED, numRuns: 400 }).failed);
 });
--- a/src/control/host/claim_keeper.ts
+++ b/src/control/host/claim_client.ts
@@ -27,7 +27,7 @@
 ) => Promise<table.Reply>;
 
 /** What a keeper needs of its host. */
-export interface ClaimKeeperOptions {
+export interface ClaimClientOptions {
   self: string;
   /** Tells the runs of this host apart. */
   incarnation: number;
@@ -38,8 +38,8 @@
 }
 
 /** Makes and settles claims. */
-export class ClaimKeeper implements request.Claims {
-  readonly #options: ClaimKeeperOptions;
+export class ClaimClient implements request.Claims {
+  readonly #options: ClaimClientOptions;
   /** Tokens of the claims granted here, by id of their request. */
   readonly #tokens = new Map<string, string>();
   readonly #settling = new Set<Promise<void>>();
@@ -47,13 +47,13 @@
   #incarnation: number | undefined;
   #count = 0;
 
-  private constructor(options: ClaimKeeperOptions) {
+  private constructor(options: ClaimClientOptions) {
     this.#options = options;
   }
 
   /** A keeper without claims. */
-  static create(options: ClaimKeeperOptions): ClaimKeeper {
-    return new ClaimKeeper(options);
+  static create(options: ClaimClientOptions): ClaimClient {
+    return new ClaimClient(options);
   }
 
   /** Number of claims granted here that are not settled yet. */
@@ -78,7 +78,7 @@
         incarnation: this.#incarnation ??= await announce(timeout),
         lease: Math.min(lease, MOST_LEASE),
       };
-      const reply = await propose(entry, timeout) as claims.Reply;
+      const reply = await propose(entry, timeout) as claims.ClaimReply;
       if (reply.type === "granted") this.#tokens.set(claim.request, id);
       return results[reply.type](reply as never);
     } catch (error) {
@@ -101,7 +101,7 @@
   }
 
   /** Resolves once no settlement is under way. */
-  async finish(): Promise<void> {
+  async flush(): Promise<void> {
     while (this.#settling.size > 0) await Promise.allSettled(this.#settling);
   }
 
@@ -135,8 +135,8 @@
 type Ending = Pick<command.SettleCommand, "token" | "outcome" | "answer">;
 
 const results: {
-  [T in claims.Reply["type"]]: (
-    reply: Extract<claims.Reply, { type: T }>,
+  [T in claims.ClaimReply["type"]]: (
+    reply: Extract<claims.ClaimReply, { type: T }>,
   ) => request.ClaimResult;
 } = {
   granted: () => ({ type: "granted" }),
--- a/src/control/host/claim_keeper_test.ts
+++ b/src/control/host/claim_client_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import type * as command from "../../schema/command_types.ts";
 import type * as table from "../table/mod.ts";
-import * as claimKeeper from "./claim_keeper.ts";
+import * as claimKeeper from "./claim_client.ts";
 import * as errors from "./errors.ts";
 
 const CLAIM = {
@@ -15,7 +15,7 @@
 /** A keeper whose proposals meet with `answers`, then with no quorum. */
 function keeperOf(answers: unknown[]) {
   const proposed: command.Command[] = [];
-  const keeper = claimKeeper.ClaimKeeper.create({
+  const keeper = claimKeeper.ClaimClient.create({
     self: "h1",
     incarnation: 1,
     announce: () => Promise.resolve(1),
--- a/src/control/host/control.ts
+++ b/src/control/host/control.ts
@@ -11,10 +11,10 @@
 import type * as orders from "../orders/mod.ts";
 import type * as table from "../table/mod.ts";
 import * as watch from "../watch/mod.ts";
-import * as claimKeepers from "./claim_keeper.ts";
+import * as claimKeepers from "./claim_client.ts";
 import * as commandClients from "./command_client.ts";
 import * as errors from "./errors.ts";
-import * as followers from "./follower.ts";
+import * as followers from "./table_watcher.ts";
 import * as events from "./table_event.ts";
 import * as voters from "./voter.ts";
 
@@ -48,7 +48,7 @@
   metrics: telemetry.Metrics;
   logger: telemetry.Logger;
   /** Edits that fill an empty table. */
-  first: readonly schema.Edit[];
+  initialEdits: readonly schema.Edit[];
   /** The journal of this voter failed. */
   onFailure(failure: Error): void;
 }
@@ -61,11 +61,11 @@
 /** Control at one host. */
 export class Control {
   /** Claims for the request path. */
-  readonly claims: claimKeepers.ClaimKeeper;
+  readonly claims: claimKeepers.ClaimClient;
   readonly #options: ControlOptions;
   readonly #commands: commandClients.CommandClient;
-  readonly #follower: followers.Follower;
-  readonly #watchers = new Set<events.Watcher>();
+  readonly #follower: followers.TableWatcher;
+  readonly #watchers = new Set<events.TableListener>();
   #voter: voters.Voter | undefined;
   /** Revision that this host had to reach when it started; unknown at first. */
   #barrier = Infinity;
@@ -77,14 +77,14 @@
     this.#options = options;
     const { self, voters, observers = [] } = options;
     this.#commands = commandClients.CommandClient.create(options);
-    this.#follower = followers.Follower.create({
+    this.#follower = followers.TableWatcher.create({
       ...options,
-      publishers: watch.publishersOf(self, { voters, observers }),
+      publishers: watch.publisherOrder(self, { voters, observers }),
       observer: observers.includes(self),
       onTable: (_, written) => this.#takeTable(written),
       onStatus: (status) => this.#takeStatus(status),
     });
-    this.claims = claimKeepers.ClaimKeeper.create({
+    this.claims = claimKeepers.ClaimClient.create({
       ...options,
       announce: (timeout) => this.#announce(timeout),
       propose: (command, timeout) => this.#commands.propose(command, timeout),
@@ -134,7 +134,7 @@
   }
 
   /** Calls `watcher` on each change after this call. */
-  watch(watcher: events.Watcher): runtime.Cancel {
+  watch(watcher: events.TableListener): runtime.Cancel {
     this.#watchers.add(watcher);
     return () => this.#watchers.delete(watcher);
   }
@@ -172,24 +172,24 @@
   }
 
   /** What is known of the quorum. */
-  get status(): followers.Status {
+  get status(): followers.QuorumStatus {
     return this.#follower.status;
   }
 
   /** Hands leadership over, before a stop. */
-  drain(): void {
-    this.#voter?.drain();
+  transferLeadership(): void {
+    this.#voter?.transferLeadership();
   }
 
   /** Resolves once the settlements under way are answered, or after
    * `FINISH_TIMEOUT`: then the leases of their claims run out. Before `stop`. */
-  async finish(): Promise<void> {
+  async flushClaims(): Promise<void> {
     const { clock } = this.#options;
     let cancel = () => {};
     const over = new Promise<void>((resolve) => {
       cancel = clock.after(FINISH_TIMEOUT, resolve);
     });
-    await Promise.race([this.claims.finish(), over]);
+    await Promise.race([this.claims.flush(), over]);
     cancel();
   }
 
@@ -231,7 +231,7 @@
     transport.send({ from, to, channel: "control", body });
   }
 
-  #takeTable(written: readonly table.Written[] | undefined): void {
+  #takeTable(written: readonly table.CellWrite[] | undefined): void {
     const { metrics, clock } = this.#options;
     const { revision } = this.view();
     metrics.gauge("table.revision", revision);
@@ -242,7 +242,7 @@
     }
   }
 
-  #takeStatus(status: followers.Status): void {
+  #takeStatus(status: followers.QuorumStatus): void {
     this.#commands.setLeader(status.leader);
     this.#options.logger.info({ ...status }, "view of the quorum changed");
   }
@@ -273,13 +273,13 @@
   /** Tells the log that nothing of an earlier run is here any more. After the
    * clock was set back that run has the higher incarnation; this one then
    * takes the next, and its first claim retires the earlier run. */
-  async #retire(timeout: number): Promise<table.Retired> {
+  async #retire(timeout: number): Promise<table.RetireReply> {
     const { self: host, incarnation } = this.#options;
     const id = `${host}/${incarnation}/retire`;
     const reply = await this.#commands.propose(
       { type: "retire", id, host, incarnation },
       timeout,
-    ) as table.Retired;
+    ) as table.RetireReply;
     const { incarnation: lowest } = reply;
     this.#counting ??= lowest > incarnation ? lowest + 1 : incarnation;
     return reply;
--- a/src/control/host/control_test.ts
+++ b/src/control/host/control_test.ts
@@ -14,37 +14,37 @@
 }
 
 test("an edit through any host comes into force on all", async (t) => {
-  const fleet = await fakeFleet.Fleet.start();
+  const fleet = await fakeFleet.FakeFleet.start();
   t.deepEqual(fleet.revisions(), HOSTS.map(() => 1));
   const edit = editOf("e1", { row: "account/x", version: 0, value: 3 });
-  const answer = await fleet.until(fleet.hosts.get("f")!.edit(edit));
+  const answer = await fleet.runUntil(fleet.hosts.get("f")!.edit(edit));
   t.deepEqual(answer, { type: "accepted", revision: 2 });
   await fleet.run(2_000);
   t.deepEqual(fleet.revisions(), HOSTS.map(() => 2));
 });
 
 test("a resend through another leader gets the first answer", async (t) => {
-  const fleet = await fakeFleet.Fleet.start();
+  const fleet = await fakeFleet.FakeFleet.start();
   const edit = editOf("e1", { row: "account/x", version: 0, value: 3 });
-  const first = await fleet.until(fleet.hosts.get("d")!.edit(edit));
+  const first = await fleet.runUntil(fleet.hosts.get("d")!.edit(edit));
   fleet.kill(fleet.leader);
-  const second = await fleet.until(fleet.hosts.get("e")!.edit(edit));
+  const second = await fleet.runUntil(fleet.hosts.get("e")!.edit(edit));
   t.deepEqual(second, first);
 });
 
 test("a host cut off refuses edits as not run and keeps its table", async (t) => {
-  const fleet = await fakeFleet.Fleet.start();
-  fleet.cut.add("e");
+  const fleet = await fakeFleet.FakeFleet.start();
+  fleet.isolated.add("e");
   const edit = editOf("e1", { row: "account/x", version: 0, value: 3 });
-  const answer = await fleet.until(fleet.hosts.get("e")!.edit(edit));
+  const answer = await fleet.runUntil(fleet.hosts.get("e")!.edit(edit));
   t.is(answer.type, "unavailable");
   t.is(fleet.hosts.get("e")!.view().revision, 1);
 });
 
 test("all hosts restarted at once keep the accepted edits", async (t) => {
-  const fleet = await fakeFleet.Fleet.start();
+  const fleet = await fakeFleet.FakeFleet.start();
   const edit = editOf("e1", { row: "account/x", version: 0, value: 3 });
-  await fleet.until(fleet.hosts.get("d")!.edit(edit));
+  await fleet.runUntil(fleet.hosts.get("d")!.edit(edit));
   HOSTS.forEach((id) => fleet.kill(id));
   for (const id of HOSTS) await fleet.startHost(id);
   await fleet.run(3_000);
@@ -53,7 +53,7 @@
 });
 
 function claimOf(request: string, key = "entry-1"): Parameters<
-  control.ClaimKeeper["claim"]
+  control.ClaimClient["claim"]
 >[0] {
   return {
     account: "club",
@@ -65,26 +65,26 @@
 }
 
 test("a key claimed at one host is not granted at another", async (t) => {
-  const fleet = await fakeFleet.Fleet.start();
+  const fleet = await fakeFleet.FakeFleet.start();
   const [d, e] = [fleet.hosts.get("d")!, fleet.hosts.get("e")!];
-  const first = await fleet.until(d.claims.claim(claimOf("r1")));
+  const first = await fleet.runUntil(d.claims.claim(claimOf("r1")));
   t.is(first.type, "granted");
-  const second = await fleet.until(e.claims.claim(claimOf("r2")));
+  const second = await fleet.runUntil(e.claims.claim(claimOf("r2")));
   t.is(second.type, "in-progress");
   const answer = { status: 200, headers: {}, body: "done" };
   d.claims.settle(claimOf("r1"), answer);
   await fleet.run(100);
-  const third = await fleet.until(e.claims.claim(claimOf("r3")));
+  const third = await fleet.runUntil(e.claims.claim(claimOf("r3")));
   t.deepEqual(third, { type: "answered", answer });
 });
 
 test("a claim of a host that restarted is unknown, never run again", async (t) => {
-  const fleet = await fakeFleet.Fleet.start();
-  await fleet.until(fleet.hosts.get("d")!.claims.claim(claimOf("r1")));
+  const fleet = await fakeFleet.FakeFleet.start();
+  await fleet.runUntil(fleet.hosts.get("d")!.claims.claim(claimOf("r1")));
   fleet.kill("d");
   await fleet.startHost("d");
   await fleet.run(1_000);
-  const again = await fleet.until(
+  const again = await fleet.runUntil(
     fleet.hosts.get("d")!.claims.claim(claimOf("r2")),
   );
   t.like(again, { type: "refused", outcome: "unknown" });
@@ -94,77 +94,77 @@
 
 for (const start of ["with a quorum", "without a quorum"]) {
   test(`claims count after a clock set back an hour, started ${start}`, async (t) => {
-    const fleet = await fakeFleet.Fleet.start();
+    const fleet = await fakeFleet.FakeFleet.start();
     const e = fleet.hosts.get("e")!.claims;
     fleet.kill("d");
     await fleet.startHost("d", 2 * HOUR);
     const before = fleet.hosts.get("d")!.claims;
-    await fleet.until(before.claim(claimOf("r1", "before")));
+    await fleet.runUntil(before.claim(claimOf("r1", "before")));
     fleet.kill("d");
-    if (start === "without a quorum") fleet.cut.add("d");
+    if (start === "without a quorum") fleet.isolated.add("d");
     await fleet.startHost("d", HOUR);
     if (start === "without a quorum") await fleet.run(6_000);
-    fleet.cut.delete("d");
+    fleet.isolated.delete("d");
     const after = fleet.hosts.get("d")!.claims;
-    const granted = await fleet.until(after.claim(claimOf("r2", "after")));
+    const granted = await fleet.runUntil(after.claim(claimOf("r2", "after")));
     t.is(granted.type, "granted");
-    const held = await fleet.until(e.claim(claimOf("r3", "after")));
+    const held = await fleet.runUntil(e.claim(claimOf("r3", "after")));
     t.is(held.type, "in-progress");
-    const lost = await fleet.until(e.claim(claimOf("r4", "before")));
+    const lost = await fleet.runUntil(e.claim(claimOf("r4", "before")));
     t.like(lost, { type: "refused", outcome: "unknown" });
     const answer = { status: 200, headers: {}, body: "done" };
     after.settle(claimOf("r2", "after"), answer);
     await fleet.run(100);
-    const answered = await fleet.until(e.claim(claimOf("r5", "after")));
+    const answered = await fleet.runUntil(e.claim(claimOf("r5", "after")));
     t.deepEqual(answered, { type: "answered", answer });
   });
 }
 
 test("a claim settled just before a stop is answered elsewhere", async (t) => {
-  const fleet = await fakeFleet.Fleet.start();
+  const fleet = await fakeFleet.FakeFleet.start();
   const [d, e] = [fleet.hosts.get("d")!, fleet.hosts.get("e")!];
-  await fleet.until(d.claims.claim(claimOf("r1")));
+  await fleet.runUntil(d.claims.claim(claimOf("r1")));
   // The settlement has to wait for another leader.
   fleet.kill(fleet.leader);
   const answer = { status: 200, headers: {}, body: "done" };
   d.claims.settle(claimOf("r1"), answer);
-  await fleet.until(d.finish());
+  await fleet.runUntil(d.flushClaims());
   fleet.kill("d");
-  const again = await fleet.until(e.claims.claim(claimOf("r2")));
+  const again = await fleet.runUntil(e.claims.claim(claimOf("r2")));
   t.deepEqual(again, { type: "answered", answer });
 });
 
 test("a stop waits for settlements no longer than its bound", async (t) => {
-  const fleet = await fakeFleet.Fleet.start();
+  const fleet = await fakeFleet.FakeFleet.start();
   const d = fleet.hosts.get("d")!;
-  await fleet.until(d.finish());
-  await fleet.until(d.claims.claim(claimOf("r1")));
-  fleet.cut.add("d");
+  await fleet.runUntil(d.flushClaims());
+  await fleet.runUntil(d.claims.claim(claimOf("r1")));
+  fleet.isolated.add("d");
   d.claims.settle(claimOf("r1"), undefined);
   const before = fleet.clock.now();
-  await fleet.until(d.finish());
+  await fleet.runUntil(d.flushClaims());
   t.true(fleet.clock.now() - before <= 3_010);
   fleet.kill("d");
 });
 
 test("a restarted voter is not in force before it has caught up", async (t) => {
-  const fleet = await fakeFleet.Fleet.start();
+  const fleet = await fakeFleet.FakeFleet.start();
   const voter = VOTERS.find((id) => id !== fleet.leader)!;
   fleet.kill(voter);
   const edit = editOf("e1", { row: "account/x", version: 0, value: 3 });
-  await fleet.until(fleet.hosts.get("d")!.edit(edit));
+  await fleet.runUntil(fleet.hosts.get("d")!.edit(edit));
   await fleet.startHost(voter);
-  t.true(await fleet.until(fleet.caughtUp.get(voter)!));
+  t.true(await fleet.runUntil(fleet.caughtUp.get(voter)!));
   t.is(fleet.hosts.get(voter)!.view().revision, 2);
 });
 
 test("a host that starts without a quorum serves with what it has", async (t) => {
-  const fleet = await fakeFleet.Fleet.start();
+  const fleet = await fakeFleet.FakeFleet.start();
   const voter = VOTERS.find((id) => id !== fleet.leader)!;
   fleet.kill(voter);
-  fleet.cut.add(voter);
+  fleet.isolated.add(voter);
   await fleet.startHost(voter);
-  t.false(await fleet.until(fleet.caughtUp.get(voter)!));
+  t.false(await fleet.runUntil(fleet.caughtUp.get(voter)!));
 });
 
 const OBSERVED = {
@@ -173,24 +173,24 @@
 };
 
 test("with observers, other hosts leave the voters in peace", async (t) => {
-  const fleet = await fakeFleet.Fleet.start(OBSERVED);
+  const fleet = await fakeFleet.FakeFleet.start(OBSERVED);
   const edit = editOf("e1", { row: "account/x", version: 0, value: 3 });
-  const answer = fleet.until(fleet.hosts.get("h")!.edit(edit));
+  const answer = fleet.runUntil(fleet.hosts.get("h")!.edit(edit));
   t.deepEqual(await answer, { type: "accepted", revision: 2 });
   await fleet.run(500);
   t.deepEqual(fleet.revisions(), OBSERVED.hosts.map(() => 2));
   for (const id of ["f", "g", "h"]) {
-    for (const to of fleet.watched.get(id)!) {
+    for (const to of fleet.watchTargets.get(id)!) {
       t.true(OBSERVED.observers.includes(to), `${id} watches ${to}`);
     }
   }
 });
 
 test("where no observer answers, hosts watch the voters", async (t) => {
-  const fleet = await fakeFleet.Fleet.start(OBSERVED);
-  for (const id of OBSERVED.observers) fleet.cut.add(id);
+  const fleet = await fakeFleet.FakeFleet.start(OBSERVED);
+  for (const id of OBSERVED.observers) fleet.isolated.add(id);
   const edit = editOf("e1", { row: "account/x", version: 0, value: 3 });
-  await fleet.until(fleet.hosts.get("a")!.edit(edit));
+  await fleet.runUntil(fleet.hosts.get("a")!.edit(edit));
   await fleet.run(3_000);
   for (const id of ["f", "g", "h"]) {
     t.is(fleet.hosts.get(id)!.view().revision, 2);
@@ -198,13 +198,13 @@
 });
 
 test("an observer that the voters do not reach holds nobody back", async (t) => {
-  const fleet = await fakeFleet.Fleet.start(OBSERVED);
+  const fleet = await fakeFleet.FakeFleet.start(OBSERVED);
   // Observers reach the hosts that watch them, but no voter.
   for (const voter of VOTERS) {
     for (const id of OBSERVED.observers) fleet.cutLink(voter, id);
   }
   const edit = editOf("e1", { row: "account/x", version: 0, value: 3 });
-  await fleet.until(fleet.hosts.get("a")!.edit(edit));
+  await fleet.runUntil(fleet.hosts.get("a")!.edit(edit));
   await fleet.run(5_000);
   for (const id of ["f", "g", "h"]) {
     t.is(fleet.hosts.get(id)!.view().revision, 2);
@@ -212,11 +212,11 @@
 });
 
 test("a change of voters is logged with who led it and what it is", async (t) => {
-  const fleet = await fakeFleet.Fleet.start();
+  const fleet = await fakeFleet.FakeFleet.start();
   const voter = VOTERS.find((id) => id !== fleet.leader)!;
   const { leader } = fleet;
   fleet.kill(voter);
-  fleet.wipe(voter);
+  fleet.wipeDisk(voter);
   await fleet.startHost(voter);
   await fleet.run(5_000);
   const changes = fleet.lines.filter(({ msg, host }) =>
--- a/src/control/host/fake_fleet.ts
+++ b/src/control/host/fake_fleet.ts
@@ -25,10 +25,10 @@
 };
 
 /** Hosts whose messages take a millisecond. */
-export class Fleet {
+export class FakeFleet {
   readonly clock = new runtime.FakeClock();
   readonly hosts = new Map<string, control.Control>();
-  readonly cut = new Set<string>();
+  readonly isolated = new Set<string>();
   /** Whether each host found a quorum when it started. */
   readonly caughtUp = new Map<string, Promise<boolean>>();
   readonly #disks = new Map(
@@ -37,7 +37,7 @@
   /** Lines of the logs of all hosts. */
   readonly lines: Record<string, unknown>[] = [];
   /** Hosts that each host has sent watch messages to. */
-  readonly watched = new Map<string, Set<string>>();
+  readonly watchTargets = new Map<string, Set<string>>();
   readonly #links = new Set<string>();
   readonly #observers: readonly string[];
   #incarnation = 1;
@@ -49,8 +49,8 @@
   /** Starts all hosts, and waits until they have the table. */
   static async start(
     { hosts = HOSTS, observers = [] }: Options = {},
-  ): Promise<Fleet> {
-    const fleet = new Fleet(observers);
+  ): Promise<FakeFleet> {
+    const fleet = new FakeFleet(observers);
     for (const id of hosts) await fleet.startHost(id);
     await fleet.run(2_000);
     return fleet;
@@ -78,7 +78,7 @@
         host: self,
         destination: { write: (line) => this.lines.push(JSON.parse(line)) },
       }),
-      first: [{ operation: "first", actor: "planner", changes: [SEED] }],
+      initialEdits: [{ operation: "first", actor: "planner", changes: [SEED] }],
       onFailure: (failure) => {
         throw failure;
       },
@@ -97,7 +97,7 @@
   }
 
   /** Takes the disk of a killed host away. */
-  wipe(id: string): void {
+  wipeDisk(id: string): void {
     this.#disks.set(id, storage.MemoryStorage.create());
   }
 
@@ -125,7 +125,7 @@
   }
 
   /** Waits for `promise` while time passes. */
-  async until<T>(promise: Promise<T>): Promise<T> {
+  async runUntil<T>(promise: Promise<T>): Promise<T> {
     let done = false;
     void promise.finally(() => done = true);
     while (!done) await this.run(10);
@@ -135,11 +135,13 @@
   #send(envelope: runtime.Envelope): void {
     const { from, to, channel } = envelope;
     if (channel === "watch" && from !== to) {
-      const known = this.watched.get(from) ?? new Set();
-      this.watched.set(from, known.add(to));
+      const known = this.watchTargets.get(from) ?? new Set();
+      this.watchTargets.set(from, known.add(to));
     }
     this.clock.after(1, () => {
-      if (from !== to && (this.cut.has(from) || this.cut.has(to))) return;
+      if (from !== to && (this.isolated.has(from) || this.isolated.has(to))) {
+        return;
+      }
       if (this.#links.has(linkOf(from, to))) return;
       this.hosts.get(to)?.receive(envelope);
     });
--- a/src/control/host/table_event.ts
+++ b/src/control/host/table_event.ts
@@ -11,21 +11,21 @@
     actor: string;
     /** When it came into force here, milliseconds since the Unix epoch. */
     at: number;
-    changes: readonly table.Written[];
+    changes: readonly table.CellWrite[];
   }
   /** The table jumped to a later revision by a snapshot. */
   | { type: "reset"; revision: number };
 
 /** Takes events of the table; must not throw. */
-export type Watcher = (event: TableEvent) => void;
+export type TableListener = (event: TableEvent) => void;
 
 /** One change event for each revision in `written`, in order. A delta between
  * hosts may carry several revisions; each is one edit of one actor. */
 export function changeEvents(
-  written: readonly table.Written[],
+  written: readonly table.CellWrite[],
   at: number,
 ): readonly TableEvent[] {
-  const byRevision = new Map<number, table.Written[]>();
+  const byRevision = new Map<number, table.CellWrite[]>();
   for (const cell of written) {
     const cells = byRevision.get(cell.version);
     if (cells === undefined) byRevision.set(cell.version, [cell]);
--- a/src/control/host/follower.ts
+++ b/src/control/host/table_watcher.ts
@@ -13,7 +13,7 @@
 }
 
 /** What a follower needs of its host. */
-export interface FollowerOptions {
+export interface TableWatcherOptions {
   self: string;
   /** Hosts that publish the table, in order of preference. */
   publishers: readonly string[];
@@ -22,13 +22,13 @@
   clock: runtime.Clock;
   transport: Transport;
   /** The table moved on; `written` is absent after a snapshot. */
-  onTable(table: table.Table, written?: readonly table.Written[]): void;
+  onTable(table: table.Table, written?: readonly table.CellWrite[]): void;
   /** What is known of the quorum changed. */
-  onStatus(status: Status): void;
+  onStatus(status: QuorumStatus): void;
 }
 
 /** What a follower hears of the quorum. */
-export interface Status {
+export interface QuorumStatus {
   /** Whether its publisher is in touch with the quorum. */
   current: boolean;
   leader?: string;
@@ -37,12 +37,12 @@
 type Handler<T> = (effect: Extract<watch.WatcherEffect, { type: T }>) => void;
 
 /** Follows the table. */
-export class Follower {
-  readonly #options: FollowerOptions;
+export class TableWatcher {
+  readonly #options: TableWatcherOptions;
   readonly #alarm: runtime.Timer;
   #watcher: watch.Watcher | watch.Observer;
 
-  private constructor(options: FollowerOptions) {
+  private constructor(options: TableWatcherOptions) {
     this.#options = options;
     const { publishers, observer } = options;
     this.#watcher = observer
@@ -55,8 +55,8 @@
   }
 
   /** A follower that has an empty table. */
-  static create(options: FollowerOptions): Follower {
-    return new Follower(options);
+  static create(options: TableWatcherOptions): TableWatcher {
+    return new TableWatcher(options);
   }
 
   /** The table in force; its revision never goes back. */
@@ -65,7 +65,7 @@
   }
 
   /** What is known of the quorum. */
-  get status(): Status {
+  get status(): QuorumStatus {
     const { current, leader } = this.#watcher;
     return { current, leader };
   }
--- a/src/control/host/voter.ts
+++ b/src/control/host/voter.ts
@@ -28,7 +28,7 @@
   metrics: telemetry.Metrics;
   logger: telemetry.Logger;
   /** Edits that fill an empty table. */
-  first: readonly edits.Edit[];
+  initialEdits: readonly edits.Edit[];
   /** The journal failed: the host must not go on as a voter. */
   onFailure(failure: Error): void;
 }
@@ -42,8 +42,8 @@
   #runner!: log.Runner<table.State, table.Reply>;
   #publisher = watch.Publisher.create(table.Table.create());
   #editions: table.Table[] = [];
-  #written: (readonly table.Written[])[] = [];
-  #timekeeper = table.Timekeeper.create(0, 0);
+  #written: (readonly table.CellWrite[])[] = [];
+  #timekeeper = table.CommandClock.create(0, 0);
   #seeded = false;
   #members: log.Replica["members"] | undefined;
 
@@ -52,7 +52,7 @@
     this.#options = options;
     this.#commands = watch.CommandServer.create({
       propose: (command) => this.#propose(command),
-      stamp: () => this.#timekeeper.at(clock.now()),
+      commandTime: () => this.#timekeeper.at(clock.now()),
       send: (to, body) => this.#send("control", to, body),
     });
     this.#alarm = runtime.Timer.create(
@@ -124,7 +124,7 @@
   }
 
   /** Hands leadership over, before a stop. */
-  drain(): void {
+  transferLeadership(): void {
     this.#runner.transferLeadership();
   }
 
@@ -151,7 +151,7 @@
 
   /** The machine, which notes what each command writes for watchers. */
   #machine(): log.StateMachine<table.State, table.Reply> {
-    const machine = table.createMachine();
+    const machine = table.createStateMachine();
     return {
       empty: machine.empty,
       toJSON: (state) => machine.toJSON(state),
@@ -187,7 +187,7 @@
     const { clock, logger, metrics } = this.#options;
     if (role === "leader") {
       const { now } = this.#runner.state;
-      this.#timekeeper = table.Timekeeper.create(now, clock.now());
+      this.#timekeeper = table.CommandClock.create(now, clock.now());
     }
     metrics.gauge("log.leading", role === "leader" ? 1 : 0);
     logger.info({ role, term, leader }, "role in the log changed");
@@ -219,7 +219,7 @@
     try {
       const { revision } = this.#runner.read().table;
       if (revision > 0) return;
-      for (const edit of this.#options.first) {
+      for (const edit of this.#options.initialEdits) {
         await this.#propose({
           type: "edit",
           id: `${this.#options.self}/${edit.operation}`,
--- a/src/control/orders/caller.ts
+++ b/src/control/orders/engine_client.ts
@@ -7,38 +7,38 @@
 import type * as schema from "../../schema/orders_types.ts";
 import * as validators from "../../schema/orders_validators.ts";
 import * as errors from "./errors.ts";
-import type * as events from "./event.ts";
-import * as orders from "./orders.ts";
+import type * as events from "./reconciler_event.ts";
+import * as orders from "./reconciler_state.ts";
 import type * as plans from "./plan.ts";
 
 /** Bytes of the largest answer. */
 const MOST_ANSWER = 1024 * 1024;
 
 /** What a caller needs. */
-export interface CallerOptions {
+export interface EngineClientOptions {
   dispatcher?: undici.Dispatcher;
   /** Bearer token that engines expect, if they do. */
   token?: string;
   /** Whether the lease with this fencing token is held now, by a fresh look
    * at the clock. */
-  holds(token: number): boolean;
+  holdsLease(token: number): boolean;
 }
 
 /** Reads and orders engines. */
-export class Caller {
-  readonly #options: CallerOptions;
+export class EngineClient {
+  readonly #options: EngineClientOptions;
 
-  private constructor(options: CallerOptions) {
+  private constructor(options: EngineClientOptions) {
     this.#options = options;
   }
 
   /** A caller through `options.dispatcher`, or undici's own. */
-  static create(options: CallerOptions): Caller {
-    return new Caller(options);
+  static create(options: EngineClientOptions): EngineClient {
+    return new EngineClient(options);
   }
 
   /** What the engine has loaded; undefined when it cannot be read. */
-  async read({ url }: plans.Engine): Promise<schema.Report | undefined> {
+  async readReport({ url }: plans.Engine): Promise<schema.Report | undefined> {
     try {
       const { statusCode, body } = await this.#request(url, { method: "GET" });
       const answer = await readJson(body);
@@ -50,7 +50,7 @@
   }
 
   /** Sends an order unless the lease has ended. */
-  async order(
+  async sendOrder(
     { url }: plans.Engine,
     token: number,
     { order }: { order: schema.Order },
@@ -69,7 +69,7 @@
     token: number,
     { order, written }: { order: schema.Order; written: { any: boolean } },
   ): AsyncGenerator<string> {
-    if (!this.#options.holds(token)) {
+    if (!this.#options.holdsLease(token)) {
       throw new errors.OrderError("The lease ended before the order was sent");
     }
     written.any = true;
--- a/src/control/orders/caller_test.ts
+++ b/src/control/orders/engine_client_test.ts
@@ -34,31 +34,31 @@
 
 test("reads and orders over HTTP", async (t) => {
   const { engine, taken, close } = await listen(202);
-  const caller = orders.Caller.create({ holds: () => true });
-  t.like(await caller.read(engine), { models: [], token: 9 });
-  t.deepEqual(await caller.order(engine, 3, LOAD), { type: "accepted" });
+  const caller = orders.EngineClient.create({ holdsLease: () => true });
+  t.like(await caller.readReport(engine), { models: [], token: 9 });
+  t.deepEqual(await caller.sendOrder(engine, 3, LOAD), { type: "accepted" });
   t.deepEqual(taken.map((text) => JSON.parse(text)), [{ token: 3, ...LOAD }]);
   close();
 });
 
 test("an order does not leave once the lease has ended", async (t) => {
   const { engine, taken, close } = await listen(202);
-  const caller = orders.Caller.create({ holds: () => false });
-  t.deepEqual(await caller.order(engine, 3, LOAD), { type: "unsent" });
+  const caller = orders.EngineClient.create({ holdsLease: () => false });
+  t.deepEqual(await caller.sendOrder(engine, 3, LOAD), { type: "unsent" });
   t.deepEqual(taken, []);
   close();
 });
 
 test("tells a refusal by fencing token from a lost answer", async (t) => {
-  const caller = orders.Caller.create({ holds: () => true });
+  const caller = orders.EngineClient.create({ holdsLease: () => true });
   const fenced = await listen(409);
-  const answer = await caller.order(fenced.engine, 3, LOAD);
+  const answer = await caller.sendOrder(fenced.engine, 3, LOAD);
   t.deepEqual(answer, { type: "fenced", token: 9 });
   fenced.close();
   const broken = await listen(500);
-  t.deepEqual(await caller.order(broken.engine, 3, LOAD), { type: "lost" });
+  t.deepEqual(await caller.sendOrder(broken.engine, 3, LOAD), { type: "lost" });
   broken.close();
-  t.is(await caller.read(broken.engine), undefined);
+  t.is(await caller.readReport(broken.engine), undefined);
 });
 
 test("a reconciler orders while it holds the lease, and no longer", async (t) => {
@@ -68,7 +68,7 @@
   const reconciler = orders.Reconciler.create({
     clock,
     logger: telemetry.noLogger,
-    limits: { loads: 2, lease: 3000 },
+    limits: { loadsPerSecond: 2, leaseMs: 3000 },
     lease: () => lease,
   });
   reconciler.setTable(createTable());
--- a/src/control/orders/mod.ts
+++ b/src/control/orders/mod.ts
@@ -1,9 +1,9 @@
 /** Orders to engines: the table's wishes carried out by the leaseholder.
  * @module */
 
-export { Caller, type CallerOptions } from "./caller.ts";
+export { EngineClient, type EngineClientOptions } from "./engine_client.ts";
 export { OrderError } from "./errors.ts";
-export type * from "./event.ts";
-export * from "./orders.ts";
+export type * from "./reconciler_event.ts";
+export * from "./reconciler_state.ts";
 export * from "./plan.ts";
 export * from "./reconciler.ts";
--- a/src/control/orders/plan.ts
+++ b/src/control/orders/plan.ts
@@ -36,7 +36,7 @@
 }
 
 /** The next order for one engine. */
-export interface Step {
+export interface PlannedOrder {
   engine: string;
   order: schema.Order;
 }
@@ -55,7 +55,10 @@
 
 /** At most one order for each engine, the most useful first. Engines without
  * a fresh report get none, but keep their place among the replicas. */
-export function plan(goal: Goal, candidates: readonly Candidate[]): Step[] {
+export function plan(
+  goal: Goal,
+  candidates: readonly Candidate[],
+): PlannedOrder[] {
   const { replicas = candidates.length } = goal;
   const ordered = candidates.toSorted((a, b) =>
     rank(goal, b) - rank(goal, a) || (a.engine < b.engine ? -1 : 1)
@@ -78,7 +81,7 @@
   return fresh ? 1 : 0;
 }
 
-function stepFor(goal: Goal, candidate: Candidate): Step | undefined {
+function stepFor(goal: Goal, candidate: Candidate): PlannedOrder | undefined {
   const { engine, report, fresh } = candidate;
   if (!fresh || report === undefined || report.loading) return undefined;
   const { model, adapter, version, role } = goal;
@@ -95,7 +98,7 @@
   return old && { engine, order: unload(old) };
 }
 
-function release(goal: Goal, candidate: Candidate): Step | undefined {
+function release(goal: Goal, candidate: Candidate): PlannedOrder | undefined {
   const { engine, report, fresh } = candidate;
   if (!fresh || report === undefined || report.loading) return undefined;
   const loaded = report.models.find((loaded) => sameModel(goal, loaded));
--- a/src/control/orders/reconciler.ts
+++ b/src/control/orders/reconciler.ts
@@ -5,9 +5,9 @@
 import * as runtime from "../../runtime/mod.ts";
 import type * as telemetry from "../../telemetry/mod.ts";
 import type * as table from "../table/mod.ts";
-import * as callers from "./caller.ts";
-import type * as events from "./event.ts";
-import * as orders from "./orders.ts";
+import * as callers from "./engine_client.ts";
+import type * as events from "./reconciler_event.ts";
+import * as orders from "./reconciler_state.ts";
 import type * as plans from "./plan.ts";
 
 /** Milliseconds between looks at the lease. */
@@ -29,21 +29,21 @@
 /** Brings engines to what the table asks for, while the lease is held here. */
 export class Reconciler {
   readonly #options: ReconcilerOptions;
-  readonly #caller: callers.Caller;
+  readonly #caller: callers.EngineClient;
   readonly #alarm: runtime.Timer;
   readonly #look: runtime.Timer;
-  #orders: orders.Orders;
+  #orders: orders.ReconcilerState;
   #table: table.Table | undefined;
   #token: number | undefined;
 
   private constructor(options: ReconcilerOptions) {
     const { clock, limits, dispatcher, token } = options;
     this.#options = options;
-    this.#orders = orders.Orders.create(limits);
-    this.#caller = callers.Caller.create({
+    this.#orders = orders.ReconcilerState.create(limits);
+    this.#caller = callers.EngineClient.create({
       dispatcher,
       token,
-      holds: (token) => this.#held()?.token === token,
+      holdsLease: (token) => this.#held()?.token === token,
     });
     const tick = () => this.#step({ type: "tick" });
     this.#alarm = runtime.Timer.create(clock, tick);
@@ -99,16 +99,16 @@
     return held ? lease : undefined;
   }
 
-  #step(event: events.OrdersEvent): void {
+  #step(event: events.ReconcilerEvent): void {
     const step = this.#orders.step(event, this.#options.clock.now());
-    this.#orders = step.orders;
+    this.#orders = step.state;
     for (const effect of step.effects) {
       const handler = this.#handlers[effect.type] as Handler<string>;
       handler(effect as never);
     }
   }
 
-  readonly #handlers: { [T in events.OrdersEffect["type"]]: Handler<T> } = {
+  readonly #handlers: { [T in events.ReconcilerEffect["type"]]: Handler<T> } = {
     read: ({ engine }) => void this.#read(engine),
     order: (effect) => void this.#order(effect),
     fenced: ({ engine, token }) =>
@@ -120,16 +120,19 @@
   };
 
   async #read(engine: plans.Engine): Promise<void> {
-    const report = await this.#caller.read(engine);
+    const report = await this.#caller.readReport(engine);
     this.#step({ type: "report", engine: engine.id, report });
   }
 
   async #order(
-    { engine, token, order }: Extract<events.OrdersEffect, { type: "order" }>,
+    { engine, token, order }: Extract<
+      events.ReconcilerEffect,
+      { type: "order" }
+    >,
   ): Promise<void> {
     const { id, service } = engine;
-    const operators = this.#table?.authors(`service/${service}`);
-    const answer = await this.#caller.order(engine, token, { order });
+    const operators = this.#table?.lastWriters(`service/${service}`);
+    const answer = await this.#caller.sendOrder(engine, token, { order });
     this.#options.logger.info(
       { engine: id, service, operators, token, order, answer },
       "engine ordered",
@@ -138,4 +141,6 @@
   }
 }
 
-type Handler<T> = (effect: Extract<events.OrdersEffect, { type: T }>) => void;
+type Handler<T> = (
+  effect: Extract<events.ReconcilerEffect, { type: T }>,
+) => void;
--- a/src/control/orders/event.ts
+++ b/src/control/orders/reconciler_event.ts
@@ -8,9 +8,9 @@
 /** Settings of the orders. */
 export interface Limits {
   /** Loads a second over all engines. */
-  loads: number;
+  loadsPerSecond: number;
   /** Milliseconds of a leader's lease, with the allowance for clock drift. */
-  lease: number;
+  leaseMs: number;
 }
 
 /** The right to order, by the holder's own clock. */
@@ -32,7 +32,7 @@
   | { type: "lost" };
 
 /** What the orders hear. */
-export type OrdersEvent =
+export type ReconcilerEvent =
   | { type: "lease"; lease?: Lease }
   | { type: "table"; table: table.Table }
   | { type: "engines"; engines: readonly plans.Engine[] }
@@ -42,7 +42,7 @@
   | { type: "tick" };
 
 /** What the orders ask for. */
-export type OrdersEffect =
+export type ReconcilerEffect =
   | { type: "read"; engine: plans.Engine }
   | {
     type: "order";
--- a/src/control/orders/orders.ts
+++ b/src/control/orders/reconciler_state.ts
@@ -6,8 +6,8 @@
 
 import type * as schema from "../../schema/orders_types.ts";
 import * as table from "../table/mod.ts";
-import * as bucket from "./bucket.ts";
-import type * as events from "./event.ts";
+import * as bucket from "./token_bucket.ts";
+import type * as events from "./reconciler_event.ts";
 import * as plans from "./plan.ts";
 
 /** Milliseconds in which a call to an engine ends. */
@@ -25,9 +25,9 @@
 const MOST_CALLS = 64;
 
 /** Orders after an event, and what they ask for. */
-export interface OrdersStep {
-  orders: Orders;
-  effects: events.OrdersEffect[];
+export interface ReconcilerStep {
+  state: ReconcilerState;
+  effects: events.ReconcilerEffect[];
 }
 
 interface Entry {
@@ -52,12 +52,12 @@
   table: table.Table;
   entries: table.Trie<Entry>;
   services: ReadonlyMap<string, readonly string[]>;
-  bucket?: bucket.Bucket;
+  bucket?: bucket.TokenBucket;
   calls: number;
 }
 
 /** Immutable state of the orders. */
-export class Orders {
+export class ReconcilerState {
   readonly #state: State;
 
   private constructor(state: State) {
@@ -65,8 +65,8 @@
   }
 
   /** Orders without lease, table or engines. */
-  static create(limits: events.Limits): Orders {
-    return new Orders({
+  static create(limits: events.Limits): ReconcilerState {
+    return new ReconcilerState({
       limits,
       table: table.Table.create(),
       entries: table.Trie.create<Entry>(),
@@ -76,12 +76,12 @@
   }
 
   /** Takes in `event` at `now`; a wake asks for a `tick`. */
-  step(event: events.OrdersEvent, now: number): OrdersStep {
-    const effects: events.OrdersEffect[] = [];
-    const handler = handlers[event.type] as Handler<events.OrdersEvent>;
+  step(event: events.ReconcilerEvent, now: number): ReconcilerStep {
+    const effects: events.ReconcilerEffect[] = [];
+    const handler = handlers[event.type] as Handler<events.ReconcilerEvent>;
     const taken = handler(this.#state, event, { now, effects });
     const state = act(taken, { now, effects });
-    return { orders: new Orders(state), effects };
+    return { state: new ReconcilerState(state), effects };
   }
 
   /** State for people. */
@@ -97,14 +97,14 @@
 
 interface Turn {
   now: number;
-  effects: events.OrdersEffect[];
+  effects: events.ReconcilerEffect[];
 }
 
 type Handler<E> = (state: State, event: E, turn: Turn) => State;
 
 const handlers: {
-  [T in events.OrdersEvent["type"]]: Handler<
-    Extract<events.OrdersEvent, { type: T }>
+  [T in events.ReconcilerEvent["type"]]: Handler<
+    Extract<events.ReconcilerEvent, { type: T }>
   >;
 } = {
   lease(state, { lease }, { now }) {
@@ -117,7 +117,8 @@
       ...state,
       lease,
       entries: table.Trie.create<Entry>(entries),
-      bucket: lease && bucket.Bucket.create(state.limits.loads, now),
+      bucket: lease &&
+        bucket.TokenBucket.create(state.limits.loadsPerSecond, now),
     };
   },
   table: (state, event) => ({ ...state, table: event.table }),
@@ -157,7 +158,7 @@
 
 function takeEngines(
   state: State,
-  { engines }: Extract<events.OrdersEvent, { type: "engines" }>,
+  { engines }: Extract<events.ReconcilerEvent, { type: "engines" }>,
   { now }: Turn,
 ): State {
   const services = new Map<string, string[]>();
@@ -239,7 +240,7 @@
 
 function send(
   state: State,
-  { engine: id, order }: plans.Step,
+  { engine: id, order }: plans.PlannedOrder,
   { lease, turn }: { lease: events.Lease; turn: Turn },
 ): State | undefined {
   const entry = state.entries.get(id)!;
@@ -260,7 +261,7 @@
 function allowedAt(
   { fencing = "unknown" }: plans.Engine,
   { since }: events.Lease,
-  { lease }: events.Limits,
+  { leaseMs: lease }: events.Limits,
 ): number {
   return fencing === "checks" ? since : since + lease + CALL_TIMEOUT;
 }
@@ -270,7 +271,7 @@
   for (const [, { readAt, call }] of state.entries.entries()) {
     if (call === undefined) at = Math.min(at, readAt);
   }
-  const waited = lease.since + state.limits.lease + CALL_TIMEOUT;
+  const waited = lease.since + state.limits.leaseMs + CALL_TIMEOUT;
   const ready = state.bucket?.readyAt() ?? Infinity;
   for (const other of [waited, ready]) {
     if (other > now) at = Math.min(at, other);
--- a/src/control/orders/orders_test.ts
+++ b/src/control/orders/reconciler_state_test.ts
@@ -5,7 +5,7 @@
 import * as table from "../table/mod.ts";
 import * as orders from "./mod.ts";
 
-const LIMITS = { loads: 2, lease: 3000 };
+const LIMITS = { loadsPerSecond: 2, leaseMs: 3000 };
 
 function createTable(cells: Record<string, edits.CellValue>): table.Table {
   const changes = Object.entries(cells).map(([column, value]) => ({
@@ -56,10 +56,10 @@
 class Bench {
   now = 0;
   readonly engines = new Map<string, FakeEngine>();
-  readonly leaders = new Map<string, orders.Orders>();
+  readonly leaders = new Map<string, orders.ReconcilerState>();
   readonly sent: { by: string; engine: string; at: number; type: string }[] =
     [];
-  #calls: { due: number; by: string; event: orders.OrdersEvent }[] = [];
+  #calls: { due: number; by: string; event: orders.ReconcilerEvent }[] = [];
   #late: { due: number; arrive: () => void }[] = [];
 
   constructor(
@@ -75,7 +75,7 @@
   }
 
   lead(by: string, lease: orders.Lease | undefined, wish: table.Table): void {
-    this.leaders.set(by, orders.Orders.create(LIMITS));
+    this.leaders.set(by, orders.ReconcilerState.create(LIMITS));
     const engines = [...this.engines].map(([id, engine]) => ({
       id,
       service: "lm",
@@ -87,9 +87,9 @@
     this.tell(by, { type: "lease", lease });
   }
 
-  tell(by: string, event: orders.OrdersEvent): void {
+  tell(by: string, event: orders.ReconcilerEvent): void {
     const step = this.leaders.get(by)!.step(event, this.now);
-    this.leaders.set(by, step.orders);
+    this.leaders.set(by, step.state);
     for (const effect of step.effects) this.#carry(by, effect);
   }
 
@@ -105,7 +105,7 @@
     }
   }
 
-  #carry(by: string, effect: orders.OrdersEffect): void {
+  #carry(by: string, effect: orders.ReconcilerEffect): void {
     if (effect.type !== "read" && effect.type !== "order") return;
     const engine = this.engines.get(effect.engine.id)!;
     const lost = this.random.next() < this.loss;
@@ -176,7 +176,7 @@
   const loads = bench.sent.filter(({ type }) => type === "load");
   t.is(loads.length, 6);
   loads.reduce((former, load) => {
-    t.true(load.at - former.at >= 1000 / LIMITS.loads);
+    t.true(load.at - former.at >= 1000 / LIMITS.loadsPerSecond);
     return load;
   });
 });
@@ -187,8 +187,8 @@
   bench.run(30_000);
   const first = (engine: string) =>
     bench.sent.find((order) => order.engine === engine)!.at;
-  t.true(first("e0") < LIMITS.lease);
-  t.true(first("e1") >= LIMITS.lease + orders.CALL_TIMEOUT);
+  t.true(first("e0") < LIMITS.leaseMs);
+  t.true(first("e1") >= LIMITS.leaseMs + orders.CALL_TIMEOUT);
 });
 
 test("orders nothing once the lease has ended, also after a pause", (t) => {
@@ -220,12 +220,12 @@
 
 test("what is known of an engine is void once it has started again", (t) => {
   const engine = { id: "e0", service: "lm", url: "http://e0" };
-  const event = (generation: number): orders.OrdersEvent => ({
+  const event = (generation: number): orders.ReconcilerEvent => ({
     type: "engines",
     engines: [{ ...engine, generation, fencing: "checks" }],
   });
   const lease = { token: 1, since: 0, until: 9e9 };
-  const events: orders.OrdersEvent[] = [
+  const events: orders.ReconcilerEvent[] = [
     { type: "table", table: createTable({ model: "m" }) },
     { type: "lease", lease },
     event(1),
@@ -235,8 +235,8 @@
       report: createReport({ models: [{ model: "m" }] }),
     },
   ];
-  let state = orders.Orders.create(LIMITS);
-  for (const each of events) state = state.step(each, 0).orders;
+  let state = orders.ReconcilerState.create(LIMITS);
+  for (const each of events) state = state.step(each, 0).state;
   const types = (generation: number) =>
     state.step(event(generation), 1).effects.map(({ type }) => type);
   t.deepEqual(types(1), ["wake"]);
--- a/src/control/orders/bucket.ts
+++ b/src/control/orders/token_bucket.ts
@@ -2,7 +2,7 @@
  * @module */
 
 /** Immutable token bucket. */
-export class Bucket {
+export class TokenBucket {
   readonly #rate: number;
   readonly #burst: number;
   readonly #level: number;
@@ -17,8 +17,8 @@
 
   /** An empty bucket at `now`, since a former leader may just have loaded;
    * `rate` tokens a second. */
-  static create(rate: number, now: number): Bucket {
-    return new Bucket(rate, 1, 0, now);
+  static create(rate: number, now: number): TokenBucket {
+    return new TokenBucket(rate, 1, 0, now);
   }
 
   /** When the next token is there. */
@@ -27,10 +27,15 @@
   }
 
   /** A copy without one token, or undefined when there is none at `now`. */
-  take(now: number): Bucket | undefined {
+  take(now: number): TokenBucket | undefined {
     if (now < this.readyAt()) return undefined;
     const gained = (now - this.#at) / 1000 * this.#rate;
     const level = Math.min(this.#burst, this.#level + gained);
-    return new Bucket(this.#rate, this.#burst, Math.max(0, level - 1), now);
+    return new TokenBucket(
+      this.#rate,
+      this.#burst,
+      Math.max(0, level - 1),
+      now,
+    );
   }
 }
--- a/src/control/table/column.ts
+++ b/src/control/table/column.ts
@@ -4,7 +4,7 @@
 import type * as schema from "../../schema/table_types.ts";
 
 /** Longest text in a cell, in characters. */
-export const MOST_TEXT = 128;
+export const MAX_TEXT_LENGTH = 128;
 const MOST_NUMBER = 1e9;
 const MOST_REPLICAS = 10_000;
 const TOKEN_HASH = /^[0-9a-f]{64}$/;
@@ -25,9 +25,10 @@
 
 const text: Rule = {
   rows: ["service"],
-  expected: `a text of 1 to ${MOST_TEXT} characters`,
+  expected: `a text of 1 to ${MAX_TEXT_LENGTH} characters`,
   accepts: (value) =>
-    typeof value === "string" && value.length > 0 && value.length <= MOST_TEXT,
+    typeof value === "string" && value.length > 0 &&
+    value.length <= MAX_TEXT_LENGTH,
 };
 
 const rules: Record<schema.Column, Rule> = {
@@ -74,10 +75,10 @@
 };
 
 /** A cell as somebody wants it to be; null empties it. */
-export type Wanted = Omit<schema.Change, "version">;
+export type DesiredCell = Omit<schema.Change, "version">;
 
 /** Says why `change` is not allowed, or undefined when it is. */
-export function reject(change: Wanted): string | undefined {
+export function rejectionReason(change: DesiredCell): string | undefined {
   const { row, column, value } = change;
   const rule = rules[column];
   if (rule === undefined) return `there is no column ${column}`;
@@ -87,8 +88,8 @@
 }
 
 /** What may stand in a cell, for people; undefined where no cell can be. */
-export function expectation(
-  { row, column }: Pick<Wanted, "row" | "column">,
+export function expectedValue(
+  { row, column }: Pick<DesiredCell, "row" | "column">,
 ): string | undefined {
   const rule = rules[column];
   return rule !== undefined && fits(rule, row) ? rule.expected : undefined;
--- a/src/control/table/timekeeper.ts
+++ b/src/control/table/command_clock.ts
@@ -4,7 +4,7 @@
  * @module */
 
 /** Time of one leader. */
-export class Timekeeper {
+export class CommandClock {
   readonly #base: number;
   readonly #start: number;
 
@@ -14,8 +14,8 @@
   }
 
   /** Starts from the machine's time `base` at `now` of the host's clock. */
-  static create(base: number, now: number): Timekeeper {
-    return new Timekeeper(base, now);
+  static create(base: number, now: number): CommandClock {
+    return new CommandClock(base, now);
   }
 
   /** Whole milliseconds to put into a command that is proposed at `now`. */
--- a/src/control/table/expiry.ts
+++ b/src/control/table/expiry_index.ts
@@ -12,13 +12,13 @@
 }
 
 /** What fell due, and the rest. */
-export interface Sweep {
-  expiry: Expiry;
+export interface SweepResult {
+  expiry: ExpiryIndex;
   keys: readonly string[];
 }
 
 /** Immutable set of keys by the time at which they expire. */
-export class Expiry {
+export class ExpiryIndex {
   readonly #buckets: trie.Trie<Link>;
   /** First bucket that was not emptied yet. */
   readonly #head: number;
@@ -29,15 +29,15 @@
   }
 
   /** An empty set for keys that expire after `now`. */
-  static create(now: number): Expiry {
-    return new Expiry(trie.Trie.create<Link>(), Math.floor(now / BUCKET));
+  static create(now: number): ExpiryIndex {
+    return new ExpiryIndex(trie.Trie.create<Link>(), Math.floor(now / BUCKET));
   }
 
   /** A copy in which `key` also falls due once `at` has passed. */
-  add(key: string, at: number): Expiry {
+  add(key: string, at: number): ExpiryIndex {
     const bucket = Math.max(this.#head, Math.floor(at / BUCKET));
     const next = this.#buckets.get(`${bucket}`);
-    return new Expiry(
+    return new ExpiryIndex(
       this.#buckets.set(`${bucket}`, { key, next }),
       this.#head,
     );
@@ -45,7 +45,7 @@
 
   /** Takes out keys whose second has wholly passed at `now`. What is left
    * depends on the keys and on `now` alone, not on earlier sweeps. */
-  sweep(now: number): Sweep {
+  sweep(now: number): SweepResult {
     const end = Math.floor(now / BUCKET);
     if (end <= this.#head) return { expiry: this, keys: [] };
     const keys: string[] = [];
@@ -55,7 +55,7 @@
       if (link !== undefined) buckets = buckets.delete(bucket);
       for (; link !== undefined; link = link.next) keys.push(link.key);
     }
-    return { expiry: new Expiry(buckets, end), keys };
+    return { expiry: new ExpiryIndex(buckets, end), keys };
   }
 
   /** Names of buckets before `end`, by the shorter way after a long gap. */
@@ -70,6 +70,6 @@
 }
 
 /** Whether what expires at `at` is swept at `now`. */
-export function swept(at: number, now: number): boolean {
+export function isSwept(at: number, now: number): boolean {
   return Math.floor(at / BUCKET) < Math.floor(now / BUCKET);
 }
--- a/src/control/table/naive.ts
+++ b/src/control/table/naive_table.ts
@@ -38,7 +38,7 @@
   #decide(edit: schema.Edit): table.Answer {
     const keys = new Set<string>();
     for (const change of edit.changes) {
-      const detail = column.reject(change);
+      const detail = column.rejectionReason(change);
       if (detail !== undefined) return { type: "refused", detail };
       const key = `${change.row} ${change.column}`;
       if (keys.has(key)) {
--- a/src/control/table/operations.ts
+++ b/src/control/table/operations.ts
@@ -4,21 +4,21 @@
 
 import * as crypto from "node:crypto";
 import type * as schema from "../../schema/table_types.ts";
-import * as expiry from "./expiry.ts";
+import * as expiry from "./expiry_index.ts";
 import type * as table from "./table.ts";
 import * as trie from "./trie.ts";
 
 /** Bounds of the memory; equal on all replicas. */
 export interface Limits {
   /** Milliseconds of the machine's time that an answer is kept. */
-  keep: number;
+  retentionMs: number;
   /** Most answers kept; past it new edits are refused, never forgotten. */
-  count: number;
+  maxCount: number;
 }
 
 /** Ten minutes: forwarding retries for 10 s and the command line for 60 s. A
  * kept answer takes about 600 bytes, so the memory is bounded by 20 MB. */
-export const LIMITS: Limits = { keep: 600_000, count: 32_768 };
+export const LIMITS: Limits = { retentionMs: 600_000, maxCount: 32_768 };
 
 /** Characters of a fingerprint, six bits each. */
 const FINGERPRINT = 16;
@@ -36,18 +36,18 @@
 export type OperationsJSON = ({ operation: string } & Operation)[];
 
 /** What is known of an edit: its first answer, or why it cannot be applied. */
-export type Known = table.Answer | undefined;
+export type KnownResult = table.Answer | undefined;
 
 /** Immutable memory of answers. */
 export class Operations {
   readonly #limits: Limits;
   readonly #answers: trie.Trie<Operation>;
-  readonly #expiry: expiry.Expiry;
+  readonly #expiry: expiry.ExpiryIndex;
 
   private constructor(
     limits: Limits,
     answers: trie.Trie<Operation>,
-    due: expiry.Expiry,
+    due: expiry.ExpiryIndex,
   ) {
     this.#limits = limits;
     this.#answers = answers;
@@ -59,7 +59,7 @@
     return new Operations(
       limits,
       trie.Trie.create<Operation>(),
-      expiry.Expiry.create(now),
+      expiry.ExpiryIndex.create(now),
     );
   }
 
@@ -90,10 +90,10 @@
 
   /** The first answer to a resend, a refusal for an id used twice or for want
    * of room, or undefined for an edit that is to be applied. */
-  find(edit: schema.Edit): Known {
+  find(edit: schema.Edit): KnownResult {
     const known = this.#answers.get(edit.operation);
     if (known === undefined) {
-      if (this.#answers.size < this.#limits.count) return undefined;
+      if (this.#answers.size < this.#limits.maxCount) return undefined;
       return { type: "refused", detail: "too many edits in a short time" };
     }
     if (known.fingerprint === fingerprintOf(edit)) return known.answer;
@@ -120,7 +120,7 @@
     return new Operations(
       this.#limits,
       this.#answers.set(operation, known),
-      this.#expiry.add(operation, known.at + this.#limits.keep),
+      this.#expiry.add(operation, known.at + this.#limits.retentionMs),
     );
   }
 }
--- a/src/control/table/machine.ts
+++ b/src/control/table/state_machine.ts
@@ -18,11 +18,11 @@
   readonly operations: operations.Operations;
   readonly claims: claims.Claims;
   /** What the last command wrote into the table, for watchers. */
-  readonly written: readonly table.Written[];
+  readonly written: readonly table.CellWrite[];
 }
 
 /** Answer to the announcement of a start. */
-export interface Retired {
+export interface RetireReply {
   readonly type: "retired";
   /** Revision of the table then. */
   readonly revision: number;
@@ -34,9 +34,9 @@
 /** Answer to a command; `invalid` when it has no meaning to the machine. */
 export type Reply =
   | table.Answer
-  | claims.Reply
-  | claims.Settled
-  | Retired
+  | claims.ClaimReply
+  | claims.SettleReply
+  | RetireReply
   | { type: "invalid"; detail: string };
 
 /** A state after a command, and the answer to it. */
@@ -60,7 +60,7 @@
 }
 
 /** The machine as the replicated log takes it. */
-export interface Machine {
+export interface StateMachine {
   /** State before the first command. */
   readonly empty: State;
   apply(state: State, command: command.Command): Step;
@@ -71,7 +71,7 @@
 const LIMITS: Limits = { operations: operations.LIMITS, claims: claims.LIMITS };
 
 /** A machine with `limits`, which only tests change. */
-export function createMachine(limits: Limits = LIMITS): Machine {
+export function createStateMachine(limits: Limits = LIMITS): StateMachine {
   return {
     empty: {
       now: 0,
@@ -125,7 +125,7 @@
       reply: {
         type: "retired",
         revision,
-        incarnation: claims.lowest(host),
+        incarnation: claims.lowestIncarnation(host),
       },
     };
   },
--- a/src/control/table/table.ts
+++ b/src/control/table/table.ts
@@ -6,7 +6,7 @@
 import * as trie from "./trie.ts";
 
 /** Most rows that the table ever holds. */
-export const MOST_ROWS = 10_000;
+export const MAX_ROWS = 10_000;
 
 /** A cell with who wrote it; `value` is null once it was emptied. */
 export interface Cell {
@@ -20,7 +20,7 @@
 export type Cells = Readonly<Partial<Record<schema.Column, Cell>>>;
 
 /** One cell as a change of the table left it. */
-export interface Written extends Cell {
+export interface CellWrite extends Cell {
   readonly row: string;
   readonly column: schema.Column;
 }
@@ -43,10 +43,10 @@
   | { type: "refused"; detail: string };
 
 /** A table after an edit, the answer, and the cells that the edit wrote. */
-export interface Applied {
+export interface ApplyResult {
   table: Table;
   answer: Answer;
-  written: readonly Written[];
+  written: readonly CellWrite[];
 }
 
 /** A row as operators and snapshots see it. */
@@ -121,7 +121,7 @@
   }
 
   /** Who last wrote the cells of a row, emptied ones included. */
-  authors(name: string): string[] {
+  lastWriters(name: string): string[] {
     const cells = Object.values(this.#rows.get(name) ?? {});
     return [...new Set(cells.map(({ actor }) => actor))].sort();
   }
@@ -135,7 +135,7 @@
   }
 
   /** Applies all changes of `edit`, or none. */
-  apply(edit: schema.Edit): Applied {
+  apply(edit: schema.Edit): ApplyResult {
     const detail = this.#reject(edit);
     if (detail !== undefined) return this.#keep({ type: "refused", detail });
     const conflict = this.#conflict(edit.changes);
@@ -148,13 +148,13 @@
       version: revision,
       actor: edit.actor,
     }));
-    const table = this.write(revision, written);
+    const table = this.applyWrites(revision, written);
     return { table, answer: { type: "accepted", revision }, written };
   }
 
   /** A copy at `revision` with `written`, where that is newer than what is
    * here; how a watcher follows. */
-  write(revision: number, written: readonly Written[]): Table {
+  applyWrites(revision: number, written: readonly CellWrite[]): Table {
     let rows = this.#rows;
     for (const { row, column, ...cell } of written) {
       const cells = rows.get(row);
@@ -164,7 +164,7 @@
     return new Table(revision, rows);
   }
 
-  #keep(answer: Answer): Applied {
+  #keep(answer: Answer): ApplyResult {
     return { table: this, answer, written: [] };
   }
 
@@ -172,15 +172,15 @@
     const seen = new Set<string>();
     let added = 0;
     for (const change of changes) {
-      const detail = column.reject(change);
+      const detail = column.rejectionReason(change);
       if (detail !== undefined) return detail;
       const cell = `${change.row} ${change.column}`;
       if (seen.has(cell)) return `${cell} is changed twice`;
       seen.add(cell);
       if (this.#rows.get(change.row) === undefined) added++;
     }
-    if (added === 0 || this.#rows.size + added <= MOST_ROWS) return undefined;
-    return `the table would have more than ${MOST_ROWS} rows`;
+    if (added === 0 || this.#rows.size + added <= MAX_ROWS) return undefined;
+    return `the table would have more than ${MAX_ROWS} rows`;
   }
 
   #conflict(changes: readonly schema.Change[]): Conflict | undefined {
--- a/src/control/table/table_test.ts
+++ b/src/control/table/table_test.ts
@@ -100,7 +100,7 @@
 
 /** Runs edits through `machine` and the naive copy; false when they differ. */
 function agrees(
-  machine: table.Machine,
+  machine: table.StateMachine,
   edits: Edits,
 ): boolean {
   const naive = new table.NaiveTable();
@@ -124,7 +124,7 @@
   }
 }
 
-function reload(machine: table.Machine, state: table.State): table.State {
+function reload(machine: table.StateMachine, state: table.State): table.State {
   return machine.fromJSON(JSON.parse(JSON.stringify(machine.toJSON(state))));
 }
 
@@ -144,15 +144,15 @@
 }
 
 test("answers as the naive table over races, resends and restarts", (t) => {
-  const machine = table.createMachine();
+  const machine = table.createStateMachine();
   const property = fc.property(anyEdits, (edits) => agrees(machine, edits));
   fc.assert(property, { seed: SEED, numRuns: 150 });
   t.pass();
 });
 
 test("the comparison finds a machine that applies resends again", (t) => {
-  const machine = table.createMachine();
-  const forgetful: table.Machine = {
+  const machine = table.createStateMachine();
+  const forgetful: table.StateMachine = {
     ...machine,
     apply(state, command) {
       const { operations } = machine.empty;
@@ -164,7 +164,7 @@
 });
 
 test("a machine restarted after hundreds of changes is the same machine", (t) => {
-  const machine = table.createMachine();
+  const machine = table.createStateMachine();
   let kept = machine.empty;
   let restarted = machine.empty;
   for (let pos = 0; pos < 600; pos++) {
@@ -179,7 +179,7 @@
 });
 
 test("an operation id is kept for its time, and a full memory refuses", (t) => {
-  const limits = { keep: 10_000, count: 2 };
+  const limits = { retentionMs: 10_000, maxCount: 2 };
   let memory = table.operations.Operations.create(limits);
   const answer: table.Answer = { type: "accepted", revision: 1 };
   const edits = ["a", "b", "c"].map((id) => createEdit(id, [createChange(1)]));
--- a/src/control/table/trie_test.ts
+++ b/src/control/table/trie_test.ts
@@ -39,7 +39,7 @@
 
 test("finds what is due, and the same after a long gap", (t) => {
   const many = Array.from({ length: 50 }, (_, n) => `k${n}`);
-  let expiry = table.Expiry.create(0);
+  let expiry = table.ExpiryIndex.create(0);
   many.forEach((key, pos) => expiry = expiry.add(key, pos * 1000 + 500));
   t.deepEqual(expiry.sweep(999).keys, []);
   t.deepEqual(expiry.sweep(2000).keys, ["k0", "k1"]);
--- a/src/control/watch/command_server.ts
+++ b/src/control/watch/command_server.ts
@@ -16,7 +16,7 @@
   /** Commits a command; rejects with an error that has a `kind`. */
   propose(command: command.Command): Promise<unknown>;
   /** The leader's time for a command; see `Timekeeper`. */
-  stamp(): number;
+  commandTime(): number;
   send(to: string, body: schema.Result): void;
 }
 
@@ -54,7 +54,7 @@
 
   async #propose(value: unknown): Promise<Ending> {
     if (!validators.validate(value)) return invalid();
-    const { propose, stamp } = this.#options;
+    const { propose, commandTime: stamp } = this.#options;
     const stamped = { ...value as command.Command, at: stamp() };
     try {
       return { status: "applied", reply: await propose(stamped) as object };
--- a/src/control/watch/forwarder_test.ts
+++ b/src/control/watch/forwarder_test.ts
@@ -68,7 +68,7 @@
   let proposed = 0;
   const server = watch.CommandServer.create({
     propose: () => Promise.resolve({ type: "accepted", revision: ++proposed }),
-    stamp: () => 7,
+    commandTime: () => 7,
     send: (_to, body) => sent.push(body),
   });
   const command = createCommand("c1");
@@ -86,7 +86,7 @@
  * times. Returns whether every command had the effect that was reported. */
 async function keepsWord(seed: number, word: string): Promise<boolean> {
   const random = runtime.createRandom(seed);
-  const machine = table.createMachine();
+  const machine = table.createStateMachine();
   let state = machine.empty;
   let applied = 0;
   const inbox: schema.Result[] = [];
@@ -103,7 +103,7 @@
         if (roll < 0.5) return Promise.reject({ kind: "unknown" });
         return Promise.resolve(step.reply);
       },
-      stamp: () => 0,
+      commandTime: () => 0,
       send: (_to, body) => random.next() < 0.15 && inbox.push(body),
     }),
   ]));
--- a/src/control/watch/mod.ts
+++ b/src/control/watch/mod.ts
@@ -6,5 +6,9 @@
 export * from "./forwarder.ts";
 export * from "./observer.ts";
 export * from "./publisher.ts";
-export { type Publishers, publishersOf, rank } from "./rank.ts";
+export {
+  publisherOrder,
+  type Publishers,
+  rankPublishers,
+} from "./publisher_order.ts";
 export * from "./watcher.ts";
--- a/src/control/watch/publisher.ts
+++ b/src/control/watch/publisher.ts
@@ -4,10 +4,10 @@
 
 import type * as schema from "../../schema/watch_types.ts";
 import * as table from "../table/mod.ts";
-import * as message from "./message.ts";
+import * as message from "./snapshot.ts";
 
 /** Milliseconds after which a watcher with nothing new hears so. */
-export const KEEPALIVE = 500;
+export const KEEPALIVE_INTERVAL_MS = 500;
 /** Milliseconds over which commits are gathered into one delta. */
 const BATCH = 20;
 /** Milliseconds after which a watcher that did not renew is forgotten. */
@@ -23,7 +23,7 @@
      * changed. */
     type: "commit";
     table: table.Table;
-    written?: readonly table.Written[];
+    written?: readonly table.CellWrite[];
   }
   | { type: "status"; current: boolean; leader?: string }
   | { type: "message"; from: string; body: schema.Message }
@@ -49,7 +49,7 @@
 
 interface Edition {
   readonly revision: number;
-  readonly written: readonly table.Written[];
+  readonly written: readonly table.CellWrite[];
 }
 
 interface State {
@@ -176,7 +176,8 @@
     next,
     turn,
     ({ lastSend, sent }) =>
-      now >= lastSend + KEEPALIVE || (flush && sent < state.table.revision),
+      now >= lastSend + KEEPALIVE_INTERVAL_MS ||
+      (flush && sent < state.table.revision),
   );
 }
 
@@ -241,7 +242,7 @@
 function wakeTime({ subscribers, flushAt }: State): number | undefined {
   let at = flushAt ?? Infinity;
   for (const { lastSend, renewed } of subscribers.values()) {
-    at = Math.min(at, lastSend + KEEPALIVE, renewed + FORGET);
+    at = Math.min(at, lastSend + KEEPALIVE_INTERVAL_MS, renewed + FORGET);
   }
   return at === Infinity ? undefined : at;
 }
--- a/src/control/watch/rank.ts
+++ b/src/control/watch/publisher_order.ts
@@ -5,7 +5,10 @@
 import * as table from "../table/mod.ts";
 
 /** `publishers` in the order in which `host` should try them. */
-export function rank(host: string, publishers: readonly string[]): string[] {
+export function rankPublishers(
+  host: string,
+  publishers: readonly string[],
+): string[] {
   const scores = new Map(
     publishers.map((id) => [id, mix(table.hashOf(`${host}/${id}`))]),
   );
@@ -20,14 +23,14 @@
 /** Whom `self` watches, in the order in which it tries them: itself if it
  * votes, else observers. Voters follow early, so that a host that finds no
  * observer is not long without news, and before the rest of the observers. */
-export function publishersOf(
+export function publisherOrder(
   self: string,
   { voters, observers }: Publishers,
 ): string[] {
-  const ranked = rank(self, voters);
+  const ranked = rankPublishers(self, voters);
   if (voters.includes(self)) return [self, ...ranked];
   if (observers.includes(self)) return ranked;
-  const relays = rank(self, observers);
+  const relays = rankPublishers(self, observers);
   const first = relays.slice(0, FIRST_OBSERVERS);
   return [...first, ...ranked, ...relays.slice(FIRST_OBSERVERS)];
 }
--- a/src/control/watch/watch_test.ts
+++ b/src/control/watch/watch_test.ts
@@ -29,7 +29,7 @@
 function take(held: table.Table, event: watch.WatcherEvent): table.Table {
   if (event.type !== "message" || event.body.type !== "delta") return held;
   const { revision, written } = event.body;
-  return held.write(revision, written as table.Written[]);
+  return held.applyWrites(revision, written as table.CellWrite[]);
 }
 
 interface Parcel {
@@ -50,7 +50,7 @@
   now = 0;
   readonly random: runtime.Random;
   readonly truth = [table.Table.create()];
-  readonly written: table.Written[][] = [[]];
+  readonly written: table.CellWrite[][] = [[]];
   readonly publishers = new Map<string, watch.Publisher>();
   readonly applied = new Map<string, number>();
   readonly observers = new Map<string, watch.Observer>();
@@ -70,7 +70,7 @@
       this.tell(id, { type: "status", current: true });
     }
     for (const id of OBSERVERS) {
-      const ranked = watch.rank(id, REPLICAS);
+      const ranked = watch.rankPublishers(id, REPLICAS);
       this.observers.set(id, watch.Observer.create(ranked));
       this.observe(id, { type: "start" });
     }
@@ -188,7 +188,7 @@
 const SEEDS = Array.from({ length: 30 }, (_, pos) => pos + 1);
 
 function createWatcher(publishers = REPLICAS): watch.Watcher {
-  return watch.Watcher.create(watch.rank("w", publishers));
+  return watch.Watcher.create(watch.rankPublishers("w", publishers));
 }
 
 for (const publishers of [REPLICAS, OBSERVERS]) {
@@ -216,7 +216,7 @@
   const fleet = new Fleet(seed, createWatcher(publishers));
   fleet.now = Fleet.HEAL;
   fleet.run(5000 + seed * 50, false);
-  [fleet.mute] = watch.rank("w", publishers);
+  [fleet.mute] = watch.rankPublishers("w", publishers);
   fleet.edit();
   const start = fleet.now;
   const wanted = fleet.truth.length - 1;
@@ -237,7 +237,7 @@
 
 test("what is missing is asked for once, not with each delta", (t) => {
   let { watcher } = createWatcher().step({ type: "start" }, 0);
-  const [from] = watch.rank("w", REPLICAS);
+  const [from] = watch.rankPublishers("w", REPLICAS);
   let asked = 0;
   for (let now = 1; now <= 1000; now += 20) {
     const revision = 10 + now;
@@ -264,12 +264,18 @@
 
 test("a watcher leaves a publisher that is silent or cut off", (t) => {
   const { watcher } = createWatcher().step({ type: "start" }, 0);
-  const [first, second] = watch.rank("w", REPLICAS);
+  const [first, second] = watch.rankPublishers("w", REPLICAS);
   const body = { type: "alive" as const, revision: 0, current: false };
   const told = watcher.step({ type: "message", from: first, body }, 500);
-  const early = told.watcher.step({ type: "tick" }, watch.SILENCE - 1);
+  const early = told.watcher.step(
+    { type: "tick" },
+    watch.SILENCE_TIMEOUT_MS - 1,
+  );
   t.false(early.effects.some(({ type }) => type === "redial"));
-  const { effects } = told.watcher.step({ type: "tick" }, watch.SILENCE);
+  const { effects } = told.watcher.step(
+    { type: "tick" },
+    watch.SILENCE_TIMEOUT_MS,
+  );
   t.deepEqual(effects.find(({ type }) => type === "redial"), {
     type: "redial",
     from: first,
@@ -291,7 +297,7 @@
   const publishers = Array.from({ length: 15 }, (_, pos) => `control-${pos}`);
   const counts = new Map<string, number>();
   for (let pos = 0; pos < 390; pos++) {
-    const [first] = watch.rank(`host-${pos}`, publishers);
+    const [first] = watch.rankPublishers(`host-${pos}`, publishers);
     counts.set(first, (counts.get(first) ?? 0) + 1);
   }
   t.is(counts.size, 15);
--- a/src/control/watch/watcher.ts
+++ b/src/control/watch/watcher.ts
@@ -4,12 +4,12 @@
 
 import type * as schema from "../../schema/watch_types.ts";
 import * as table from "../table/mod.ts";
-import * as message from "./message.ts";
+import * as message from "./snapshot.ts";
 import * as publisher from "./publisher.ts";
 
 /** Milliseconds without word from the quorum after which another publisher is
  * tried: two keepalives may be lost, and the change still arrives in 2 s. */
-export const SILENCE = 2 * publisher.KEEPALIVE + 200;
+export const SILENCE_TIMEOUT_MS = 2 * publisher.KEEPALIVE_INTERVAL_MS + 200;
 /** Milliseconds between renewals of the watch. */
 const RENEW = 2000;
 /** Milliseconds between requests for what is missing: what was asked for is
@@ -32,7 +32,7 @@
   | { type: "send"; to: string; body: schema.Message }
   | { type: "wake"; at: number }
   /** The table moved on; `written` is absent after a snapshot. */
-  | { type: "table"; table: table.Table; written?: readonly table.Written[] }
+  | { type: "table"; table: table.Table; written?: readonly table.CellWrite[] }
   /** Another publisher is tried: a connection to the former may be dead. */
   | { type: "redial"; from: string; to: string }
   | { type: "status"; current: boolean; leader?: string };
@@ -106,7 +106,10 @@
     const handler = handlers[event.type] as Handler<WatcherEvent>;
     const state = handler(this.#state, event, { now, effects });
     if (state.publishers.length > 0) {
-      const at = Math.min(state.heard + SILENCE, state.renewed + RENEW);
+      const at = Math.min(
+        state.heard + SILENCE_TIMEOUT_MS,
+        state.renewed + RENEW,
+      );
       effects.push({ type: "wake", at });
     }
     return { watcher: new Watcher(state), effects };
@@ -148,9 +151,13 @@
   },
   tick(state, _event, turn) {
     if (state.publishers.length === 0) return state;
-    const over = turn.now - (state.heard + SILENCE);
+    const over = turn.now - (state.heard + SILENCE_TIMEOUT_MS);
     if (over >= LATE && !state.excused) {
-      return { ...state, heard: turn.now - SILENCE + LATE, excused: true };
+      return {
+        ...state,
+        heard: turn.now - SILENCE_TIMEOUT_MS + LATE,
+        excused: true,
+      };
     }
     if (over >= 0) return redial(state, turn);
     if (turn.now >= state.renewed + RENEW) return subscribe(state, turn);
@@ -196,9 +203,9 @@
   // What overlaps is left out by the versions of its cells.
   if (body.revision <= own) return { ...state, heard };
   if (body.from > own) return ask({ ...state, heard }, turn);
-  const all = body.written as table.Written[];
+  const all = body.written as table.CellWrite[];
   const written = all.filter(({ version }) => version > own);
-  const moved = state.table.write(body.revision, written);
+  const moved = state.table.applyWrites(body.revision, written);
   turn.effects.push({ type: "table", table: moved, written });
   return { ...state, heard, table: moved };
 }
--- a/src/node/engine_orders.ts
+++ b/src/node/engine_orders.ts
@@ -34,9 +34,9 @@
       clock,
       logger,
       limits: {
-        loads: settings.limits?.loadRate ?? DEFAULT_LOAD_RATE,
+        loadsPerSecond: settings.limits?.loadRate ?? DEFAULT_LOAD_RATE,
         // No other host can be elected earlier, even if a clock runs slow.
-        lease: control.log.DEFAULT_TIMING.minElectionTimeout,
+        leaseMs: control.log.DEFAULT_TIMING.minElectionTimeout,
       },
       lease: () => source.lease(),
     });
--- a/src/node/limit_shares.ts
+++ b/src/node/limit_shares.ts
@@ -26,7 +26,7 @@
 /** The shares of one host. */
 export class LimitShares {
   /** Measures the demand of callers for each limit. */
-  readonly meter = shares.meter.Meter.create();
+  readonly meter = shares.meter.DemandMeter.create();
   readonly #options: Options;
   readonly #leaderTimer: runtime.Timer;
   readonly #reportTimer: runtime.Timer;
@@ -146,7 +146,7 @@
     const now = this.#options.clock.now();
     const demands = this.meter.read(this.#limits, now);
     this.#stepHolder({ type: "demand", demands });
-    this.#reportTimer.set(now + shares.holder.REPORT_INTERVAL);
+    this.#reportTimer.set(now + shares.holder.REPORT_INTERVAL_MS);
   }
 
   #stepHolder(event: shares.holder.Event): void {
--- a/src/node/table_source.ts
+++ b/src/node/table_source.ts
@@ -105,7 +105,7 @@
     voters,
     observers: observers.map(({ id }) => id),
     storage: files,
-    first: settings.initialEdits(table),
+    initialEdits: settings.initialEdits(table),
   });
   const isEmpty = table === undefined || table.length === 0;
   return {
@@ -121,9 +121,9 @@
       return access.status.leader;
     },
     lease: () => access.lease(),
-    drain: () => access.drain(),
+    drain: () => access.transferLeadership(),
     async stop() {
-      await access.finish();
+      await access.flushClaims();
       access.stop();
       await files?.close?.();
     },
--- a/src/operators/access.ts
+++ b/src/operators/access.ts
@@ -8,14 +8,14 @@
 import type * as settings from "../schema/settings_types.ts";
 import type * as schema from "../schema/table_types.ts";
 
-export type { EditResult, TableEvent, Watcher } from "../control/mod.ts";
+export type { EditResult, TableEvent, TableListener } from "../control/mod.ts";
 
 /** The table as one host sees and edits it. */
 export interface TableAccess {
   /** The table in force on this host; its revision never decreases. */
   view(): table.Table;
   /** Calls `watcher` on each change after this call. */
-  watch(watcher: control.Watcher): runtime.Cancel;
+  watch(watcher: control.TableListener): runtime.Cancel;
   /** Applies a validated edit; idempotent by the edit's operation id. */
   edit(edit: schema.Edit): Promise<control.EditResult>;
 }
--- a/src/operators/cli/cells.ts
+++ b/src/operators/cli/cells.ts
@@ -24,10 +24,10 @@
   const candidates = [Number(text), text];
   const accepted = candidates.find((value) =>
     !Number.isNaN(value) &&
-    columns.reject({ row, column: name, value }) === undefined
+    columns.rejectionReason({ row, column: name, value }) === undefined
   );
   if (accepted !== undefined) return accepted;
-  const reason = columns.reject({ row, column: name, value: text });
+  const reason = columns.rejectionReason({ row, column: name, value: text });
   throw new client.ClientError("usage", `${place}: ${reason}, found ${text}`);
 }
 
--- a/src/operators/client/watch.ts
+++ b/src/operators/client/watch.ts
@@ -18,7 +18,7 @@
     revision: number;
     actor: string;
     at: number;
-    changes: readonly table.Written[];
+    changes: readonly table.CellWrite[];
   };
 
 /** Options of a watch. */
--- a/src/operators/local_table.ts
+++ b/src/operators/local_table.ts
@@ -11,9 +11,9 @@
 /** A table that exists only in this process. */
 export class LocalTable implements access.TableAccess {
   #clock: runtime.Clock;
-  #machine = table.createMachine();
+  #machine = table.createStateMachine();
   #state: table.State;
-  #watchers = new Set<access.Watcher>();
+  #watchers = new Set<access.TableListener>();
 
   private constructor(clock: runtime.Clock) {
     this.#clock = clock;
@@ -34,7 +34,7 @@
     return this.#state.table;
   }
 
-  watch(watcher: access.Watcher): runtime.Cancel {
+  watch(watcher: access.TableListener): runtime.Cancel {
     this.#watchers.add(watcher);
     return () => this.#watchers.delete(watcher);
   }
--- a/src/operators/mod.ts
+++ b/src/operators/mod.ts
@@ -10,7 +10,7 @@
   Status,
   TableAccess,
   TableEvent,
-  Watcher,
+  TableListener,
 } from "./access.ts";
 export { type Credential, Operators, type Role } from "./authentication.ts";
 export { LocalTable, toResult } from "./local_table.ts";
--- a/src/settings/cross_checks.ts
+++ b/src/settings/cross_checks.ts
@@ -201,8 +201,8 @@
     for (const [column, value] of Object.entries(cells)) {
       const path: Path = ["table", pos, "cells", column];
       const cell = { row, column: column as table.Column, value };
-      if (columns.reject(cell) === undefined) continue;
-      const expected = columns.expectation(cell);
+      if (columns.rejectionReason(cell) === undefined) continue;
+      const expected = columns.expectedValue(cell);
       yield expected === undefined
         ? { path, found: "a cell", expected: `none of this column on ${row}` }
         : { path, found: show(value), expected };
--- a/src/shares/allocator.ts
+++ b/src/shares/allocator.ts
@@ -8,15 +8,15 @@
 import * as limits from "./limit.ts";
 
 /** Between two rounds of grants. */
-export const ROUND = 1000;
+export const ROUND_INTERVAL_MS = 1000;
 /** Length of a lease, from when the host sent its report. */
-export const LEASE = 4000;
+export const LEASE_MS = 4000;
 /** Most that clocks may differ in speed. */
-export const DRIFT = 0.02;
+export const MAX_CLOCK_DRIFT_RATIO = 0.02;
 /** Answered reports of a host that it may build upon. */
 const BASES_KEPT = 8;
 /** Added to a lease before its share is granted again. */
-export const MARGIN = 100;
+export const LEASE_MARGIN_MS = 100;
 
 /** What happens to an allocator. */
 export type Event =
@@ -119,7 +119,7 @@
       return;
     }
     const waitUntil = step.now + longest();
-    const nextRound = step.now + ROUND;
+    const nextRound = step.now + ROUND_INTERVAL_MS;
     step.state = { ...IDLE, limits, hosts, term, until, waitUntil, nextRound };
   },
   yield: (step) => {
@@ -138,13 +138,13 @@
   wake: (step) => {
     if (step.now < step.state.nextRound) return;
     if (step.now < step.state.until) round(step);
-    step.state = { ...step.state, nextRound: step.now + ROUND };
+    step.state = { ...step.state, nextRound: step.now + ROUND_INTERVAL_MS };
   },
 };
 
 /** Longest time after which a lease granted now is over everywhere. */
 function longest(): number {
-  return LEASE * (1 + DRIFT) + MARGIN;
+  return LEASE_MS * (1 + MAX_CLOCK_DRIFT_RATIO) + LEASE_MARGIN_MS;
 }
 
 function receive(step: Step, from: string, report: schema.Report): void {
@@ -162,7 +162,7 @@
   const client: divisions.Client = {
     report: report.number,
     applied: report.applied,
-    claims: claims.apply(base, report.rows),
+    claims: claims.applyRows(base, report.rows),
     bases: new Map([...bases].filter(([number]) => number >= like)),
     reportedAt: now,
     answered: false,
@@ -185,7 +185,7 @@
   const clients = new Map<string, divisions.Client>();
   for (const [host, client] of state.clients) {
     const outstanding = client.outstanding.filter(({ until }) => until > now);
-    const gone = outstanding.length === 0 && now - client.reportedAt > LEASE;
+    const gone = outstanding.length === 0 && now - client.reportedAt > LEASE_MS;
     if (!gone) clients.set(host, { ...client, outstanding });
   }
   const granted = new Map<string, Map<string, number>>();
@@ -216,7 +216,7 @@
   const { report, applied } = client;
   const term = state.term!;
   const type = "grant";
-  const head = { type, number, term, report, lease: LEASE } as const;
+  const head = { type, number, term, report, lease: LEASE_MS } as const;
   const last = client.outstanding.find((grant) => grant.number === applied);
   const rows = sharesOf(state, extras, last?.extras ?? new Map());
   const body: schema.Grant = last === undefined
--- a/src/shares/claim.ts
+++ b/src/shares/claim.ts
@@ -20,7 +20,7 @@
   hosts: number;
   demands: readonly holders.Demand[];
   /** Claims that the allocator has. */
-  said: Claims;
+  reported: Claims;
   /** What the host holds of a limit over its base. */
   held(key: string): number;
 }
@@ -28,7 +28,7 @@
 /** Claims on limits of which the base may not be enough. */
 export function create(
   all: readonly limits.Limit[],
-  { hosts, demands, said, held: heldOf }: Basis,
+  { hosts, demands, reported: said, held: heldOf }: Basis,
 ): Claims {
   const byKey = new Map(demands.map((item) => [limits.keyOf(item), item]));
   const claims = new Map<string, schema.Claim>();
@@ -65,7 +65,7 @@
 }
 
 /** Claims after the rows of a report. */
-export function apply(base: Claims, rows: readonly schema.Claim[]): Claims {
+export function applyRows(base: Claims, rows: readonly schema.Claim[]): Claims {
   const claims = new Map(base);
   for (const row of rows) {
     const key = limits.keyOf(row);
--- a/src/shares/division.ts
+++ b/src/shares/division.ts
@@ -4,7 +4,7 @@
 
 import type * as schema from "../schema/shares_types.ts";
 import type * as claims from "./claim.ts";
-import * as fills from "./fill.ts";
+import * as fills from "./max_min_fairness.ts";
 import * as limits from "./limit.ts";
 
 /** Shares over the base by key of the limit. */
@@ -67,7 +67,7 @@
   for (const [pos, party] of parties.entries()) {
     if (party.answered) continue;
     const most = waiting ? party.held : party.committed + free;
-    const extra = limits.round(limit.column, Math.min(targets[pos], most));
+    const extra = limits.roundShare(limit.column, Math.min(targets[pos], most));
     free -= Math.max(0, extra - party.committed);
     const extras = granted.get(party.host) ?? new Map<string, number>();
     granted.set(party.host, extras.set(key, extra));
@@ -113,7 +113,7 @@
   column: schema.LimitColumn,
 ): number[] {
   const claims = parties.map(({ want }) => ({ want, weight: 1 }));
-  const shares = fills.fill(pool, claims);
+  const shares = fills.divideMaxMin(pool, claims);
   const used = shares.reduce((sum, share) => sum + share, 0);
   const wanting = parties.filter(({ want }) => want > 0).length;
   const spare = Math.max(0, pool - used) / Math.max(1, wanting);
--- a/src/shares/fake_host.ts
+++ b/src/shares/fake_host.ts
@@ -31,7 +31,7 @@
     this.hold({ type: "limits", limits }, 0);
     this.allocate({ type: "limits", limits }, 0);
     this.allocate({ type: "hosts", count: hosts }, 0);
-    this.#demandAt = random.below(holders.REPORT_INTERVAL);
+    this.#demandAt = random.below(holders.REPORT_INTERVAL_MS);
   }
 
   get wakeAt(): number {
@@ -51,7 +51,7 @@
       outgoing.push(...this.allocate({ type: "wake" }, now));
     }
     if (now >= this.#demandAt) {
-      this.#demandAt = now + holders.REPORT_INTERVAL;
+      this.#demandAt = now + holders.REPORT_INTERVAL_MS;
       const { demands } = this;
       outgoing.push(...this.hold({ type: "demand", demands }, now));
     }
--- a/src/shares/holder.ts
+++ b/src/shares/holder.ts
@@ -8,7 +8,7 @@
 import * as limits from "./limit.ts";
 
 /** Least time between two reports. */
-export const REPORT_INTERVAL = 1000;
+export const REPORT_INTERVAL_MS = 1000;
 /** A report answered longer ago is not built upon: the allocator may have
  * forgotten it. */
 const ANSWER_KEPT = 2500;
@@ -174,7 +174,7 @@
   },
   demand: (step, { demands }) => {
     step.state = { ...step.state, demands };
-    if (step.now - step.state.reportedAt >= REPORT_INTERVAL) report(step);
+    if (step.now - step.state.reportedAt >= REPORT_INTERVAL_MS) report(step);
   },
   message: (step, { from, body }) => {
     if (body.type === "grant") apply(step, body);
@@ -227,7 +227,7 @@
   return claims.create(limits, {
     hosts,
     demands,
-    said: answered?.claims ?? new Map(),
+    reported: answered?.claims ?? new Map(),
     held: (key) => extraOf(state, { key, now }),
   });
 }
--- a/src/shares/limit.ts
+++ b/src/shares/limit.ts
@@ -27,7 +27,7 @@
 
 /** What each host may use at any time, also when it is cut off. */
 export function base({ limit, column }: Limit, hosts: number): number {
-  return round(column, limit * BASE_FRACTION / divisor(hosts));
+  return roundShare(column, limit * BASE_FRACTION / divisor(hosts));
 }
 
 /** What the allocator leases out. */
@@ -39,7 +39,7 @@
 const RATE_PARTS = 1000;
 
 /** A share in the unit of its column, never more than before. */
-export function round(column: schema.LimitColumn, share: number): number {
+export function roundShare(column: schema.LimitColumn, share: number): number {
   if (column === "concurrency") return Math.floor(share);
   // A share that is rounded again must not lose another part.
   return Math.floor(share * RATE_PARTS + 1e-6) / RATE_PARTS;
--- a/src/shares/fill.ts
+++ b/src/shares/max_min_fairness.ts
@@ -2,7 +2,7 @@
  * @module */
 
 /** One party to a division. */
-export interface Claim {
+export interface WeightedDemand {
   /** The most it can use. */
   want: number;
   /** Above 0. */
@@ -11,7 +11,10 @@
 
 /** Divides `amount`: nobody gets more than it wants, and nobody who gets less
  * can get more without somebody with less per weight losing some. */
-export function fill(amount: number, claims: readonly Claim[]): number[] {
+export function divideMaxMin(
+  amount: number,
+  claims: readonly WeightedDemand[],
+): number[] {
   const shares = new Array<number>(claims.length).fill(0);
   let active = claims.map((_, pos) => pos);
   let rest = Math.max(0, amount);
--- a/src/shares/fill_test.ts
+++ b/src/shares/max_min_fairness_test.ts
@@ -12,7 +12,10 @@
 const amounts = fastCheck.integer({ min: 0, max: 5000 });
 
 /** The same division by sorting: the least want per weight is met first. */
-function fillBySorting(amount: number, claims: readonly shares.Claim[]) {
+function fillBySorting(
+  amount: number,
+  claims: readonly shares.WeightedDemand[],
+) {
   const filled = new Array<number>(claims.length).fill(0);
   const order = claims.map((_, pos) => pos).sort((left, right) =>
     claims[left].want / claims[left].weight -
@@ -32,7 +35,7 @@
 test("division equals water-filling by sorting", (t) => {
   fastCheck.assert(
     fastCheck.property(amounts, claims, (amount, claims) => {
-      const fast = shares.fill(amount, claims);
+      const fast = shares.divideMaxMin(amount, claims);
       const naive = fillBySorting(amount, claims);
       fast.forEach((share, pos) => {
         if (Math.abs(share - naive[pos]) > 1e-6) throw new Error(`${pos}`);
@@ -46,7 +49,10 @@
 test("division uses all that is wanted, and never more than there is", (t) => {
   fastCheck.assert(
     fastCheck.property(amounts, claims, (amount, claims) => {
-      const used = shares.fill(amount, claims).reduce((a, b) => a + b, 0);
+      const used = shares.divideMaxMin(amount, claims).reduce(
+        (a, b) => a + b,
+        0,
+      );
       const wanted = claims.reduce((sum, { want }) => sum + want, 0);
       return Math.abs(used - Math.min(amount, wanted)) < 1e-6;
     }),
--- a/src/shares/meter.ts
+++ b/src/shares/meter.ts
@@ -23,7 +23,7 @@
 }
 
 /** Counts requests; changed in place. */
-export class Meter implements request.Observer {
+export class DemandMeter implements request.Observer {
   #rows: ReadonlyMap<string, Row> = new Map();
   /** Requests in this host by row, also rows without a limit. */
   readonly #inFlight = new Map<string, number>();
@@ -32,8 +32,8 @@
   private constructor() {}
 
   /** A meter that follows no row yet. */
-  static create(): Meter {
-    return new Meter();
+  static create(): DemandMeter {
+    return new DemandMeter();
   }
 
   /** Follows the rows that have limits. */
