--- a/src/control/host/claim_client.ts
+++ b/src/control/host/claim_client.ts
@@ -1,4 +1,5 @@
-/** Claims of idempotency keys for the request path of this host.
+/** Claims idempotency keys in the replicated log on behalf of the requests of
+ * this host, and settles the claims when the requests end.
  * @module */
 
 import * as crypto from "node:crypto";
@@ -8,42 +9,43 @@
 import type * as table from "../table/mod.ts";
 import * as errors from "./errors.ts";
 
-/** Most milliseconds that a claim may take of a request's deadline. */
-const CLAIM_TIMEOUT = 2_000;
+/** Upper bound on the part of a request's deadline that a claim may use. */
+const CLAIM_TIMEOUT_MS = 2_000;
 
-/** Milliseconds over which a settlement is sent again and again. */
-const SETTLE_TIMEOUT = 30_000;
+/** How long a settlement is retried. */
+const SETTLE_TIMEOUT_MS = 30_000;
 
-/** Milliseconds that a claim outlives the deadline of its request. */
-const LEASE_MARGIN = 2_000;
+/** Time by which the lease of a claim outlives the deadline of its request. */
+const LEASE_MARGIN_MS = 2_000;
 
-/** Longest lease; see schema/command.yaml. */
-const MOST_LEASE = 600_000;
+/** Maximum lease that schema/command.yaml allows. */
+const MAX_LEASE_MS = 600_000;
 
-/** Proposes a command within milliseconds, or rejects with `ControlError`. */
+/** Commits a command within `timeout` milliseconds, or rejects with
+ * `ControlError`. */
 export type Propose = (
   command: command.Command,
   timeout: number,
 ) => Promise<table.Reply>;
 
-/** What a keeper needs of its host. */
+/** Options of a `ClaimClient`. */
 export interface ClaimClientOptions {
   self: string;
-  /** Tells the runs of this host apart. */
+  /** Distinguishes the runs of this host. */
   incarnation: number;
   /** Announces this run within `timeout` milliseconds, or rejects with
-   * `ControlError`; gives the incarnation that counts for its claims. */
+   * `ControlError`; returns the incarnation to use in its claims. */
   announce(timeout: number): Promise<number>;
   propose: Propose;
 }
 
-/** Makes and settles claims. */
+/** Makes and settles claims on idempotency keys. */
 export class ClaimClient implements request.Claims {
   readonly #options: ClaimClientOptions;
-  /** Tokens of the claims granted here, by id of their request. */
+  /** Tokens of the claims granted to this host, by request id. */
   readonly #tokens = new Map<string, string>();
-  readonly #settling = new Set<Promise<void>>();
-  /** Known once this run was announced. */
+  readonly #pendingSettlements = new Set<Promise<void>>();
+  /** Set once this run has been announced. */
   #incarnation: number | undefined;
   #count = 0;
 
@@ -51,77 +53,88 @@
     this.#options = options;
   }
 
-  /** A keeper without claims. */
+  /** Creates a client without claims. */
   static create(options: ClaimClientOptions): ClaimClient {
     return new ClaimClient(options);
   }
 
-  /** Number of claims granted here that are not settled yet. */
+  /** Number of claims granted to this host that are not settled yet. */
   get size(): number {
     return this.#tokens.size;
   }
 
-  /** Asks a quorum for the right to run a request. */
+  /** Claims the key of a request, which needs a quorum. */
   async claim(claim: request.Claim): Promise<request.ClaimResult> {
     const { self: host, announce, propose } = this.#options;
-    const whole = Math.min(CLAIM_TIMEOUT, claim.remaining);
-    const timeout = this.#incarnation === undefined ? whole / 2 : whole;
+    const total = Math.min(CLAIM_TIMEOUT_MS, claim.remaining);
+    const timeout = this.#incarnation === undefined ? total / 2 : total;
     const id = this.#nextId();
-    const lease = Math.ceil(claim.remaining) + LEASE_MARGIN;
+    const lease = Math.ceil(claim.remaining) + LEASE_MARGIN_MS;
     try {
-      const entry: command.ClaimCommand = {
+      const claimCommand: command.ClaimCommand = {
         type: "claim",
         id,
         key: keyOf(claim),
         fingerprint: claim.fingerprint,
         host,
         incarnation: this.#incarnation ??= await announce(timeout),
-        lease: Math.min(lease, MOST_LEASE),
+        lease: Math.min(lease, MAX_LEASE_MS),
       };
-      const reply = await propose(entry, timeout) as claims.ClaimReply;
+      const reply = await propose(claimCommand, timeout) as claims.ClaimReply;
       if (reply.type === "granted") this.#tokens.set(claim.request, id);
-      return results[reply.type](reply as never);
+      return resultFor[reply.type](reply as never);
     } catch (error) {
       if (!(error instanceof errors.ControlError)) throw error;
-      // This try is not dispatched, even if the claim is granted in the end.
-      this.#settle(claim, { token: id, outcome: "not-run" });
+      // The request is not dispatched even if the claim is granted later, so
+      // the key is released.
+      this.#startSettlement(claim, { token: id, outcome: "not-run" });
       const detail = `The key cannot be claimed: ${error.message}`;
-      // An earlier try under this key may have run through another host.
+      // An earlier request with this key may have run through another host.
       return { type: "refused", detail, outcome: "unknown" };
     }
   }
 
-  /** Keeps the final answer; undefined gives the claim back as not run. */
+  /** Stores the final answer under the key; an undefined answer releases the
+   * claim as not run. */
   settle(claim: request.Claim, answer: request.StoredAnswer | undefined): void {
     const token = this.#tokens.get(claim.request);
     if (token === undefined) return;
     this.#tokens.delete(claim.request);
     const outcome = answer === undefined ? "not-run" : "ran";
-    this.#settle(claim, { token, outcome, answer: toKeep(answer) });
+    this.#startSettlement(claim, {
+      token,
+      outcome,
+      answer: toStoredAnswer(answer),
+    });
   }
 
-  /** Resolves once no settlement is under way. */
+  /** Resolves once no settlement is pending. */
   async flush(): Promise<void> {
-    while (this.#settling.size > 0) await Promise.allSettled(this.#settling);
+    while (this.#pendingSettlements.size > 0) {
+      await Promise.allSettled(this.#pendingSettlements);
+    }
   }
 
-  #settle(claim: request.Claim, ending: Ending): void {
-    const settling = this.#proposeEnding(claim, ending);
-    this.#settling.add(settling);
-    void settling.finally(() => this.#settling.delete(settling));
+  #startSettlement(claim: request.Claim, settlement: Settlement): void {
+    const pending = this.#proposeSettlement(claim, settlement);
+    this.#pendingSettlements.add(pending);
+    void pending.finally(() => this.#pendingSettlements.delete(pending));
   }
 
-  async #proposeEnding(claim: request.Claim, ending: Ending): Promise<void> {
-    const entry: command.SettleCommand = {
+  async #proposeSettlement(
+    claim: request.Claim,
+    settlement: Settlement,
+  ): Promise<void> {
+    const settleCommand: command.SettleCommand = {
       type: "settle",
       id: this.#nextId(),
       key: keyOf(claim),
-      ...ending,
+      ...settlement,
     };
     try {
-      await this.#options.propose(entry, SETTLE_TIMEOUT);
+      await this.#options.propose(settleCommand, SETTLE_TIMEOUT_MS);
     } catch (error) {
-      // The lease of the claim runs out; its outcome is then unknown.
+      // The lease of the claim expires, and its outcome becomes unknown.
       if (!(error instanceof errors.ControlError)) throw error;
     }
   }
@@ -132,9 +145,9 @@
   }
 }
 
-type Ending = Pick<command.SettleCommand, "token" | "outcome" | "answer">;
+type Settlement = Pick<command.SettleCommand, "token" | "outcome" | "answer">;
 
-const results: {
+const resultFor: {
   [T in claims.ClaimReply["type"]]: (
     reply: Extract<claims.ClaimReply, { type: T }>,
   ) => request.ClaimResult;
@@ -169,7 +182,7 @@
   return `${account}/${hash}`;
 }
 
-function toKeep(
+function toStoredAnswer(
   answer: request.StoredAnswer | undefined,
 ): command.StoredAnswer | undefined {
   if (answer === undefined) return undefined;
--- a/src/control/host/claim_client_test.ts
+++ b/src/control/host/claim_client_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import type * as command from "../../schema/command_types.ts";
 import type * as table from "../table/mod.ts";
-import * as claimKeeper from "./claim_client.ts";
+import * as claimClient from "./claim_client.ts";
 import * as errors from "./errors.ts";
 
 const CLAIM = {
@@ -12,34 +12,36 @@
   remaining: 5_000,
 };
 
-/** A keeper whose proposals meet with `answers`, then with no quorum. */
-function keeperOf(answers: unknown[]) {
+/** Creates a client whose proposals get `answers` in turn, and fail for want
+ * of a quorum once these are used up. */
+function createClient(answers: unknown[]) {
   const proposed: command.Command[] = [];
-  const keeper = claimKeeper.ClaimClient.create({
+  const client = claimClient.ClaimClient.create({
     self: "h1",
     incarnation: 1,
     announce: () => Promise.resolve(1),
-    propose(made) {
-      proposed.push(made);
+    propose(command) {
+      proposed.push(command);
       const answer = answers.shift();
       return answer === undefined
         ? Promise.reject(new errors.ControlError("no-quorum", "No leader"))
         : Promise.resolve(answer as table.Reply);
     },
   });
-  return { keeper, proposed };
+  return { client, proposed };
 }
 
-test("a key that no quorum knows of is not said to be unused", async (t) => {
-  const { keeper, proposed } = keeperOf([]);
-  const result = await keeper.claim(CLAIM);
+// An earlier request with the key may have run, so the outcome is unknown.
+test("a claim without a quorum is refused with an unknown outcome", async (t) => {
+  const { client, proposed } = createClient([]);
+  const result = await client.claim(CLAIM);
   t.like(result, { type: "refused", outcome: "unknown" });
   t.like(proposed, [{ type: "claim" }, { type: "settle", outcome: "not-run" }]);
-  t.is(keeper.size, 0);
+  t.is(client.size, 0);
 });
 
-test("too many claims are said to be a refusal as not run", async (t) => {
-  const { keeper } = keeperOf([{ type: "full" }]);
-  const result = await keeper.claim(CLAIM);
+test("a claim past the maximum count is refused as not run", async (t) => {
+  const { client } = createClient([{ type: "full" }]);
+  const result = await client.claim(CLAIM);
   t.like(result, { type: "refused", outcome: "not-run" });
 });
--- a/src/control/host/command_client.ts
+++ b/src/control/host/command_client.ts
@@ -1,5 +1,6 @@
-/** Sends this host's commands to the leader and waits for the answers: the
- * shell of the forwarder.
+/** Sends the commands of this host to the leader of the log and waits for the
+ * replies: runs the state machine `watch.Forwarder` with a clock and a
+ * transport.
  * @module */
 
 import * as runtime from "../../runtime/mod.ts";
@@ -9,39 +10,39 @@
 import * as watch from "../watch/mod.ts";
 import * as errors from "./errors.ts";
 
-/** What a client needs of its host. */
+/** Options of a `CommandClient`. */
 export interface CommandClientOptions {
   self: string;
-  /** Hosts that may lead. */
+  /** Hosts that may be the leader. */
   voters: readonly string[];
   clock: runtime.Clock;
   transport: runtime.Transport;
 }
 
-interface Waiter {
+interface PendingProposal {
   resolve(reply: table.Reply): void;
   reject(error: errors.ControlError): void;
 }
 
 type Handler<T> = (effect: Extract<watch.ForwarderEffect, { type: T }>) => void;
 
-/** Proposes commands from any host. */
+/** Proposes commands to the log from any host. */
 export class CommandClient {
   readonly #options: CommandClientOptions;
-  readonly #alarm: runtime.Timer;
-  readonly #waiters = new Map<string, Waiter>();
+  readonly #timer: runtime.Timer;
+  readonly #pending = new Map<string, PendingProposal>();
   #forwarder: watch.Forwarder;
 
   private constructor(options: CommandClientOptions) {
     this.#options = options;
     this.#forwarder = watch.Forwarder.create(options.voters);
-    this.#alarm = runtime.Timer.create(
+    this.#timer = runtime.Timer.create(
       options.clock,
       () => this.#step({ type: "tick" }),
     );
   }
 
-  /** A client that knows no leader yet. */
+  /** Creates a client that does not know the leader yet. */
   static create(options: CommandClientOptions): CommandClient {
     return new CommandClient(options);
   }
@@ -50,31 +51,31 @@
    * `ControlError`. */
   propose(command: command.Command, timeout: number): Promise<table.Reply> {
     return new Promise((resolve, reject) => {
-      this.#waiters.set(command.id, { resolve, reject });
+      this.#pending.set(command.id, { resolve, reject });
       this.#step({ type: "propose", command, timeout });
     });
   }
 
-  /** Takes an answer of the leader. */
+  /** Handles a reply to a forwarded command. */
   receive(from: string, body: schema.Result): void {
     this.#step({ type: "message", from, body });
   }
 
-  /** Learns which host leads. */
+  /** Sets the host that is known to be the leader. */
   setLeader(leader: string | undefined): void {
     this.#step({ type: "leader", leader });
   }
 
-  /** Gives up all that waits. */
+  /** Rejects all pending proposals. */
   stop(): void {
-    this.#alarm.cancel();
-    for (const { reject } of this.#waiters.values()) {
+    this.#timer.cancel();
+    for (const { reject } of this.#pending.values()) {
       reject(new errors.ControlError("unknown", "this host is stopping"));
     }
-    this.#waiters.clear();
+    this.#pending.clear();
   }
 
-  /** State for people. */
+  /** Returns the state for a dump. */
   dump(): unknown {
     return this.#forwarder.dump();
   }
@@ -93,15 +94,15 @@
       const { self, transport } = this.#options;
       transport.send({ from: self, to, channel: "control", body });
     },
-    wake: ({ at }) => this.#alarm.set(at),
+    wake: ({ at }) => this.#timer.set(at),
     reply: ({ id, reply }) => {
-      this.#waiters.get(id)?.resolve(reply);
-      this.#waiters.delete(id);
+      this.#pending.get(id)?.resolve(reply);
+      this.#pending.delete(id);
     },
     fail: ({ id, failure, detail }) => {
       const error = new errors.ControlError(failure, detail);
-      this.#waiters.get(id)?.reject(error);
-      this.#waiters.delete(id);
+      this.#pending.get(id)?.reject(error);
+      this.#pending.delete(id);
     },
   };
 }
--- a/src/control/host/control.ts
+++ b/src/control/host/control.ts
@@ -1,5 +1,5 @@
-/** Control as one host has it: the table in force, edits, claims and, on a
- * host with a disk, a replica of the log.
+/** The control plane of one host: its copy of the table, edits, claims on
+ * idempotency keys and, on a voter, a replica of the log.
  * @module */
 
 import * as crypto from "node:crypto";
@@ -11,142 +11,150 @@
 import type * as orders from "../orders/mod.ts";
 import type * as table from "../table/mod.ts";
 import * as watch from "../watch/mod.ts";
-import * as claimKeepers from "./claim_client.ts";
+import * as claimClients from "./claim_client.ts";
 import * as commandClients from "./command_client.ts";
 import * as errors from "./errors.ts";
-import * as followers from "./table_watcher.ts";
+import * as tableWatchers from "./table_watcher.ts";
 import * as events from "./table_event.ts";
 import * as voters from "./voter.ts";
 
-/** Milliseconds that an edit may take before its outcome is unknown. */
-const EDIT_TIMEOUT = 4_000;
+/** Time after which an edit without a reply fails. */
+const EDIT_TIMEOUT_MS = 4_000;
 
-/** Milliseconds over which a start is announced to the log. */
-const RETIRE_TIMEOUT = 5_000;
+/** How long the start of this host waits for the log to commit its
+ * announcement. */
+const RETIRE_TIMEOUT_MS = 5_000;
 
-/** What hosts that watch say to a publisher. */
-const REQUESTS: ReadonlySet<string> = new Set(["subscribe", "leave"]);
+/** Types of messages that subscribers send to a publisher. */
+const SUBSCRIBER_MESSAGES: ReadonlySet<string> = new Set([
+  "subscribe",
+  "leave",
+]);
 
-/** Milliseconds that a stop waits for settlements: longer than a change of
- * leader. */
-const FINISH_TIMEOUT = 3_000;
+/** How long a stop waits for settlements: longer than a change of leader. */
+const FLUSH_TIMEOUT_MS = 3_000;
 
-/** What control needs of its host. */
+/** Options of `Control`. */
 export interface ControlOptions {
   self: string;
-  /** Wall clock of the start: grows with each, unless it was set back. */
+  /** Wall clock at the start of the process: increases with each start unless
+   * the clock was set back. */
   incarnation: number;
-  /** Hosts that the settings name as voters. */
+  /** Hosts that are voters according to the settings. */
   voters: readonly string[];
-  /** Hosts that watch voters and serve the table to others. */
+  /** Hosts that watch voters and publish the table to other hosts. */
   observers?: readonly string[];
   clock: runtime.Clock;
   random: runtime.Random;
-  transport: followers.Transport;
-  /** The data folder; present on a voter. */
+  transport: tableWatchers.Transport;
+  /** The data directory; present on a voter only. */
   storage?: runtime.Storage;
   metrics: telemetry.Metrics;
   logger: telemetry.Logger;
-  /** Edits that fill an empty table. */
+  /** Edits that are applied to an empty table. */
   initialEdits: readonly schema.Edit[];
-  /** The journal of this voter failed. */
+  /** Called when the journal of this voter has failed. */
   onFailure(failure: Error): void;
 }
 
-/** Answer to an edit, or why there is none. */
+/** Answer to an edit, or the reason why there is none. */
 export type EditResult =
   | table.Answer
   | { type: "unavailable"; outcome: "not-run" | "unknown"; detail: string };
 
-/** Control at one host. */
+/** The control plane of one host. */
 export class Control {
-  /** Claims for the request path. */
-  readonly claims: claimKeepers.ClaimClient;
+  /** Claims on idempotency keys, for the request path. */
+  readonly claims: claimClients.ClaimClient;
   readonly #options: ControlOptions;
   readonly #commands: commandClients.CommandClient;
-  readonly #follower: followers.TableWatcher;
-  readonly #watchers = new Set<events.TableListener>();
+  readonly #tableWatcher: tableWatchers.TableWatcher;
+  readonly #listeners = new Set<events.TableListener>();
   #voter: voters.Voter | undefined;
-  /** Revision that this host had to reach when it started; unknown at first. */
-  #barrier = Infinity;
-  #passBarrier = () => {};
-  /** Incarnation for the claims of this run, once the log has said it. */
-  #counting: number | undefined;
+  /** Revision that the table of this host must reach after its start; infinite
+   * while it is unknown. */
+  #catchUpRevision = Infinity;
+  #resolveCatchUp = () => {};
+  /** Incarnation used in the claims of this run; set by the first reply to
+   * `retire`. */
+  #claimIncarnation: number | undefined;
 
   private constructor(options: ControlOptions) {
     this.#options = options;
     const { self, voters, observers = [] } = options;
     this.#commands = commandClients.CommandClient.create(options);
-    this.#follower = followers.TableWatcher.create({
+    this.#tableWatcher = tableWatchers.TableWatcher.create({
       ...options,
       publishers: watch.publisherOrder(self, { voters, observers }),
       observer: observers.includes(self),
-      onTable: (_, written) => this.#takeTable(written),
-      onStatus: (status) => this.#takeStatus(status),
+      onTable: (_, written) => this.#handleTable(written),
+      onStatus: (status) => this.#handleStatus(status),
     });
-    this.claims = claimKeepers.ClaimClient.create({
+    this.claims = claimClients.ClaimClient.create({
       ...options,
-      announce: (timeout) => this.#announce(timeout),
+      announce: (timeout) => this.#resolveIncarnation(timeout),
       propose: (command, timeout) => this.#commands.propose(command, timeout),
     });
   }
 
-  /** Control that does nothing before `start`. */
+  /** Creates a control plane that is idle until `start`. */
   static create(options: ControlOptions): Control {
     return new Control(options);
   }
 
-  /** Reads the disk, if there is one, and begins to follow the table. */
+  /** Starts the voter from its disk, if there is one, and begins to watch the
+   * table. */
   async start(): Promise<void> {
     const { storage } = this.#options;
     if (storage !== undefined) {
       this.#voter = await voters.Voter.start({ ...this.#options, storage });
     }
-    this.#follower.start();
+    this.#tableWatcher.start();
   }
 
-  /** Resolves to true once the table here is no older than any that was in
-   * force when this host started, so that a restart takes nothing back. Without
-   * a quorum it resolves to false: the host serves with what it has. */
+  /** Resolves to true once the table of this host is at least as new as the
+   * committed one at its start, so that a restart reverts no edit. Resolves to
+   * false without a quorum: the host then serves with the table it has. */
   async catchUp(): Promise<boolean> {
-    const revision = await this.#announceStart();
+    const revision = await this.#readStartRevision();
     if (revision === undefined) return false;
-    this.#barrier = revision;
+    this.#catchUpRevision = revision;
     if (this.view().revision >= revision) return true;
-    await new Promise<void>((resolve) => this.#passBarrier = resolve);
+    await new Promise<void>((resolve) => this.#resolveCatchUp = resolve);
     return true;
   }
 
-  /** Takes an envelope of the channels log, watch and control. */
+  /** Handles an envelope of the channels log, watch and control. */
   receive(envelope: runtime.Envelope): void {
     const { channel, from, body } = envelope;
     const type = (body as { type: string }).type;
     if (channel === "log") this.#voter?.receiveLog(envelope);
-    else if (channel === "control") this.#takeControl(from, body);
-    else if (this.#voter !== undefined && REQUESTS.has(type)) {
+    else if (channel === "control") this.#handleControl(from, body);
+    else if (this.#voter !== undefined && SUBSCRIBER_MESSAGES.has(type)) {
       this.#voter.receiveWatch(from, body as watching.Message);
-    } else this.#follower.receive(from, body as watching.Message);
+    } else this.#tableWatcher.receive(from, body as watching.Message);
   }
 
-  /** The table in force here; its revision never goes back. */
+  /** The table of this host; its revision never decreases. */
   view(): table.Table {
-    return this.#follower.table;
+    return this.#tableWatcher.table;
   }
 
-  /** Calls `watcher` on each change after this call. */
-  watch(watcher: events.TableListener): runtime.Cancel {
-    this.#watchers.add(watcher);
-    return () => this.#watchers.delete(watcher);
+  /** Calls `listener` on each later change of the table. */
+  watch(listener: events.TableListener): runtime.Cancel {
+    this.#listeners.add(listener);
+    return () => this.#listeners.delete(listener);
   }
 
-  /** Applies a checked edit once, however often it is sent. */
+  /** Applies a validated edit at most once per operation id, however often it
+   * is sent. */
   async edit(edit: schema.Edit): Promise<EditResult> {
     const id = `${this.#options.self}/${crypto.randomUUID()}`;
     const body = edit as unknown as Record<string, unknown>;
     try {
       const reply = await this.#commands.propose(
         { type: "edit", id, edit: body },
-        EDIT_TIMEOUT,
+        EDIT_TIMEOUT_MS,
       );
       return answerOf(reply);
     } catch (error) {
@@ -156,70 +164,73 @@
     }
   }
 
-  /** Whether this host leads the log at this very moment. */
+  /** Whether this host holds the leader lease of the log now. */
   leaseHeld(): boolean {
     return this.#voter?.leaseHeld() ?? false;
   }
 
-  /** Term of the log on a voter, which fences the orders of former leaders. */
+  /** Term of the log, which fences orders of former leaders; 0 on a host that
+   * is no voter. */
   get term(): number {
     return this.#voter?.term ?? 0;
   }
 
-  /** The right to order engines; undefined on a host that lacks it. */
+  /** Lease for sending orders to engines; undefined on a host without it. */
   lease(): orders.Lease | undefined {
     return this.#voter?.lease();
   }
 
-  /** What is known of the quorum. */
-  get status(): followers.QuorumStatus {
-    return this.#follower.status;
+  /** Whether the quorum is reachable, and its leader. */
+  get status(): tableWatchers.QuorumStatus {
+    return this.#tableWatcher.status;
   }
 
-  /** Hands leadership over, before a stop. */
+  /** Transfers leadership of the log to another voter, before a stop. */
   transferLeadership(): void {
     this.#voter?.transferLeadership();
   }
 
-  /** Resolves once the settlements under way are answered, or after
-   * `FINISH_TIMEOUT`: then the leases of their claims run out. Before `stop`. */
+  /** Resolves once the pending settlements have a reply, or after
+   * `FLUSH_TIMEOUT_MS`: the leases of their claims then expire. To be called
+   * before `stop`. */
   async flushClaims(): Promise<void> {
     const { clock } = this.#options;
-    let cancel = () => {};
-    const over = new Promise<void>((resolve) => {
-      cancel = clock.after(FINISH_TIMEOUT, resolve);
+    let cancelTimer = () => {};
+    const timedOut = new Promise<void>((resolve) => {
+      cancelTimer = clock.after(FLUSH_TIMEOUT_MS, resolve);
     });
-    await Promise.race([this.claims.flush(), over]);
-    cancel();
+    await Promise.race([this.claims.flush(), timedOut]);
+    cancelTimer();
   }
 
-  /** Takes no further part. */
+  /** Stops watching, proposing and voting. */
   stop(): void {
-    this.#follower.stop();
+    this.#tableWatcher.stop();
     this.#commands.stop();
     this.#voter?.stop();
   }
 
-  /** State for people. */
+  /** Returns the state for a dump. */
   dump(): unknown {
     return {
-      follower: this.#follower.dump(),
+      follower: this.#tableWatcher.dump(),
       commands: this.#commands.dump(),
       claims: this.claims.size,
       voter: this.#voter?.dump(),
     };
   }
 
-  #takeControl(from: string, body: unknown): void {
+  #handleControl(from: string, body: unknown): void {
     const message = body as control.ControlMessage;
     if (message.type === "result") this.#commands.receive(from, message);
     else if (this.#voter !== undefined) {
       this.#voter.receiveForward(from, message);
-    } else this.#decline(from, message);
+    } else this.#rejectForward(from, message);
   }
 
-  /** A host without the log takes no commands: nothing was applied. */
-  #decline(to: string, { attempt, command }: control.Forward): void {
+  /** Refuses a command that was forwarded to a host without a replica; it has
+   * not been applied. */
+  #rejectForward(to: string, { attempt, command }: control.Forward): void {
     const { self: from, transport } = this.#options;
     const body: control.Result = {
       type: "result",
@@ -231,48 +242,49 @@
     transport.send({ from, to, channel: "control", body });
   }
 
-  #takeTable(written: readonly table.CellWrite[] | undefined): void {
+  #handleTable(written: readonly table.CellWrite[] | undefined): void {
     const { metrics, clock } = this.#options;
     const { revision } = this.view();
     metrics.gauge("table.revision", revision);
-    if (revision >= this.#barrier) this.#passBarrier();
-    if (written === undefined) return this.#tell({ type: "reset", revision });
+    if (revision >= this.#catchUpRevision) this.#resolveCatchUp();
+    if (written === undefined) return this.#notify({ type: "reset", revision });
     for (const event of events.changeEvents(written, clock.wall())) {
-      this.#tell(event);
+      this.#notify(event);
     }
   }
 
-  #takeStatus(status: followers.QuorumStatus): void {
+  #handleStatus(status: tableWatchers.QuorumStatus): void {
     this.#commands.setLeader(status.leader);
     this.#options.logger.info({ ...status }, "view of the quorum changed");
   }
 
-  #tell(event: events.TableEvent): void {
-    for (const watcher of this.#watchers) watcher(event);
+  #notify(event: events.TableEvent): void {
+    for (const listener of this.#listeners) listener(event);
   }
 
-  /** Gives the revision of the table when this host started; undefined when
-   * no quorum said so in time. */
-  async #announceStart(): Promise<number | undefined> {
+  /** Returns the committed revision of the table at the start of this host;
+   * undefined when no quorum replied in time. */
+  async #readStartRevision(): Promise<number | undefined> {
     try {
-      const { revision } = await this.#retire(RETIRE_TIMEOUT);
+      const { revision } = await this.#retire(RETIRE_TIMEOUT_MS);
       return revision;
     } catch (error) {
-      // The next claim announces the start first.
+      // The next claim announces the start before it is proposed.
       if (!(error instanceof errors.ControlError)) throw error;
       return undefined;
     }
   }
 
-  /** The incarnation that counts for claims of this run. */
-  async #announce(timeout: number): Promise<number> {
-    if (this.#counting === undefined) await this.#retire(timeout);
-    return this.#counting!;
+  /** Returns the incarnation to use in the claims of this run. */
+  async #resolveIncarnation(timeout: number): Promise<number> {
+    if (this.#claimIncarnation === undefined) await this.#retire(timeout);
+    return this.#claimIncarnation!;
   }
 
-  /** Tells the log that nothing of an earlier run is here any more. After the
-   * clock was set back that run has the higher incarnation; this one then
-   * takes the next, and its first claim retires the earlier run. */
+  /** Declares in the log that the earlier runs of this host have ended. If the
+   * clock was set back, an earlier run has the higher incarnation; this run
+   * then uses the next higher one, and its first claim retires the earlier
+   * run. */
   async #retire(timeout: number): Promise<table.RetireReply> {
     const { self: host, incarnation } = this.#options;
     const id = `${host}/${incarnation}/retire`;
@@ -281,7 +293,7 @@
       timeout,
     ) as table.RetireReply;
     const { incarnation: lowest } = reply;
-    this.#counting ??= lowest > incarnation ? lowest + 1 : incarnation;
+    this.#claimIncarnation ??= lowest > incarnation ? lowest + 1 : incarnation;
     return reply;
   }
 }
--- a/src/control/host/errors.ts
+++ b/src/control/host/errors.ts
@@ -1,9 +1,10 @@
-/** Errors of control as the rest of a host sees them.
+/** Errors that the control plane reports to the rest of the host.
  * @module */
 
 import type * as watch from "../watch/mod.ts";
 
-/** A command has no answer; only `unknown` may have taken effect. */
+/** A command got no reply; it may have taken effect only if the failure is
+ * `unknown`. */
 export class ControlError extends Error {
   override readonly name = "ControlError";
   readonly failure: watch.Failure;
--- a/src/control/host/fake_fleet.ts
+++ b/src/control/host/fake_fleet.ts
@@ -1,4 +1,4 @@
-/** Hosts with control in one process, on virtual time, for tests.
+/** Hosts with control planes in one process and on a fake clock, for tests.
  * @module */
 
 import * as runtime from "../../runtime/mod.ts";
@@ -6,39 +6,39 @@
 import * as telemetry from "../../telemetry/mod.ts";
 import * as control from "./mod.ts";
 
-/** Hosts that vote. */
+/** Ids of the voters. */
 export const VOTERS: readonly string[] = ["a", "b", "c"];
-/** All hosts of the usual fleet. */
+/** Ids of all hosts of the default fleet. */
 export const HOSTS: readonly string[] = [...VOTERS, "d", "e", "f"];
 
-/** Which hosts a fleet has beside its voters. */
+/** Hosts and observers of a fleet. */
 export interface Options {
   hosts?: readonly string[];
   observers?: readonly string[];
 }
 
-const SEED = {
+const INITIAL_CELL = {
   row: "account/seed",
   column: "weight" as const,
   version: 0,
   value: 5,
 };
 
-/** Hosts whose messages take a millisecond. */
+/** Hosts on a fake network with a latency of 1 ms. */
 export class FakeFleet {
   readonly clock = new runtime.FakeClock();
   readonly hosts = new Map<string, control.Control>();
   readonly isolated = new Set<string>();
-  /** Whether each host found a quorum when it started. */
+  /** Results of `catchUp` by host. */
   readonly caughtUp = new Map<string, Promise<boolean>>();
   readonly #disks = new Map(
     VOTERS.map((id) => [id, storage.MemoryStorage.create()]),
   );
-  /** Lines of the logs of all hosts. */
+  /** Log lines of all hosts. */
   readonly lines: Record<string, unknown>[] = [];
-  /** Hosts that each host has sent watch messages to. */
+  /** Hosts to which each host has sent watch messages. */
   readonly watchTargets = new Map<string, Set<string>>();
-  readonly #links = new Set<string>();
+  readonly #cutLinks = new Set<string>();
   readonly #observers: readonly string[];
   #incarnation = 1;
 
@@ -46,7 +46,7 @@
     this.#observers = observers;
   }
 
-  /** Starts all hosts, and waits until they have the table. */
+  /** Starts all hosts and waits until they have the table. */
   static async start(
     { hosts = HOSTS, observers = [] }: Options = {},
   ): Promise<FakeFleet> {
@@ -56,7 +56,7 @@
     return fleet;
   }
 
-  /** Starts a host, on its disk if it votes. */
+  /** Starts a host; a voter starts from its disk. */
   async startHost(
     self: string,
     incarnation = this.#incarnation++,
@@ -78,7 +78,11 @@
         host: self,
         destination: { write: (line) => this.lines.push(JSON.parse(line)) },
       }),
-      initialEdits: [{ operation: "first", actor: "planner", changes: [SEED] }],
+      initialEdits: [{
+        operation: "first",
+        actor: "planner",
+        changes: [INITIAL_CELL],
+      }],
       onFailure: (failure) => {
         throw failure;
       },
@@ -88,7 +92,8 @@
     this.caughtUp.set(self, host.catchUp());
   }
 
-  /** Stops a host without a word, as a kill does. */
+  /** Stops a host as a kill of its process does: without notice to others and
+   * with a crash of its disk. */
   kill(id: string): void {
     this.hosts.get(id)!.stop();
     this.hosts.delete(id);
@@ -96,35 +101,36 @@
     if (disk !== undefined) this.#disks.set(id, disk.crash());
   }
 
-  /** Takes the disk of a killed host away. */
+  /** Replaces the disk of a killed host by an empty one. */
   wipeDisk(id: string): void {
     this.#disks.set(id, storage.MemoryStorage.create());
   }
 
-  /** Host that leads the log. */
+  /** Host that holds the leader lease of the log. */
   get leader(): string {
     return [...this.hosts].find(([, host]) => host.leaseHeld())![0];
   }
 
-  /** Revision in force at each host. */
+  /** Revision of the table at each host. */
   revisions(): number[] {
     return [...this.hosts.values()].map((host) => host.view().revision);
   }
 
-  /** Lets time pass; disks write between the milliseconds. */
+  /** Advances the clock by `ms` milliseconds; pending disk writes complete
+   * after each one. */
   async run(ms: number): Promise<void> {
     for (let passed = 0; passed < ms; passed++) {
       this.clock.advance(1);
-      await settle();
+      await flushPromises();
     }
   }
 
-  /** Cuts the link between two hosts. */
+  /** Drops all messages between two hosts from now on. */
   cutLink(one: string, other: string): void {
-    this.#links.add(linkOf(one, other));
+    this.#cutLinks.add(linkKey(one, other));
   }
 
-  /** Waits for `promise` while time passes. */
+  /** Advances the clock until `promise` has settled. */
   async runUntil<T>(promise: Promise<T>): Promise<T> {
     let done = false;
     void promise.finally(() => done = true);
@@ -142,17 +148,17 @@
       if (from !== to && (this.isolated.has(from) || this.isolated.has(to))) {
         return;
       }
-      if (this.#links.has(linkOf(from, to))) return;
+      if (this.#cutLinks.has(linkKey(from, to))) return;
       this.hosts.get(to)?.receive(envelope);
     });
   }
 }
 
-function linkOf(one: string, other: string): string {
+function linkKey(one: string, other: string): string {
   return [one, other].sort().join(" ");
 }
 
-async function settle(): Promise<void> {
+async function flushPromises(): Promise<void> {
   for (let turn = 0; turn < 4; turn++) {
     await new Promise((resolve) => setImmediate(resolve));
   }
--- a/src/control/host/mod.ts
+++ b/src/control/host/mod.ts
@@ -1,4 +1,5 @@
-/** Control as one host has it: shells of the cores in the folders beside.
+/** The control plane of one host. Runs the pure state machines of the
+ * neighbouring folders with a clock, a transport and a disk.
  * @module */
 
 export * from "./claim_client.ts";
--- a/src/control/host/table_watcher.ts
+++ b/src/control/host/table_watcher.ts
@@ -1,5 +1,6 @@
-/** Keeps the table in force on this host: the shell of the watcher, or of the
- * observer on a host that serves others.
+/** Keeps the table of this host up to date: runs the state machine
+ * `watch.Watcher`, or `watch.Observer` on an observer, with a clock and a
+ * transport.
  * @module */
 
 import * as runtime from "../../runtime/mod.ts";
@@ -7,39 +8,39 @@
 import type * as table from "../table/mod.ts";
 import * as watch from "../watch/mod.ts";
 
-/** Transport whose connections can be exchanged. */
+/** Transport whose connections can be replaced. */
 export interface Transport extends runtime.Transport {
   redial(host: string): void;
 }
 
-/** What a follower needs of its host. */
+/** Options of a `TableWatcher`. */
 export interface TableWatcherOptions {
   self: string;
   /** Hosts that publish the table, in order of preference. */
   publishers: readonly string[];
-  /** Whether it passes the table on to hosts that subscribe. */
+  /** Whether this host publishes the table to hosts that subscribe. */
   observer: boolean;
   clock: runtime.Clock;
   transport: Transport;
-  /** The table moved on; `written` is absent after a snapshot. */
+  /** Called with each newer table; `written` is absent after a snapshot. */
   onTable(table: table.Table, written?: readonly table.CellWrite[]): void;
-  /** What is known of the quorum changed. */
+  /** Called when the status of the quorum has changed. */
   onStatus(status: QuorumStatus): void;
 }
 
-/** What a follower hears of the quorum. */
+/** Status of the quorum, as the publisher reports it. */
 export interface QuorumStatus {
-  /** Whether its publisher is in touch with the quorum. */
+  /** Whether the publisher is in contact with the quorum. */
   current: boolean;
   leader?: string;
 }
 
 type Handler<T> = (effect: Extract<watch.WatcherEffect, { type: T }>) => void;
 
-/** Follows the table. */
+/** Watches the table. */
 export class TableWatcher {
   readonly #options: TableWatcherOptions;
-  readonly #alarm: runtime.Timer;
+  readonly #timer: runtime.Timer;
   #watcher: watch.Watcher | watch.Observer;
 
   private constructor(options: TableWatcherOptions) {
@@ -48,44 +49,44 @@
     this.#watcher = observer
       ? watch.Observer.create(publishers)
       : watch.Watcher.create(publishers);
-    this.#alarm = runtime.Timer.create(
+    this.#timer = runtime.Timer.create(
       options.clock,
       () => this.#step({ type: "tick" }),
     );
   }
 
-  /** A follower that has an empty table. */
+  /** Creates a watcher with an empty table. */
   static create(options: TableWatcherOptions): TableWatcher {
     return new TableWatcher(options);
   }
 
-  /** The table in force; its revision never goes back. */
+  /** The newest table received; its revision never decreases. */
   get table(): table.Table {
     return this.#watcher.table;
   }
 
-  /** What is known of the quorum. */
+  /** Status of the quorum, as last reported. */
   get status(): QuorumStatus {
     const { current, leader } = this.#watcher;
     return { current, leader };
   }
 
-  /** Begins to follow. */
+  /** Subscribes to the first publisher. */
   start(): void {
     this.#step({ type: "start" });
   }
 
-  /** Takes a message of a publisher, or of a host that subscribes. */
+  /** Handles a message of a publisher or of a subscriber. */
   receive(from: string, body: schema.Message): void {
     this.#step({ type: "message", from, body });
   }
 
-  /** Follows no longer. */
+  /** Cancels the timer. */
   stop(): void {
-    this.#alarm.cancel();
+    this.#timer.cancel();
   }
 
-  /** State for people. */
+  /** Returns the state for a dump. */
   dump(): unknown {
     return this.#watcher.dump();
   }
@@ -104,7 +105,7 @@
       const { self, transport } = this.#options;
       transport.send({ from: self, to, channel: "watch", body });
     },
-    wake: ({ at }) => this.#alarm.set(at),
+    wake: ({ at }) => this.#timer.set(at),
     table: ({ table, written }) => this.#options.onTable(table, written),
     redial: ({ from }) => this.#options.transport.redial(from),
     status: ({ current, leader }) =>
--- a/src/control/host/voter.ts
+++ b/src/control/host/voter.ts
@@ -1,5 +1,5 @@
-/** A host with a disk: a replica of the log, which publishes the table and
- * takes the commands of other hosts.
+/** The voter on a host with a disk: runs a replica of the log, publishes the
+ * table and proposes the commands that other hosts forward.
  * @module */
 
 import * as runtime from "../../runtime/mod.ts";
@@ -13,13 +13,14 @@
 import * as table from "../table/mod.ts";
 import * as watch from "../watch/mod.ts";
 
-/** Milliseconds between looks at the lease, and at the first rows. */
-const LOOK = 200;
+/** Time between checks of the lease, of the members of the log and of whether
+ * the initial edits are due. */
+const POLL_INTERVAL_MS = 200;
 
-/** What a voter needs of its host. */
+/** Options of a `Voter`. */
 export interface VoterOptions {
   self: string;
-  /** Hosts that the settings name as voters. */
+  /** Hosts that are voters according to the settings. */
   voters: readonly string[];
   clock: runtime.Clock;
   random: runtime.Random;
@@ -27,23 +28,24 @@
   storage: runtime.Storage;
   metrics: telemetry.Metrics;
   logger: telemetry.Logger;
-  /** Edits that fill an empty table. */
+  /** Edits that are applied to an empty table. */
   initialEdits: readonly edits.Edit[];
-  /** The journal failed: the host must not go on as a voter. */
+  /** Called when the journal has failed: the host must not continue as a
+   * voter. */
   onFailure(failure: Error): void;
 }
 
-/** Runs the replicated log on this host. */
+/** A replica of the log on this host. */
 export class Voter {
   readonly #options: VoterOptions;
   readonly #commands: watch.CommandServer;
-  readonly #alarm: runtime.Timer;
-  readonly #look: runtime.Timer;
+  readonly #publishTimer: runtime.Timer;
+  readonly #pollTimer: runtime.Timer;
   #runner!: log.Runner<table.State, table.Reply>;
   #publisher = watch.Publisher.create(table.Table.create());
-  #editions: table.Table[] = [];
-  #written: (readonly table.CellWrite[])[] = [];
-  #timekeeper = table.CommandClock.create(0, 0);
+  #appliedTables: table.Table[] = [];
+  #appliedWrites: (readonly table.CellWrite[])[] = [];
+  #commandClock = table.CommandClock.create(0, 0);
   #seeded = false;
   #members: log.Replica["members"] | undefined;
 
@@ -52,90 +54,90 @@
     this.#options = options;
     this.#commands = watch.CommandServer.create({
       propose: (command) => this.#propose(command),
-      commandTime: () => this.#timekeeper.at(clock.now()),
+      commandTime: () => this.#commandClock.at(clock.now()),
       send: (to, body) => this.#send("control", to, body),
     });
-    this.#alarm = runtime.Timer.create(
+    this.#publishTimer = runtime.Timer.create(
       clock,
       () => this.#publish({ type: "tick" }),
     );
-    this.#look = runtime.Timer.create(clock, () => this.#lookAround());
+    this.#pollTimer = runtime.Timer.create(clock, () => this.#poll());
   }
 
-  /** Reads the disk and takes part from then on. */
+  /** Starts a replica from the state on its disk. */
   static async start(options: VoterOptions): Promise<Voter> {
     const voter = new Voter(options);
     const { self, voters, clock, random, transport, storage } = options;
     voter.#runner = await log.Runner.start<table.State, table.Reply>({
       host: self,
       hosts: voters,
-      machine: voter.#machine(),
+      machine: voter.#createStateMachine(),
       clock,
       random,
       transport,
       storage,
-      onChange: (state) => voter.#takeState(state),
+      onChange: (state) => voter.#publishState(state),
       onRole: (role, term, { leader }) =>
-        voter.#takeRole({ role, term, leader }),
+        voter.#handleRole({ role, term, leader }),
       onFailure: (failure) => options.onFailure(failure),
     });
-    voter.#takeState(voter.#runner.state);
-    voter.#lookAround();
+    voter.#publishState(voter.#runner.state);
+    voter.#poll();
     return voter;
   }
 
-  /** Whether this host leads and its lease lasts at this very moment. */
+  /** Whether this host is the leader and its lease is valid now. */
   leaseHeld(): boolean {
     return this.#runner.leaseHeld();
   }
 
-  /** Term of the log, which fences the orders of earlier leaders. */
+  /** Term of the log, which fences orders of earlier leaders. */
   get term(): number {
     return this.#runner.term;
   }
 
-  /** The lease as it is at this very moment; undefined without one. */
+  /** The leader lease of this host; undefined when it holds none now. */
   lease(): orders.Lease | undefined {
     if (!this.#runner.leaseHeld()) return undefined;
     const { leaseUntil, state } = this.#runner.replica;
     return { token: state.term, since: state.electedAt, until: leaseUntil };
   }
 
-  /** Whether the replica is in touch with the quorum. */
+  /** Whether the replica is in contact with the quorum. */
   get current(): boolean {
     const { leader } = this.#runner;
     if (leader === this.#options.self) return this.#runner.leaseHeld();
     return leader !== undefined;
   }
 
-  /** Takes a message of another replica. */
+  /** Handles a message of another replica. */
   receiveLog(envelope: runtime.Envelope): void {
     this.#runner.receive(envelope);
   }
 
-  /** Takes a message of a host that watches. */
+  /** Handles a message of a subscriber. */
   receiveWatch(from: string, body: schema.Message): void {
     this.#publish({ type: "message", from, body });
   }
 
-  /** Takes a command of another host, or of this one. */
+  /** Handles a command that another host or this one forwards. */
   receiveForward(from: string, body: control.Forward): void {
     void this.#commands.receive(from, body);
   }
 
-  /** Hands leadership over, before a stop. */
+  /** Transfers leadership to another voter, before a stop. */
   transferLeadership(): void {
     this.#runner.transferLeadership();
   }
 
-  /** Takes no further part. */
+  /** Stops the replica and the timers. */
   stop(): void {
-    this.#alarm.cancel();
-    this.#look.cancel();
+    this.#publishTimer.cancel();
+    this.#pollTimer.cancel();
     this.#runner.stop();
   }
 
-  /** State for people. */
+  /** Returns the state for a dump. */
   dump(): unknown {
     const { index, counters, replica } = this.#runner;
     const now = this.#options.clock.now();
@@ -149,8 +151,9 @@
     };
   }
 
-  /** The machine, which notes what each command writes for watchers. */
-  #machine(): log.StateMachine<table.State, table.Reply> {
+  /** Creates the state machine of the log, which also records the cells that
+   * each command writes, for the publisher. */
+  #createStateMachine(): log.StateMachine<table.State, table.Reply> {
     const machine = table.createStateMachine();
     return {
       empty: machine.empty,
@@ -158,51 +161,52 @@
       fromJSON: (json) => machine.fromJSON(json as table.StateJSON),
       apply: (state, entry) => {
         const step = machine.apply(state, entry as unknown as command.Command);
-        this.#note(step.state);
+        this.#recordWrites(step.state);
         return step;
       },
     };
   }
 
-  #note({ table, written }: table.State): void {
+  #recordWrites({ table, written }: table.State): void {
     if (written.length === 0) return;
-    this.#editions.push(table);
-    this.#written.push(written);
+    this.#appliedTables.push(table);
+    this.#appliedWrites.push(written);
   }
 
-  #takeState(state: table.State): void {
-    const [editions, written] = [this.#editions, this.#written];
-    this.#editions = [];
-    this.#written = [];
-    editions.forEach((table, pos) =>
+  #publishState(state: table.State): void {
+    const [tables, written] = [this.#appliedTables, this.#appliedWrites];
+    this.#appliedTables = [];
+    this.#appliedWrites = [];
+    tables.forEach((table, pos) =>
       this.#publish({ type: "commit", table, written: written[pos] })
     );
-    // After a restore the table has moved without an edit; else nothing is new.
+    // Restoring a snapshot changes the table without an edit. In any other case
+    // the publisher has this revision already.
     this.#publish({ type: "commit", table: state.table });
   }
 
-  #takeRole(
+  #handleRole(
     { role, term, leader }: { role: string; term: number; leader?: string },
   ): void {
     const { clock, logger, metrics } = this.#options;
     if (role === "leader") {
       const { now } = this.#runner.state;
-      this.#timekeeper = table.CommandClock.create(now, clock.now());
+      this.#commandClock = table.CommandClock.create(now, clock.now());
     }
     metrics.gauge("log.leading", role === "leader" ? 1 : 0);
     logger.info({ role, term, leader }, "role in the log changed");
     this.#publishStatus();
   }
 
-  #lookAround(): void {
-    this.#look.set(this.#options.clock.now() + LOOK);
+  #poll(): void {
+    this.#pollTimer.set(this.#options.clock.now() + POLL_INTERVAL_MS);
     this.#publishStatus();
-    this.#noteMembers();
+    this.#logMembers();
     if (!this.#seeded && this.leaseHeld()) void this.#seed();
   }
 
-  /** Says which host changed the set of voters, and to what. */
-  #noteMembers(): void {
+  /** Logs a change of the members together with the leader that made it. */
+  #logMembers(): void {
     const { members, state: { term } } = this.#runner.replica;
     if (members === this.#members) return;
     this.#members = members;
@@ -213,7 +217,8 @@
     );
   }
 
-  /** Fills an empty table; the operation ids keep it from being done twice. */
+  /** Applies the initial edits to an empty table. Their operation ids keep them
+   * from being applied twice. */
   async #seed(): Promise<void> {
     this.#seeded = true;
     try {
@@ -223,7 +228,7 @@
         await this.#propose({
           type: "edit",
           id: `${this.#options.self}/${edit.operation}`,
-          at: this.#timekeeper.at(this.#options.clock.now()),
+          at: this.#commandClock.at(this.#options.clock.now()),
           edit: edit as unknown as Record<string, unknown>,
         });
       }
@@ -233,9 +238,9 @@
     }
   }
 
-  #propose(entry: command.Command): Promise<table.Reply> {
+  #propose(proposed: command.Command): Promise<table.Reply> {
     this.#options.metrics.count("log.appended");
-    return this.#runner.propose(entry as unknown as log.Command);
+    return this.#runner.propose(proposed as unknown as log.Command);
   }
 
   #publishStatus(): void {
@@ -248,7 +253,7 @@
     const { publisher, effects } = this.#publisher.step(event, now);
     this.#publisher = publisher;
     for (const effect of effects) {
-      if (effect.type === "wake") this.#alarm.set(effect.at);
+      if (effect.type === "wake") this.#publishTimer.set(effect.at);
       else this.#send("watch", effect.to, effect.body);
     }
   }
