--- a/src/control/table/column.ts
+++ b/src/control/table/column.ts
@@ -1,29 +1,29 @@
-/** What each column of the table may hold.
+/** Validation rules of the columns of the table.
  * @module */
 
 import type * as schema from "../../schema/table_types.ts";
 
-/** Longest text in a cell, in characters. */
+/** Maximum length of a text cell, in characters. */
 export const MAX_TEXT_LENGTH = 128;
-const MOST_NUMBER = 1e9;
-const MOST_REPLICAS = 10_000;
+const MAX_NUMBER = 1e9;
+const MAX_REPLICAS = 10_000;
 const TOKEN_HASH = /^[0-9a-f]{64}$/;
 
 /** Rules of one column. */
-interface Rule {
-  /** Kinds of rows that may have the column; all when absent. */
+interface ColumnRule {
+  /** Kinds of rows that may have the column; all if absent. */
   rows?: readonly string[];
-  /** What a value must be, for people. */
+  /** Description of the values allowed, for error messages. */
   expected: string;
   accepts(value: schema.CellValue): boolean;
 }
 
-const amount: Rule = {
+const amount: ColumnRule = {
   expected: "a number from 0 on",
   accepts: (value) => isNumber(value) && value >= 0,
 };
 
-const text: Rule = {
+const text: ColumnRule = {
   rows: ["service"],
   expected: `a text of 1 to ${MAX_TEXT_LENGTH} characters`,
   accepts: (value) =>
@@ -31,7 +31,7 @@
     value.length <= MAX_TEXT_LENGTH,
 };
 
-const rules: Record<schema.Column, Rule> = {
+const rules: Record<schema.Column, ColumnRule> = {
   weight: {
     expected: "a number above 0",
     accepts: (value) => isNumber(value) && value > 0,
@@ -69,44 +69,45 @@
   },
   replicas: {
     rows: ["service"],
-    expected: `a whole number from 0 to ${MOST_REPLICAS}`,
-    accepts: (value) => isWhole(value) && value >= 0 && value <= MOST_REPLICAS,
+    expected: `a whole number from 0 to ${MAX_REPLICAS}`,
+    accepts: (value) => isWhole(value) && value >= 0 && value <= MAX_REPLICAS,
   },
 };
 
-/** A cell as somebody wants it to be; null empties it. */
+/** Desired value of a cell; null empties it. */
 export type DesiredCell = Omit<schema.Change, "version">;
 
-/** Says why `change` is not allowed, or undefined when it is. */
+/** Returns why `change` is invalid, or undefined if it is valid. */
 export function rejectionReason(change: DesiredCell): string | undefined {
   const { row, column, value } = change;
   const rule = rules[column];
   if (rule === undefined) return `there is no column ${column}`;
-  if (!fits(rule, row)) return `${row} cannot have the column ${column}`;
+  if (!allowsRow(rule, row)) return `${row} cannot have the column ${column}`;
   if (value === null || rule.accepts(value)) return undefined;
   return `${row} ${column} must be ${rule.expected}`;
 }
 
-/** What may stand in a cell, for people; undefined where no cell can be. */
+/** Returns a description of the values allowed in a cell; undefined if the row
+ * cannot have the column. */
 export function expectedValue(
   { row, column }: Pick<DesiredCell, "row" | "column">,
 ): string | undefined {
   const rule = rules[column];
-  return rule !== undefined && fits(rule, row) ? rule.expected : undefined;
+  return rule !== undefined && allowsRow(rule, row) ? rule.expected : undefined;
 }
 
-/** Names of all columns, in the order in which people read them. */
+/** Returns the names of all columns, in display order. */
 export function names(): readonly schema.Column[] {
   return Object.keys(rules) as schema.Column[];
 }
 
-function fits(rule: Rule, row: string): boolean {
+function allowsRow(rule: ColumnRule, row: string): boolean {
   const kind = row.slice(0, row.indexOf("/"));
   return rule.rows === undefined || rule.rows.includes(kind);
 }
 
 function isNumber(value: schema.CellValue): value is number {
-  return typeof value === "number" && Math.abs(value) <= MOST_NUMBER;
+  return typeof value === "number" && Math.abs(value) <= MAX_NUMBER;
 }
 
 function isWhole(value: schema.CellValue): value is number {
--- a/src/control/table/command_clock.ts
+++ b/src/control/table/command_clock.ts
@@ -1,25 +1,27 @@
-/** The leader's time for commands: the machine's time when it became leader
- * plus what its own clock has counted since. A wrong wall clock cannot expire
- * anything early; gaps between leaders only make time pass more slowly.
+/** The times that a leader puts into commands: the machine time at its election
+ * plus the time that has passed since on its monotonic clock. An incorrect wall
+ * clock therefore expires nothing early; the gap between two leaders is not
+ * counted, so that records can only expire later.
  * @module */
 
-/** Time of one leader. */
+/** Command times during one leadership. */
 export class CommandClock {
-  readonly #base: number;
-  readonly #start: number;
+  readonly #machineTime: number;
+  readonly #startedAt: number;
 
   private constructor(base: number, start: number) {
-    this.#base = base;
-    this.#start = start;
+    this.#machineTime = base;
+    this.#startedAt = start;
   }
 
-  /** Starts from the machine's time `base` at `now` of the host's clock. */
-  static create(base: number, now: number): CommandClock {
-    return new CommandClock(base, now);
+  /** Creates a clock that shows `machineTime` at `now` of the host's clock. */
+  static create(machineTime: number, now: number): CommandClock {
+    return new CommandClock(machineTime, now);
   }
 
-  /** Whole milliseconds to put into a command that is proposed at `now`. */
+  /** Returns the time of a command that is proposed at `now`, in whole
+   * milliseconds. */
   at(now: number): number {
-    return Math.floor(this.#base + Math.max(0, now - this.#start));
+    return Math.floor(this.#machineTime + Math.max(0, now - this.#startedAt));
   }
 }
--- a/src/control/table/expiry_index.ts
+++ b/src/control/table/expiry_index.ts
@@ -1,75 +1,84 @@
-/** Finds what has expired without looking at everything: keys wait in buckets
- * of one second. A key may wait in several; its owner checks its own time.
+/** Index of keys by expiry time, in buckets of one second, so that a sweep
+ * visits due keys only. A key may be in several buckets; the caller checks
+ * whether it has really expired.
  * @module */
 
 import * as trie from "./trie.ts";
 
-const BUCKET = 1000;
+const BUCKET_MS = 1000;
 
-interface Link {
+interface KeyNode {
   key: string;
-  next: Link | undefined;
+  next: KeyNode | undefined;
 }
 
-/** What fell due, and the rest. */
+/** Keys that are due, and the index without them. */
 export interface SweepResult {
   expiry: ExpiryIndex;
   keys: readonly string[];
 }
 
-/** Immutable set of keys by the time at which they expire. */
+/** Immutable index of keys by the time at which they expire. */
 export class ExpiryIndex {
-  readonly #buckets: trie.Trie<Link>;
-  /** First bucket that was not emptied yet. */
-  readonly #head: number;
+  readonly #buckets: trie.Trie<KeyNode>;
+  /** First bucket that has not been swept. */
+  readonly #firstBucket: number;
 
-  private constructor(buckets: trie.Trie<Link>, head: number) {
+  private constructor(buckets: trie.Trie<KeyNode>, head: number) {
     this.#buckets = buckets;
-    this.#head = head;
+    this.#firstBucket = head;
   }
 
-  /** An empty set for keys that expire after `now`. */
+  /** Creates an empty index for keys that expire after `now`. */
   static create(now: number): ExpiryIndex {
-    return new ExpiryIndex(trie.Trie.create<Link>(), Math.floor(now / BUCKET));
+    return new ExpiryIndex(
+      trie.Trie.create<KeyNode>(),
+      Math.floor(now / BUCKET_MS),
+    );
   }
 
-  /** A copy in which `key` also falls due once `at` has passed. */
+  /** Returns a copy in which `key` is also due after `at`. */
   add(key: string, at: number): ExpiryIndex {
-    const bucket = Math.max(this.#head, Math.floor(at / BUCKET));
+    const bucket = Math.max(this.#firstBucket, Math.floor(at / BUCKET_MS));
     const next = this.#buckets.get(`${bucket}`);
     return new ExpiryIndex(
       this.#buckets.set(`${bucket}`, { key, next }),
-      this.#head,
+      this.#firstBucket,
     );
   }
 
-  /** Takes out keys whose second has wholly passed at `now`. What is left
-   * depends on the keys and on `now` alone, not on earlier sweeps. */
+  /** Removes the keys whose bucket ended at or before `now`. The remaining
+   * index depends on the keys and on `now` only, not on earlier sweeps, so that
+   * replicas agree. */
   sweep(now: number): SweepResult {
-    const end = Math.floor(now / BUCKET);
-    if (end <= this.#head) return { expiry: this, keys: [] };
+    const end = Math.floor(now / BUCKET_MS);
+    if (end <= this.#firstBucket) return { expiry: this, keys: [] };
     const keys: string[] = [];
     let buckets = this.#buckets;
-    for (const bucket of this.#due(end)) {
-      let link = buckets.get(bucket);
-      if (link !== undefined) buckets = buckets.delete(bucket);
-      for (; link !== undefined; link = link.next) keys.push(link.key);
+    for (const bucket of this.#dueBuckets(end)) {
+      let node = buckets.get(bucket);
+      if (node !== undefined) buckets = buckets.delete(bucket);
+      for (; node !== undefined; node = node.next) keys.push(node.key);
     }
     return { expiry: new ExpiryIndex(buckets, end), keys };
   }
 
-  /** Names of buckets before `end`, by the shorter way after a long gap. */
-  #due(end: number): string[] {
-    const gap = end - this.#head;
+  /** Returns the names of the buckets before `end`. After a long gap it filters
+   * the existing buckets instead of counting through the gap. */
+  #dueBuckets(end: number): string[] {
+    const gap = end - this.#firstBucket;
     if (gap <= this.#buckets.size) {
-      return Array.from({ length: gap }, (_, pos) => `${this.#head + pos}`);
+      return Array.from(
+        { length: gap },
+        (_, pos) => `${this.#firstBucket + pos}`,
+      );
     }
     return [...this.#buckets.entries()].map(([bucket]) => bucket)
       .filter((bucket) => Number(bucket) < end);
   }
 }
 
-/** Whether what expires at `at` is swept at `now`. */
+/** Whether a sweep at `now` removes a key that expires at `at`. */
 export function isSwept(at: number, now: number): boolean {
-  return Math.floor(at / BUCKET) < Math.floor(now / BUCKET);
+  return Math.floor(at / BUCKET_MS) < Math.floor(now / BUCKET_MS);
 }
--- a/src/control/table/mod.ts
+++ b/src/control/table/mod.ts
@@ -1,4 +1,5 @@
-/** The operators' table and the machine that the replicated log drives.
+/** The operators' table, and the state machine of the replicated log that
+ * contains it.
  * @module */
 
 export * from "./state_machine.ts";
--- a/src/control/table/naive_table.ts
+++ b/src/control/table/naive_table.ts
@@ -1,23 +1,24 @@
-/** The table in its plainest form: one mutable copy that remembers all. Tests
- * and benchmarks compare the real one with it.
+/** Reference implementation of the table: mutable, and without a bound on the
+ * answers it records. Tests and benchmarks compare `Table` with it.
  * @module */
 
 import type * as schema from "../../schema/table_types.ts";
 import * as column from "./column.ts";
 import type * as table from "./table.ts";
 
-/** One mutable copy of the table. */
+/** Mutable reference implementation of the table. */
 export class NaiveTable {
   revision = 0;
   readonly cells = new Map<string, table.Cell>();
   readonly answers = new Map<string, { text: string; answer: table.Answer }>();
 
-  /** Applies an edit, or answers again if its operation id is known. */
+  /** Applies an edit, or returns its first answer if its operation id is
+   * known. */
   apply(edit: schema.Edit): table.Answer {
     const text = JSON.stringify([edit.actor, edit.changes]);
     const known = this.answers.get(edit.operation);
     if (known === undefined) {
-      const answer = this.#decide(edit);
+      const answer = this.#answerTo(edit);
       this.answers.set(edit.operation, { text, answer });
       return answer;
     }
@@ -26,7 +27,7 @@
     return { type: "refused", detail };
   }
 
-  /** All cells that are not empty, by `ROW COLUMN`. */
+  /** Returns the cells that are not empty, by `ROW COLUMN`. */
   filled(): Record<string, schema.Cell> {
     const filled: Record<string, schema.Cell> = {};
     for (const [key, { value, version }] of this.cells) {
@@ -35,7 +36,7 @@
     return filled;
   }
 
-  #decide(edit: schema.Edit): table.Answer {
+  #answerTo(edit: schema.Edit): table.Answer {
     const keys = new Set<string>();
     for (const change of edit.changes) {
       const detail = column.rejectionReason(change);
--- a/src/control/table/state_machine.ts
+++ b/src/control/table/state_machine.ts
@@ -1,5 +1,6 @@
-/** The machine that committed commands drive: table, remembered answers and
- * claims. Equal commands in equal order give equal states on all replicas.
+/** State machine of the replicated log: the table, the recorded answers to
+ * edits and the claims on idempotency keys. It is deterministic: the same
+ * commands in the same order give the same state on all replicas.
  * @module */
 
 import type * as command from "../../schema/command_types.ts";
@@ -10,28 +11,29 @@
 import * as operations from "./operations.ts";
 import * as table from "./table.ts";
 
-/** State of the machine; immutable. */
+/** Immutable state. */
 export interface State {
-  /** Milliseconds by the commands' own times; never goes back. */
+  /** Machine time: the highest time of the commands so far, in milliseconds. */
   readonly now: number;
   readonly table: table.Table;
   readonly operations: operations.Operations;
   readonly claims: claims.Claims;
-  /** What the last command wrote into the table, for watchers. */
+  /** Cells that the last command wrote, for the publisher. */
   readonly written: readonly table.CellWrite[];
 }
 
-/** Answer to the announcement of a start. */
+/** Reply to a `retire` command, which announces the start of a host. */
 export interface RetireReply {
   readonly type: "retired";
-  /** Revision of the table then. */
+  /** Revision of the table when the command was applied. */
   readonly revision: number;
-  /** Lowest incarnation of the host that counts: higher than announced after
-   * its clock was set back. */
+  /** Lowest incarnation of the host that may be running: higher than the one
+   * announced if the host's clock was set back. */
   readonly incarnation: number;
 }
 
-/** Answer to a command; `invalid` when it has no meaning to the machine. */
+/** Reply to a command; `invalid` if the command is malformed or of an unknown
+ * type. */
 export type Reply =
   | table.Answer
   | claims.ClaimReply
@@ -39,7 +41,7 @@
   | RetireReply
   | { type: "invalid"; detail: string };
 
-/** A state after a command, and the answer to it. */
+/** The state after a command, and the reply to it. */
 export interface Step {
   state: State;
   reply: Reply;
@@ -53,25 +55,30 @@
   claims: claims.ClaimsJSON;
 }
 
-/** Bounds of the machine; equal on all replicas. */
+/** Bounds of the state; must be equal on all replicas. */
 export interface Limits {
   operations: operations.Limits;
   claims: claims.Limits;
 }
 
-/** The machine as the replicated log takes it. */
+/** The state machine, as the replicated log uses it. */
 export interface StateMachine {
-  /** State before the first command. */
+  /** The state before the first command. */
   readonly empty: State;
   apply(state: State, command: command.Command): Step;
   toJSON(state: State): StateJSON;
   fromJSON(json: StateJSON): State;
 }
 
-const LIMITS: Limits = { operations: operations.LIMITS, claims: claims.LIMITS };
+const DEFAULT_LIMITS: Limits = {
+  operations: operations.LIMITS,
+  claims: claims.LIMITS,
+};
 
-/** A machine with `limits`, which only tests change. */
-export function createStateMachine(limits: Limits = LIMITS): StateMachine {
+/** Creates a state machine; only tests pass other `limits`. */
+export function createStateMachine(
+  limits: Limits = DEFAULT_LIMITS,
+): StateMachine {
   return {
     empty: {
       now: 0,
@@ -135,14 +142,14 @@
   const handler = handlers[command.type] as
     | Handler<command.Command>
     | undefined;
-  const moved = advance(state, command.at);
-  if (handler !== undefined) return handler(moved, command);
+  const advanced = advanceTime(state, command.at);
+  if (handler !== undefined) return handler(advanced, command);
   const detail = `there is no command ${command.type}`;
-  return { state: moved, reply: { type: "invalid", detail } };
+  return { state: advanced, reply: { type: "invalid", detail } };
 }
 
-/** Moves the machine's time on and forgets what has expired. */
-function advance(state: State, at = 0): State {
+/** Advances the machine time to `at` and drops expired answers and claims. */
+function advanceTime(state: State, at = 0): State {
   const now = Math.max(state.now, at);
   return {
     now,
@@ -161,8 +168,8 @@
     return { state, reply: { type: "invalid", detail: message } };
   }
   const edit = command.edit as edits.Edit;
-  const known = state.operations.find(edit);
-  if (known !== undefined) return { state, reply: known };
+  const recorded = state.operations.find(edit);
+  if (recorded !== undefined) return { state, reply: recorded };
   const { table, answer, written } = state.table.apply(edit);
   const operations = state.operations.add(edit, answer, state.now);
   return { state: { ...state, table, operations, written }, reply: answer };
--- a/src/control/table/table.ts
+++ b/src/control/table/table.ts
@@ -1,38 +1,39 @@
-/** The operators' table: rows of cells, changed by compare-and-set.
+/** The operators' table: rows of cells that are changed by compare-and-set.
  * @module */
 
 import type * as schema from "../../schema/table_types.ts";
 import * as column from "./column.ts";
 import * as trie from "./trie.ts";
 
-/** Most rows that the table ever holds. */
+/** Maximum number of rows, including rows whose cells are all empty. */
 export const MAX_ROWS = 10_000;
 
-/** A cell with who wrote it; `value` is null once it was emptied. */
+/** A cell and the actor of its last change; `value` is null if the cell was
+ * emptied. */
 export interface Cell {
   readonly value: schema.CellValue | null;
-  /** Revision that last changed the cell. */
+  /** Revision of the last change of the cell. */
   readonly version: number;
   readonly actor: string;
 }
 
-/** Cells of one row by column, emptied ones included. */
+/** Cells of one row by column, including emptied cells. */
 export type Cells = Readonly<Partial<Record<schema.Column, Cell>>>;
 
-/** One cell as a change of the table left it. */
+/** A cell after a change. */
 export interface CellWrite extends Cell {
   readonly row: string;
   readonly column: schema.Column;
 }
 
-/** What the loser of a race lost to. */
+/** The cell that made a compare-and-set fail. */
 export interface Conflict {
   row: string;
   column: schema.Column;
-  /** Version that an edit must now be made from; 0 when the cell is empty. */
+  /** Current version, which an edit must state; 0 if the cell is empty. */
   version: number;
   value: schema.CellValue | null;
-  /** Who wrote the cell last; empty when nobody did. */
+  /** Actor of the last change; empty if the cell was never written. */
   actor: string;
 }
 
@@ -42,26 +43,26 @@
   | { type: "conflict"; conflict: Conflict }
   | { type: "refused"; detail: string };
 
-/** A table after an edit, the answer, and the cells that the edit wrote. */
+/** The table after an edit, the answer, and the cells that the edit wrote. */
 export interface ApplyResult {
   table: Table;
   answer: Answer;
   written: readonly CellWrite[];
 }
 
-/** A row as operators and snapshots see it. */
+/** A row with its cells that are not empty. */
 export interface Row {
   row: string;
   cells: Partial<Record<schema.Column, schema.Cell>>;
 }
 
-/** A table as JSON, emptied cells included. */
+/** A table as JSON, including emptied cells. */
 export interface TableJSON {
   revision: number;
   rows: { row: string; cells: Cells }[];
 }
 
-/** Immutable table; an edit copies the rows that it changes. */
+/** Immutable table; an edit copies only the rows that it changes. */
 export class Table {
   /** Number of accepted edits. */
   readonly revision: number;
@@ -72,44 +73,44 @@
     this.#rows = rows;
   }
 
-  /** An empty table. */
+  /** Creates an empty table. */
   static create(): Table {
     return new Table(0, trie.Trie.create<Cells>());
   }
 
-  /** The table that `toJSON` wrote. */
+  /** Restores the table that `toJSON` returned. */
   static fromJSON(json: TableJSON): Table {
     const rows = json.rows.map(({ row, cells }) => [row, cells] as const);
     return new Table(json.revision, trie.Trie.create(rows));
   }
 
-  /** Rows in order of their names. */
+  /** Returns the rows in order of their names. */
   toJSON(): TableJSON {
-    const rows = [...this.#rows.entries()].sort(byName);
+    const rows = [...this.#rows.entries()].sort(compareNames);
     return {
       revision: this.revision,
       rows: rows.map(([row, cells]) => ({ row, cells })),
     };
   }
 
-  /** Number of rows, emptied ones included. */
+  /** Number of rows, including rows whose cells are all empty. */
   get size(): number {
     return this.#rows.size;
   }
 
-  /** The cell, unless it is empty. */
+  /** Returns a cell; undefined if it is empty. */
   cell(row: string, name: schema.Column): schema.Cell | undefined {
     const cell = this.#rows.get(row)?.[name];
     if (cell === undefined || cell.value === null) return undefined;
     return { value: cell.value, version: cell.version };
   }
 
-  /** The value of a cell, unless it is empty. */
+  /** Returns the value of a cell; undefined if it is empty. */
   value(row: string, name: schema.Column): schema.CellValue | undefined {
     return this.#rows.get(row)?.[name]?.value ?? undefined;
   }
 
-  /** The row, unless all of its cells are empty. */
+  /** Returns a row; undefined if all of its cells are empty. */
   row(name: string): Row | undefined {
     const cells = this.#rows.get(name);
     if (cells === undefined) return undefined;
@@ -120,13 +121,15 @@
     return { row: name, cells: Object.fromEntries(filled) };
   }
 
-  /** Who last wrote the cells of a row, emptied ones included. */
+  /** Returns the actors of the last changes of a row's cells, including emptied
+   * cells. */
   lastWriters(name: string): string[] {
     const cells = Object.values(this.#rows.get(name) ?? {});
     return [...new Set(cells.map(({ actor }) => actor))].sort();
   }
 
-  /** Rows that are not empty, in order of their names; of one kind if given. */
+  /** Returns the rows that are not empty, in order of their names; only rows
+   * whose names begin with `kind`. */
   rows(kind = ""): Row[] {
     const names = [...this.#rows.entries()].map(([name]) => name);
     return names.filter((name) => name.startsWith(kind)).sort()
@@ -134,12 +137,14 @@
       .filter((row) => row !== undefined);
   }
 
-  /** Applies all changes of `edit`, or none. */
+  /** Applies all changes of `edit`, or none of them. */
   apply(edit: schema.Edit): ApplyResult {
-    const detail = this.#reject(edit);
-    if (detail !== undefined) return this.#keep({ type: "refused", detail });
-    const conflict = this.#conflict(edit.changes);
-    if (conflict) return this.#keep({ type: "conflict", conflict });
+    const detail = this.#rejectionReason(edit);
+    if (detail !== undefined) {
+      return this.#unchanged({ type: "refused", detail });
+    }
+    const conflict = this.#findConflict(edit.changes);
+    if (conflict) return this.#unchanged({ type: "conflict", conflict });
     const revision = this.revision + 1;
     const written = edit.changes.map(({ row, column, value }) => ({
       row,
@@ -152,8 +157,8 @@
     return { table, answer: { type: "accepted", revision }, written };
   }
 
-  /** A copy at `revision` with `written`, where that is newer than what is
-   * here; how a watcher follows. */
+  /** Returns a copy at `revision` with those cells of `written` that are newer
+   * than the cells of this table. Watchers apply deltas with it. */
   applyWrites(revision: number, written: readonly CellWrite[]): Table {
     let rows = this.#rows;
     for (const { row, column, ...cell } of written) {
@@ -164,11 +169,11 @@
     return new Table(revision, rows);
   }
 
-  #keep(answer: Answer): ApplyResult {
+  #unchanged(answer: Answer): ApplyResult {
     return { table: this, answer, written: [] };
   }
 
-  #reject({ changes }: schema.Edit): string | undefined {
+  #rejectionReason({ changes }: schema.Edit): string | undefined {
     const seen = new Set<string>();
     let added = 0;
     for (const change of changes) {
@@ -183,7 +188,7 @@
     return `the table would have more than ${MAX_ROWS} rows`;
   }
 
-  #conflict(changes: readonly schema.Change[]): Conflict | undefined {
+  #findConflict(changes: readonly schema.Change[]): Conflict | undefined {
     for (const { row, column, version } of changes) {
       const cell = this.#rows.get(row)?.[column];
       const current = cell === undefined || cell.value === null
@@ -197,7 +202,7 @@
   }
 }
 
-function byName(
+function compareNames(
   [a]: readonly [string, unknown],
   [b]: readonly [string, unknown],
 ) {
--- a/src/control/table/table_test.ts
+++ b/src/control/table/table_test.ts
@@ -21,7 +21,7 @@
   return { row: "account/kivu", column, version, value };
 }
 
-test("of two edits from one version the second is told what it lost to", (t) => {
+test("the second of two edits of one version gets the conflicting cell", (t) => {
   const first = table.Table.create().apply(createEdit("a", [createChange(2)]));
   const second = first.table.apply(createEdit("b", [createChange(3)], "binh"));
   t.deepEqual(first.answer, { type: "accepted", revision: 1 });
@@ -38,7 +38,7 @@
   t.is(second.table, first.table);
 });
 
-test("an edit is applied whole or not at all", (t) => {
+test("an edit is atomic", (t) => {
   const { table: one } = table.Table.create().apply(
     createEdit("a", [createChange(2)]),
   );
@@ -49,7 +49,7 @@
   t.is(two.value("account/kivu", "rate"), undefined);
 });
 
-test("an emptied cell names who emptied it and is written from version 0", (t) => {
+test("an emptied cell keeps its last actor and is edited from version 0", (t) => {
   const one = table.Table.create().apply(createEdit("a", [createChange(2)]));
   const two = one.table.apply(createEdit("b", [createChange(null, 1)], "binh"));
   const lost = two.table.apply(createEdit("c", [createChange(4, 1)]));
@@ -62,7 +62,7 @@
 const refused: [string, schema.Change[]][] = [
   ["a weight of 0", [createChange(0)]],
   ["a priority of 10", [createChange(10, 0, "priority")]],
-  ["a token that is no hash", [createChange("secret", 0, "tokenHash")]],
+  ["a token that is not a hash", [createChange("secret", 0, "tokenHash")]],
   ["a model for an account", [createChange("m", 0, "model")]],
   ["a number that is not finite", [createChange(Infinity, 0, "rate")]],
   ["one cell twice", [createChange(1), createChange(2)]],
@@ -98,8 +98,9 @@
 
 type Edits = typeof anyEdits extends fc.Arbitrary<infer T> ? T : never;
 
-/** Runs edits through `machine` and the naive copy; false when they differ. */
-function agrees(
+/** Applies edits to `machine` and to the naive table; returns whether their
+ * answers and final contents are equal. */
+function agreesWithNaive(
   machine: table.StateMachine,
   edits: Edits,
 ): boolean {
@@ -107,7 +108,7 @@
   let state = machine.empty;
   for (const { current, restart, ...rest } of edits) {
     const edit = rest as schema.Edit;
-    if (current) refresh(edit, state.table);
+    if (current) setCurrentVersions(edit, state.table);
     const command = { type: "edit" as const, id: "x", at: 1, edit };
     const step = machine.apply(state, command);
     if (!equal(step.reply, naive.apply(edit))) return false;
@@ -117,8 +118,9 @@
     state.table.revision === naive.revision;
 }
 
-/** Makes most edits come from the version that they would have seen. */
-function refresh(edit: schema.Edit, current: table.Table): void {
+/** Sets the versions of an edit to the current ones, so that most edits have no
+ * conflict. */
+function setCurrentVersions(edit: schema.Edit, current: table.Table): void {
   for (const change of edit.changes) {
     change.version = current.cell(change.row, change.column)?.version ?? 0;
   }
@@ -143,14 +145,17 @@
   return JSON.stringify(a) === JSON.stringify(b);
 }
 
-test("answers as the naive table over races, resends and restarts", (t) => {
+test("answers equal the naive table's over conflicts, resends and restarts", (t) => {
   const machine = table.createStateMachine();
-  const property = fc.property(anyEdits, (edits) => agrees(machine, edits));
+  const property = fc.property(
+    anyEdits,
+    (edits) => agreesWithNaive(machine, edits),
+  );
   fc.assert(property, { seed: SEED, numRuns: 150 });
   t.pass();
 });
 
-test("the comparison finds a machine that applies resends again", (t) => {
+test("the comparison detects a machine that applies resent edits again", (t) => {
   const machine = table.createStateMachine();
   const forgetful: table.StateMachine = {
     ...machine,
@@ -159,44 +164,48 @@
       return machine.apply({ ...state, operations }, command);
     },
   };
-  const property = fc.property(anyEdits, (edits) => agrees(forgetful, edits));
+  const property = fc.property(
+    anyEdits,
+    (edits) => agreesWithNaive(forgetful, edits),
+  );
   t.true(fc.check(property, { seed: SEED, numRuns: 150 }).failed);
 });
 
-test("a machine restarted after hundreds of changes is the same machine", (t) => {
+test("the state is the same with and without restores from JSON", (t) => {
   const machine = table.createStateMachine();
-  let kept = machine.empty;
+  let continuous = machine.empty;
   let restarted = machine.empty;
   for (let pos = 0; pos < 600; pos++) {
-    const version = kept.table.cell("account/kivu", "weight")?.version ?? 0;
+    const version = continuous.table.cell("account/kivu", "weight")?.version ??
+      0;
     const edit = createEdit(`op${pos % 450}`, [createChange(pos + 1, version)]);
     const command = { type: "edit" as const, id: "x", at: pos * 1000, edit };
-    kept = machine.apply(kept, command).state;
+    continuous = machine.apply(continuous, command).state;
     restarted = machine.apply(restarted, command).state;
     if (pos % 97 === 0) restarted = reload(machine, restarted);
   }
-  t.deepEqual(machine.toJSON(restarted), machine.toJSON(kept));
+  t.deepEqual(machine.toJSON(restarted), machine.toJSON(continuous));
 });
 
-test("an operation id is kept for its time, and a full memory refuses", (t) => {
+test("an operation id is kept until it expires, and a full record refuses", (t) => {
   const limits = { retentionMs: 10_000, maxCount: 2 };
-  let memory = table.operations.Operations.create(limits);
+  let record = table.operations.Operations.create(limits);
   const answer: table.Answer = { type: "accepted", revision: 1 };
   const edits = ["a", "b", "c"].map((id) => createEdit(id, [createChange(1)]));
-  memory = memory.add(edits[0], answer, 0).add(edits[1], answer, 5000);
-  t.is(memory.find(edits[2])?.type, "refused");
-  t.deepEqual(memory.sweep(10_999).find(edits[0]), answer);
-  memory = memory.sweep(11_000);
-  t.is(memory.find(edits[0]), undefined);
-  t.deepEqual(memory.find(edits[1]), answer);
+  record = record.add(edits[0], answer, 0).add(edits[1], answer, 5000);
+  t.is(record.find(edits[2])?.type, "refused");
+  t.deepEqual(record.sweep(10_999).find(edits[0]), answer);
+  record = record.sweep(11_000);
+  t.is(record.find(edits[0]), undefined);
+  t.deepEqual(record.find(edits[1]), answer);
 });
 
 test("an operation id used for another edit is refused", (t) => {
-  const memory = table.operations.Operations.create().add(
+  const record = table.operations.Operations.create().add(
     createEdit("a", [createChange(1)]),
     { type: "accepted", revision: 1 },
     0,
   );
-  const known = memory.find(createEdit("a", [createChange(2)]));
+  const known = record.find(createEdit("a", [createChange(2)]));
   t.is(known?.type, "refused");
 });
--- a/src/control/table/trie.ts
+++ b/src/control/table/trie.ts
@@ -1,9 +1,9 @@
-/** Immutable map from strings, whose changed copies share most of their nodes:
+/** Immutable hash array mapped trie with string keys. Copies share structure:
  * a change copies one path of at most seven small nodes.
  * @module */
 
-const BITS = 5;
-const WIDTH = 1 << BITS;
+const BITS_PER_LEVEL = 5;
+const BRANCH_WIDTH = 1 << BITS_PER_LEVEL;
 const HASH_BITS = 32;
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
@@ -17,19 +17,19 @@
 
 interface Branch<V> {
   type: "branch";
-  /** Bit `n` is set when slot `n` is taken. */
+  /** Bit `n` is set if slot `n` is used. */
   map: number;
   nodes: readonly Node<V>[];
 }
 
-/** Keys whose whole hash is equal. */
-interface Bucket<V> {
-  type: "bucket";
+/** Keys with the same hash. */
+interface Collision<V> {
+  type: "collision";
   hash: number;
   leaves: readonly Leaf<V>[];
 }
 
-type Node<V> = Leaf<V> | Branch<V> | Bucket<V>;
+type Node<V> = Leaf<V> | Branch<V> | Collision<V>;
 
 /** Immutable map from strings to `V`. */
 export class Trie<V> {
@@ -42,20 +42,20 @@
     this.size = size;
   }
 
-  /** A map of `entries`; the later of two equal keys stands. */
+  /** Creates a map of `entries`; of two equal keys the later one wins. */
   static create<V>(entries: Iterable<readonly [string, V]> = []): Trie<V> {
     let trie = new Trie<V>(undefined, 0);
     for (const [key, value] of entries) trie = trie.set(key, value);
     return trie;
   }
 
-  /** The value of `key`, if it has one. */
+  /** Returns the value of `key`, if it has one. */
   get(key: string): V | undefined {
     if (this.#root === undefined) return undefined;
     return find(this.#root, key)?.value;
   }
 
-  /** A copy in which `key` has `value`. */
+  /** Returns a copy in which `key` has `value`. */
   set(key: string, value: V): Trie<V> {
     const leaf: Leaf<V> = { type: "leaf", hash: hashOf(key), key, value };
     if (this.#root === undefined) return new Trie<V>(leaf, 1);
@@ -63,20 +63,22 @@
     return new Trie(insert(this.#root, leaf, 0), this.size + (known ? 0 : 1));
   }
 
-  /** A copy without `key`. */
+  /** Returns a copy without `key`. */
   delete(key: string): Trie<V> {
     if (this.#root === undefined || !find(this.#root, key)) return this;
     const leaf = { hash: hashOf(key), key };
     return new Trie(remove(this.#root, leaf, 0), this.size - 1);
   }
 
-  /** All keys with their values, in an order that only the keys decide. */
+  /** Yields all keys with their values, in an order that depends on the keys
+   * only. */
   *entries(): Generator<[string, V]> {
     if (this.#root !== undefined) yield* walk(this.#root);
   }
 }
 
-/** Hash of `key` (FNV-1a, 32 bits); also spreads hosts over publishers. */
+/** Returns the 32-bit FNV-1a hash of `key`; also used to distribute hosts over
+ * publishers. */
 export function hashOf(key: string): number {
   let hash = FNV_OFFSET;
   for (let pos = 0; pos < key.length; pos++) {
@@ -88,7 +90,7 @@
 function find<V>(root: Node<V>, key: string): Leaf<V> | undefined {
   const hash = hashOf(key);
   let node: Node<V> = root;
-  for (let shift = 0; node.type === "branch"; shift += BITS) {
+  for (let shift = 0; node.type === "branch"; shift += BITS_PER_LEVEL) {
     const bit = bitOf(hash, shift);
     if ((node.map & bit) === 0) return undefined;
     node = node.nodes[slotOf(node.map, bit)];
@@ -98,16 +100,16 @@
 }
 
 function insert<V>(node: Node<V>, leaf: Leaf<V>, shift: number): Node<V> {
-  if (node.type === "branch") return insertBelow(node, leaf, shift);
+  if (node.type === "branch") return insertIntoBranch(node, leaf, shift);
   if (node.type === "leaf" && node.key === leaf.key) return leaf;
   if (node.hash === leaf.hash) {
     const leaves = node.type === "leaf" ? [node] : node.leaves;
-    return bucketOf([...leaves.filter(({ key }) => key !== leaf.key), leaf]);
+    return collisionOf([...leaves.filter(({ key }) => key !== leaf.key), leaf]);
   }
-  return join(node, leaf, shift);
+  return splitLeaves(node, leaf, shift);
 }
 
-function insertBelow<V>(
+function insertIntoBranch<V>(
   { map, nodes }: Branch<V>,
   leaf: Leaf<V>,
   shift: number,
@@ -118,8 +120,8 @@
     const grown = [...nodes.slice(0, slot), leaf, ...nodes.slice(slot)];
     return { type: "branch", map: map | bit, nodes: grown };
   }
-  const below = insert(nodes[slot], leaf, shift + BITS);
-  return { type: "branch", map, nodes: nodes.with(slot, below) };
+  const child = insert(nodes[slot], leaf, shift + BITS_PER_LEVEL);
+  return { type: "branch", map, nodes: nodes.with(slot, child) };
 }
 
 function remove<V>(
@@ -128,53 +130,58 @@
   shift: number,
 ): Node<V> | undefined {
   if (node.type === "leaf") return undefined;
-  if (node.type === "bucket") {
-    return bucketOf(node.leaves.filter(({ key }) => key !== leaf.key));
+  if (node.type === "collision") {
+    return collisionOf(node.leaves.filter(({ key }) => key !== leaf.key));
   }
   const bit = bitOf(leaf.hash, shift);
   const slot = slotOf(node.map, bit);
-  const below = remove(node.nodes[slot], leaf, shift + BITS);
-  if (below !== undefined) return fold(node.map, node.nodes.with(slot, below));
-  return fold(node.map & ~bit, node.nodes.toSpliced(slot, 1));
+  const child = remove(node.nodes[slot], leaf, shift + BITS_PER_LEVEL);
+  if (child !== undefined) {
+    return collapse(node.map, node.nodes.with(slot, child));
+  }
+  return collapse(node.map & ~bit, node.nodes.toSpliced(slot, 1));
 }
 
-/** A branch, or its only node when that needs no branch above it. */
-function fold<V>(map: number, nodes: readonly Node<V>[]): Node<V> | undefined {
+/** Returns a branch, or its only node if that is not a branch itself. */
+function collapse<V>(
+  map: number,
+  nodes: readonly Node<V>[],
+): Node<V> | undefined {
   if (nodes.length === 0) return undefined;
   if (nodes.length === 1 && nodes[0].type !== "branch") return nodes[0];
   return { type: "branch", map, nodes };
 }
 
-function join<V>(
-  node: Leaf<V> | Bucket<V>,
+function splitLeaves<V>(
+  node: Leaf<V> | Collision<V>,
   leaf: Leaf<V>,
   shift: number,
 ): Node<V> {
   const one = bitOf(node.hash, shift);
   const other = bitOf(leaf.hash, shift);
   if (one === other && shift < HASH_BITS) {
-    const below = join(node, leaf, shift + BITS);
-    return { type: "branch", map: one, nodes: [below] };
+    const child = splitLeaves(node, leaf, shift + BITS_PER_LEVEL);
+    return { type: "branch", map: one, nodes: [child] };
   }
   const nodes = (one >>> 0) < (other >>> 0) ? [node, leaf] : [leaf, node];
   return { type: "branch", map: one | other, nodes };
 }
 
-function bucketOf<V>(leaves: readonly Leaf<V>[]): Node<V> {
+function collisionOf<V>(leaves: readonly Leaf<V>[]): Node<V> {
   if (leaves.length === 1) return leaves[0];
   const sorted = leaves.toSorted((a, b) => a.key < b.key ? -1 : 1);
-  return { type: "bucket", hash: leaves[0].hash, leaves: sorted };
+  return { type: "collision", hash: leaves[0].hash, leaves: sorted };
 }
 
 function* walk<V>(node: Node<V>): Generator<[string, V]> {
   if (node.type === "leaf") yield [node.key, node.value];
-  else if (node.type === "bucket") {
+  else if (node.type === "collision") {
     for (const leaf of node.leaves) yield* walk(leaf);
   } else for (const below of node.nodes) yield* walk(below);
 }
 
 function bitOf(hash: number, shift: number): number {
-  return 1 << ((hash >>> shift) & (WIDTH - 1));
+  return 1 << ((hash >>> shift) & (BRANCH_WIDTH - 1));
 }
 
 function slotOf(map: number, bit: number): number {
--- a/src/control/table/trie_test.ts
+++ b/src/control/table/trie_test.ts
@@ -3,14 +3,14 @@
 import * as table from "./mod.ts";
 
 const SEED = 5;
-// The first two have one FNV-1a hash.
+// The first two have the same FNV-1a hash.
 const keys = [
   "costarring",
   "liquid",
   ...Array.from({ length: 80 }, (_, n) => `k${n}`),
 ];
 
-test("behaves as a map, and its copies stay as they were", (t) => {
+test("a trie behaves as a map, and changes leave earlier copies intact", (t) => {
   const anySteps = fc.array(
     fc.tuple(fc.constantFrom(...keys), fc.option(fc.integer())),
     { maxLength: 200 },
@@ -37,7 +37,7 @@
   t.is(table.hashOf(keys[0]), table.hashOf(keys[1]));
 });
 
-test("finds what is due, and the same after a long gap", (t) => {
+test("a sweep returns the keys that are due, also after a long gap", (t) => {
   const many = Array.from({ length: 50 }, (_, n) => `k${n}`);
   let expiry = table.ExpiryIndex.create(0);
   many.forEach((key, pos) => expiry = expiry.add(key, pos * 1000 + 500));
