--- a/src/control/claims/claims.ts
+++ b/src/control/claims/claims.ts
@@ -1,26 +1,28 @@
-/** Claims on idempotency keys: who may run a request, and how it ended. A key
- * is granted once; whatever happens to its holder, it is not granted again
- * until the record has been kept for the stated time.
+/** Claims on idempotency keys: which host may run a request, and the outcome of
+ * the request. A key is granted once; even if its holder fails, it is not
+ * granted again before the record of the claim has expired.
  * @module */
 
 import type * as schema from "../../schema/command_types.ts";
 import * as trie from "../table/trie.ts";
 import * as expiry from "../table/expiry_index.ts";
 
-/** Bounds of the claims; equal on all replicas. */
+/** Bounds of the claims; must be equal on all replicas. */
 export interface Limits {
-  /** Milliseconds that a claim's outcome is kept after its lease. */
+  /** Time for which a claim is kept after the end of its lease. */
   retentionMs: number;
-  /** Most claims; past it new ones are refused as not run. */
+  /** Maximum number of claims; when it is reached, new claims are refused as not
+   * run. */
   maxCount: number;
-  /** Characters of all kept answers; past it only outcomes are kept. */
+  /** Maximum number of characters of all stored answers together; past it only
+   * outcomes are stored. */
   maxTotalAnswerLength: number;
-  /** Characters of one kept answer. */
+  /** Maximum number of characters of one stored answer. */
   maxAnswerLength: number;
 }
 
-/** Ten minutes, longer than any deadline and the resends after it. A claim
- * takes about 1 KB without its answer, so the memory is bounded by 40 MB. */
+/** Ten minutes exceed any deadline and the retries after it. A claim takes about
+ * 1 KB without its answer, which bounds the memory to 40 MB. */
 export const LIMITS: Limits = {
   retentionMs: 600_000,
   maxCount: 32_768,
@@ -28,26 +30,26 @@
   maxAnswerLength: 64 * 1024,
 };
 
-/** How a claimed request ended. */
+/** Outcome of a claimed request. */
 export type Outcome = "ran" | "unknown";
 
-/** What is known of one key. */
+/** The claim on one key. */
 export interface Claim {
   readonly key: string;
   readonly fingerprint: string;
-  /** Id of the claim command, which the holder settles with. */
+  /** Id of the claim command; the holder must state it to settle the claim. */
   readonly token: string;
   readonly host: string;
   readonly incarnation: number;
-  /** Machine time at which a holder that has not settled counts as lost. */
+  /** Machine time at which a claim that is not settled counts as lost. */
   readonly expires: number;
-  /** Absent while the request runs. */
+  /** Absent while the request is running. */
   readonly outcome?: Outcome;
-  /** Absent too when it was too large to keep. */
+  /** The stored answer; absent also if it was too large to store. */
   readonly answer?: schema.StoredAnswer;
 }
 
-/** Answer to a claim. */
+/** Reply to a claim command. */
 export type ClaimReply =
   | { type: "granted"; token: string }
   | { type: "held"; host: string }
@@ -56,10 +58,11 @@
   | { type: "mismatch" }
   | { type: "full" };
 
-/** Answer to a settlement; `lost` when the token no longer holds the key. */
+/** Reply to a settle command; `lost` if the token does not hold the key any
+ * more. */
 export type SettleReply = { type: "settled" } | { type: "lost" };
 
-/** Claims after a command, and its answer. */
+/** The claims after a command, and the reply to it. */
 export interface Step<R> {
   claims: Claims;
   reply: R;
@@ -71,25 +74,25 @@
   incarnations: Record<string, number>;
 }
 
-interface Parts {
+interface State {
   limits: Limits;
   claims: trie.Trie<Claim>;
   due: expiry.ExpiryIndex;
-  /** Characters of all kept answers. */
+  /** Characters of all stored answers together. */
   bytes: number;
-  /** Lowest incarnation of each host that may still run something. */
+  /** Lowest incarnation of each host that may still be running requests. */
   incarnations: Readonly<Record<string, number>>;
 }
 
-/** Immutable set of claims. */
+/** Immutable claims on idempotency keys. */
 export class Claims {
-  readonly #parts: Parts;
+  readonly #state: State;
 
-  private constructor(parts: Parts) {
-    this.#parts = parts;
+  private constructor(parts: State) {
+    this.#state = parts;
   }
 
-  /** No claims yet. */
+  /** Creates an empty set of claims. */
   static create(limits: Limits = LIMITS, now = 0): Claims {
     return new Claims({
       limits,
@@ -100,43 +103,43 @@
     });
   }
 
-  /** The claims that `toJSON` wrote at machine time `now`. */
+  /** Restores the claims that `toJSON` returned at machine time `now`. */
   static fromJSON(json: ClaimsJSON, limits: Limits = LIMITS, now = 0): Claims {
     let claims = Claims.create(limits, now);
     for (const claim of json.claims) claims = claims.#put(claim);
     return claims.#with({ incarnations: json.incarnations });
   }
 
-  /** Claims in order of their keys. */
+  /** Returns the claims in order of their keys. */
   toJSON(): ClaimsJSON {
-    const claims = [...this.#parts.claims.entries()].map(([, claim]) => claim)
+    const claims = [...this.#state.claims.entries()].map(([, claim]) => claim)
       .sort((a, b) => a.key < b.key ? -1 : 1);
-    return { claims, incarnations: this.#parts.incarnations };
+    return { claims, incarnations: this.#state.incarnations };
   }
 
-  /** Number of keys known. */
+  /** Number of claimed keys. */
   get size(): number {
-    return this.#parts.claims.size;
+    return this.#state.claims.size;
   }
 
-  /** Characters of the answers kept. */
+  /** Characters of all stored answers together. */
   get bytes(): number {
-    return this.#parts.bytes;
+    return this.#state.bytes;
   }
 
-  /** Grants the key, or says what is known of it. */
+  /** Grants a key, or replies with the state of the existing claim on it. */
   claim(command: schema.ClaimCommand, now: number): Step<ClaimReply> {
-    const seen = this.#retire(command.host, command.incarnation);
-    const known = seen.#parts.claims.get(command.key);
+    const updated = this.#withIncarnation(command.host, command.incarnation);
+    const known = updated.#state.claims.get(command.key);
     if (known !== undefined) {
-      return { claims: seen, reply: seen.#known(known, command, now) };
+      return { claims: updated, reply: updated.#replyFor(known, command, now) };
     }
-    if (seen.size >= seen.#parts.limits.maxCount) {
-      return { claims: seen, reply: { type: "full" } };
+    if (updated.size >= updated.#state.limits.maxCount) {
+      return { claims: updated, reply: { type: "full" } };
     }
     const { key, fingerprint, id: token, host, incarnation, lease } = command;
     const expires = now + lease;
-    const claims = seen.#put({
+    const claims = updated.#put({
       key,
       fingerprint,
       token,
@@ -147,44 +150,50 @@
     return { claims, reply: { type: "granted", token } };
   }
 
-  /** Ends a claim; `not-run` frees its key. */
+  /** Settles a claim; the outcome `not-run` releases its key. */
   settle(command: schema.SettleCommand): Step<SettleReply> {
-    const known = this.#parts.claims.get(command.key);
+    const known = this.#state.claims.get(command.key);
     if (known === undefined || known.token !== command.token) {
       return { claims: this, reply: { type: "lost" } };
     }
     const reply: SettleReply = { type: "settled" };
-    // What ran stays ran: a late or doubled settlement changes nothing.
+    // The outcome `ran` is final: a late or duplicate settlement is ignored.
     if (known.outcome === "ran") return { claims: this, reply };
     if (command.outcome === "not-run") {
       return { claims: this.#drop(known), reply };
     }
     const { answer: _, ...rest } = known;
-    const answer = this.#fits(command.answer) ? command.answer : undefined;
+    const answer = this.#canStore(command.answer) ? command.answer : undefined;
     const settled: Claim = { ...rest, outcome: command.outcome, answer };
     return { claims: this.#put(settled), reply };
   }
 
-  /** Notes that `host` runs nothing from before `incarnation` any more. */
+  /** Records that runs of `host` with an incarnation below `incarnation` have
+   * ended; their unsettled claims count as lost. */
   retire(host: string, incarnation: number): Claims {
-    return this.#retire(host, incarnation);
+    return this.#withIncarnation(host, incarnation);
   }
 
-  /** Lowest incarnation of `host` that may still run something. */
+  /** Returns the lowest incarnation of `host` that may still be running
+   * requests. */
   lowestIncarnation(host: string): number {
-    return this.#parts.incarnations[host] ?? 0;
+    return this.#state.incarnations[host] ?? 0;
   }
 
-  /** A copy without what has been kept long enough at `now`. */
+  /** Returns a copy without the claims that have expired at `now`. */
   sweep(now: number): Claims {
-    const { expiry: due, keys } = this.#parts.due.sweep(now);
-    if (due === this.#parts.due) return this;
+    const { expiry: due, keys } = this.#state.due.sweep(now);
+    if (due === this.#state.due) return this;
     let claims = this.#with({ due });
     for (const key of keys) claims = claims.#expire(key, now);
     return claims;
   }
 
-  #known(claim: Claim, command: schema.ClaimCommand, now: number): ClaimReply {
+  #replyFor(
+    claim: Claim,
+    command: schema.ClaimCommand,
+    now: number,
+  ): ClaimReply {
     if (claim.fingerprint !== command.fingerprint) return { type: "mismatch" };
     if (claim.answer !== undefined) {
       return { type: "answered", answer: claim.answer };
@@ -192,20 +201,20 @@
     if (claim.outcome !== undefined) {
       return { type: "ended", outcome: claim.outcome };
     }
-    if (this.#lost(claim, now)) return { type: "ended", outcome: "unknown" };
-    // A resend of the command that was granted.
+    if (this.#isLost(claim, now)) return { type: "ended", outcome: "unknown" };
+    // The command is a resend of the one that was granted.
     if (claim.token === command.id) {
       return { type: "granted", token: claim.token };
     }
     return { type: "held", host: claim.host };
   }
 
-  #lost({ host, incarnation, expires }: Claim, now: number): boolean {
+  #isLost({ host, incarnation, expires }: Claim, now: number): boolean {
     return now >= expires || incarnation < this.lowestIncarnation(host);
   }
 
-  #retire(host: string, incarnation: number): Claims {
-    const { incarnations } = this.#parts;
+  #withIncarnation(host: string, incarnation: number): Claims {
+    const { incarnations } = this.#state;
     if ((incarnations[host] ?? -1) >= incarnation) return this;
     return this.#with({
       incarnations: { ...incarnations, [host]: incarnation },
@@ -213,44 +222,46 @@
   }
 
   #expire(key: string, now: number): Claims {
-    const claim = this.#parts.claims.get(key);
+    const claim = this.#state.claims.get(key);
     if (claim === undefined) return this;
-    if (!expiry.isSwept(this.#until(claim), now)) return this;
+    if (!expiry.isSwept(this.#removalTime(claim), now)) return this;
     return this.#drop(claim);
   }
 
-  #until(claim: Claim): number {
-    return claim.expires + this.#parts.limits.retentionMs;
+  #removalTime(claim: Claim): number {
+    return claim.expires + this.#state.limits.retentionMs;
   }
 
-  #fits(answer: schema.StoredAnswer | undefined): boolean {
+  #canStore(answer: schema.StoredAnswer | undefined): boolean {
     if (answer === undefined) return false;
-    const { bytes, limits } = this.#parts;
+    const { bytes, limits } = this.#state;
     const size = sizeOf(answer);
     return size <= limits.maxAnswerLength &&
       bytes + size <= limits.maxTotalAnswerLength;
   }
 
   #put(claim: Claim): Claims {
-    const { claims, due, bytes } = this.#parts;
+    const { claims, due, bytes } = this.#state;
     const old = claims.get(claim.key);
     return this.#with({
       claims: claims.set(claim.key, claim),
-      due: old === undefined ? due.add(claim.key, this.#until(claim)) : due,
+      due: old === undefined
+        ? due.add(claim.key, this.#removalTime(claim))
+        : due,
       bytes: bytes + sizeOf(claim.answer) - sizeOf(old?.answer),
     });
   }
 
   #drop({ key, answer }: Claim): Claims {
-    const { claims, bytes } = this.#parts;
+    const { claims, bytes } = this.#state;
     return this.#with({
       claims: claims.delete(key),
       bytes: bytes - sizeOf(answer),
     });
   }
 
-  #with(parts: Partial<Parts>): Claims {
-    return new Claims({ ...this.#parts, ...parts });
+  #with(parts: Partial<State>): Claims {
+    return new Claims({ ...this.#state, ...parts });
   }
 }
 
--- a/src/control/claims/claims_test.ts
+++ b/src/control/claims/claims_test.ts
@@ -43,7 +43,7 @@
   };
 }
 
-test("a key is granted once, to a resend of its claim too", (t) => {
+test("a key is granted to one claim and to its resends only", (t) => {
   const { claims: one, reply } = claims.Claims.create().claim(
     createClaim("a"),
     0,
@@ -59,7 +59,7 @@
   });
 });
 
-test("a settled claim gives its answer, also once its lease is over", (t) => {
+test("a settled claim returns its answer, also after its lease has expired", (t) => {
   const granted = claims.Claims.create().claim(createClaim("a"), 0).claims;
   const { claims: settled, reply } = granted.settle(createSettle("a"));
   t.is(reply.type, "settled");
@@ -69,7 +69,7 @@
   });
 });
 
-test("a claim whose holder restarted or ran out of time has ended unknown", (t) => {
+test("the outcome is unknown when the holder restarts or its lease expires", (t) => {
   const granted = claims.Claims.create().claim(createClaim("a"), 0).claims;
   const ended = { type: "ended", outcome: "unknown" };
   const restarted = createClaim("b", { incarnation: 2 });
@@ -77,12 +77,12 @@
   const retired = granted.retire("h1", 2);
   t.deepEqual(retired.claim(createClaim("b", { host: "h2" }), 1).reply, ended);
   t.deepEqual(granted.claim(createClaim("b"), 5000).reply, ended);
-  // The holder was only slow: its answer still counts.
+  // A settlement that arrives late is still accepted.
   const late = retired.settle(createSettle("a")).claims;
   t.is(late.claim(createClaim("b"), 6000).reply.type, "answered");
 });
 
-test("a claim that was not run frees its key, once", (t) => {
+test("settling a claim as not run releases its key, once", (t) => {
   const granted = claims.Claims.create().claim(createClaim("a"), 0).claims;
   const settle = createSettle("a", { outcome: "not-run", answer: undefined });
   const freed = granted.settle(settle).claims;
@@ -92,7 +92,7 @@
   t.is(again.claims.claim(createClaim("c"), 2).reply.type, "held");
 });
 
-test("full claims refuse new keys and never forget early", (t) => {
+test("new keys are refused when the claims are full, and none expires early", (t) => {
   let full = claims.Claims.create(LIMITS);
   for (const key of ["1", "2", "3"]) {
     full = full.claim(createClaim(key, { key }), 0).claims;
@@ -103,7 +103,7 @@
   t.is(full.sweep(16_000).claim(next, 16_000).reply.type, "granted");
 });
 
-test("an answer past the bounds leaves the outcome", (t) => {
+test("only the outcome is stored when an answer is too long", (t) => {
   const granted = claims.Claims.create(LIMITS).claim(createClaim("a"), 0);
   const answer = { status: 200, body: "x".repeat(61) };
   const settled = granted.claims.settle(createSettle("a", { answer })).claims;
@@ -130,8 +130,8 @@
 
 type Steps = typeof anySteps extends fc.Arbitrary<infer T> ? T : never;
 
-/** Whether no key is granted to two tokens within the time that it is kept,
- * unless the first was settled as not run. */
+/** Whether no key is granted to two tokens within its retention time, unless
+ * the first one was settled as not run. */
 function grantsOnce(machine: table.StateMachine, steps: Steps): boolean {
   let state = machine.empty;
   const granted = new Map<string, { token: string; until: number }>();
@@ -154,14 +154,14 @@
       }
     }
     const freed = step.reply.type === "settled" && rest.outcome === "not-run";
-    if (freed && owner?.token === id && !hasRun(state, rest.key)) {
+    if (freed && owner?.token === id && !isRecorded(state, rest.key)) {
       granted.delete(rest.key);
     }
   }
   return state.claims.size <= LIMITS.maxCount;
 }
 
-function hasRun(state: table.State, key: string): boolean {
+function isRecorded(state: table.State, key: string): boolean {
   return state.claims.toJSON().claims.some((claim) => claim.key === key);
 }
 
@@ -187,7 +187,7 @@
   });
 }
 
-test("no key is granted twice over resends, restarts and lost hosts", (t) => {
+test("no key is granted twice despite resends, restarts and lost hosts", (t) => {
   const machine = createMachine();
   fc.assert(fc.property(anySteps, (steps) => grantsOnce(machine, steps)), {
     seed: SEED,
@@ -196,7 +196,7 @@
   t.pass();
 });
 
-test("the check finds claims that are forgotten too early", (t) => {
+test("the check detects claims that are dropped too early", (t) => {
   const machine = createMachine({ ...LIMITS, retentionMs: 2000 });
   const property = fc.property(anySteps, (steps) => grantsOnce(machine, steps));
   t.true(fc.check(property, { seed: SEED, numRuns: 400 }).failed);
--- a/src/control/claims/mod.ts
+++ b/src/control/claims/mod.ts
@@ -1,4 +1,4 @@
-/** Claims on idempotency keys.
+/** Claims on idempotency keys, as part of the replicated state.
  * @module */
 
 export * from "./claims.ts";
