--- a/src/control/watch/forwarder_test.ts
+++ b/src/control/watch/forwarder_test.ts
@@ -40,14 +40,14 @@
   return fail?.failure;
 }
 
-test("follows the hint to the leader under the same id", (t) => {
+test("resends to the leader that a refusal names, with the same id", (t) => {
   const { forwarder } = propose();
   const hint = answer("r1", "not-leader", { leader: "r3" });
   const { effects } = forwarder.step(hint, 1);
   t.like(effects[0], { to: "r3", body: { attempt: 2, command: { id: "c1" } } });
 });
 
-test("says no-quorum only when every attempt was refused", (t) => {
+test("fails with no-quorum only if every attempt was refused", (t) => {
   const { forwarder } = propose();
   const refused = forwarder.step(answer("r1", "no-quorum"), 1).forwarder;
   const end = { type: "tick" as const };
@@ -55,7 +55,8 @@
   t.is(failureOf(forwarder.step(end, TIMEOUT).effects), "unknown");
 });
 
-test("an attempt without an answer stays open when later ones are refused", (t) => {
+// The first attempt may have been applied although the second was refused.
+test("the outcome is unknown if an attempt before a refused one has no result", (t) => {
   const resent = propose().forwarder.step({ type: "tick" }, 500).forwarder;
   const refusal = answer("r2", "no-quorum", { attempt: 2 });
   const { forwarder } = resent.step(refusal, 501);
@@ -63,7 +64,7 @@
   t.is(failureOf(effects), "unknown");
 });
 
-test("a command server answers an attempt that came twice only once", async (t) => {
+test("a command server ignores a duplicate of an attempt", async (t) => {
   const sent: schema.Result[] = [];
   let proposed = 0;
   const server = watch.CommandServer.create({
@@ -82,9 +83,13 @@
   t.is(sent[0].status, "applied");
 });
 
-/** One machine behind a network that loses and doubles; each voter refuses at
- * times. Returns whether every command had the effect that was reported. */
-async function keepsWord(seed: number, word: string): Promise<boolean> {
+/** Simulates voters with one state machine that refuse some commands, and a
+ * network that loses and duplicates messages. Returns whether the command had
+ * the reported effect; a failure `unknown` is evaluated as `unknownAs`. */
+async function reportsTruthfully(
+  seed: number,
+  unknownAs: string,
+): Promise<boolean> {
   const random = runtime.createRandom(seed);
   const machine = table.createStateMachine();
   let state = machine.empty;
@@ -112,7 +117,9 @@
     for (const effect of effects) {
       if (effect.type === "reply") return applied === 1;
       if (effect.type === "fail") {
-        const failure = effect.failure === "unknown" ? word : effect.failure;
+        const failure = effect.failure === "unknown"
+          ? unknownAs
+          : effect.failure;
         return failure === "unknown" || applied === 0;
       }
       if (effect.type !== "send" || random.next() < 0.2) continue;
@@ -134,22 +141,22 @@
       effects.push(...step.effects);
     }
   }
-  // Neither answered nor given up.
+  // The command has neither a reply nor a failure.
   return false;
 }
 
-async function countBroken(word: string): Promise<number> {
+async function countMisreports(unknownAs: string): Promise<number> {
   let broken = 0;
   for (let seed = 1; seed <= 400; seed++) {
-    if (!(await keepsWord(seed, word))) broken++;
+    if (!(await reportsTruthfully(seed, unknownAs))) broken++;
   }
   return broken;
 }
 
-test("an edit is applied once if answered, never if said to be refused", async (t) => {
-  t.is(await countBroken("unknown"), 0);
+test("an edit is applied once if it got a reply, and never if it was refused", async (t) => {
+  t.is(await countMisreports("unknown"), 0);
 });
 
-test("the check finds a forwarder that says no-quorum for unknown", async (t) => {
-  t.true(await countBroken("no-quorum") > 0);
+test("the check detects a forwarder that reports unknown as no-quorum", async (t) => {
+  t.true(await countMisreports("no-quorum") > 0);
 });
--- a/src/control/watch/mod.ts
+++ b/src/control/watch/mod.ts
@@ -1,5 +1,5 @@
-/** How hosts without the replicated log follow the table and bring their
- * commands to the leader.
+/** Protocol by which hosts without a replica of the log watch the table and
+ * forward their commands to the leader.
  * @module */
 
 export * from "./command_server.ts";
--- a/src/control/watch/observer.ts
+++ b/src/control/watch/observer.ts
@@ -1,38 +1,38 @@
-/** A host that watches a replica and serves the table to further hosts: a
- * watcher whose news go to a publisher.
+/** A host that watches a replica of the log and publishes the table to further
+ * hosts: a watcher whose updates are fed to a publisher.
  * @module */
 
 import type * as table from "../table/mod.ts";
 import * as publishers from "./publisher.ts";
 import * as watchers from "./watcher.ts";
 
-/** What an observer asks for: a send, or what a watcher reports. There is one
- * wake, for whichever of the two is due first. */
+/** Action that an observer requests: a send of its publisher, or any effect of
+ * its watcher. A step has one `wake`, for the earlier of the two. */
 export type ObserverEffect = watchers.WatcherEffect;
 
-/** An observer after an event, and what it asks for. */
+/** An observer after an event, and the actions it requests. */
 export interface ObserverStep {
   observer: Observer;
   effects: ObserverEffect[];
 }
 
-interface Parts {
+interface State {
   watcher: watchers.Watcher;
   publisher: publishers.Publisher;
-  /** When each of the two is due. */
+  /** Times at which the watcher and the publisher need a `tick`. */
   watcherAt: number;
   publisherAt: number;
 }
 
-/** Immutable state of an observer; takes the events of a watcher. */
+/** Immutable state machine of an observer; handles the events of a watcher. */
 export class Observer {
-  readonly #parts: Parts;
+  readonly #state: State;
 
-  private constructor(parts: Parts) {
-    this.#parts = parts;
+  private constructor(parts: State) {
+    this.#state = parts;
   }
 
-  /** An observer of `replicas`, in order of preference. */
+  /** Creates an observer of `replicas`, which are in order of preference. */
   static create(replicas: readonly string[]): Observer {
     const watcher = watchers.Watcher.create(replicas);
     return new Observer({
@@ -43,86 +43,87 @@
     });
   }
 
-  /** The newest table that it has. */
+  /** The newest table received. */
   get table(): table.Table {
-    return this.#parts.watcher.table;
+    return this.#state.watcher.table;
   }
 
-  /** Takes in `event` at `now`; a wake asks for a `tick`. */
+  /** Handles `event` at `now`; the effect `wake` requests a `tick` at its
+   * time. */
   step(event: watchers.WatcherEvent, now: number): ObserverStep {
-    const turn: Turn = { now, effects: [] };
-    let parts = this.#parts;
-    if (event.type === "message" && isRequest(event.body.type)) {
-      parts = publish(parts, event, turn);
+    const context: StepContext = { now, effects: [] };
+    let parts = this.#state;
+    if (event.type === "message" && isSubscriberMessage(event.body.type)) {
+      parts = stepPublisher(parts, event, context);
     } else {
-      parts = watch(parts, event, turn);
-      if (event.type === "tick") parts = publish(parts, event, turn);
+      parts = stepWatcher(parts, event, context);
+      if (event.type === "tick") parts = stepPublisher(parts, event, context);
     }
     const at = Math.min(parts.watcherAt, parts.publisherAt);
-    if (at !== Infinity) turn.effects.push({ type: "wake", at });
-    return { observer: new Observer(parts), effects: turn.effects };
+    if (at !== Infinity) context.effects.push({ type: "wake", at });
+    return { observer: new Observer(parts), effects: context.effects };
   }
 
-  /** Whether its replica is in touch with the quorum. */
+  /** Whether the watched replica is in contact with the quorum. */
   get current(): boolean {
-    return this.#parts.watcher.current;
+    return this.#state.watcher.current;
   }
 
-  /** Host that takes edits, if known. */
+  /** Leader of the log, if known. */
   get leader(): string | undefined {
-    return this.#parts.watcher.leader;
+    return this.#state.watcher.leader;
   }
 
-  /** State for people. */
+  /** Returns the state for a dump. */
   dump(): unknown {
-    const { watcher, publisher } = this.#parts;
+    const { watcher, publisher } = this.#state;
     return { watcher: watcher.dump(), publisher: publisher.dump() };
   }
 }
 
-interface Turn {
+interface StepContext {
   now: number;
   effects: ObserverEffect[];
 }
 
-function isRequest(type: string): boolean {
+function isSubscriberMessage(type: string): boolean {
   return type === "subscribe" || type === "leave";
 }
 
-function watch(
-  parts: Parts,
+function stepWatcher(
+  parts: State,
   event: watchers.WatcherEvent,
-  turn: Turn,
-): Parts {
-  const { watcher, effects } = parts.watcher.step(event, turn.now);
-  let next: Parts = { ...parts, watcher, watcherAt: Infinity };
+  context: StepContext,
+): State {
+  const { watcher, effects } = parts.watcher.step(event, context.now);
+  let next: State = { ...parts, watcher, watcherAt: Infinity };
   for (const effect of effects) {
     if (effect.type === "wake") {
       next = { ...next, watcherAt: effect.at };
       continue;
     }
-    turn.effects.push(effect);
+    context.effects.push(effect);
     if (effect.type === "table") {
       const { table, written } = effect;
-      next = publish(next, { type: "commit", table, written }, turn);
+      next = stepPublisher(next, { type: "commit", table, written }, context);
     } else if (effect.type === "status") {
       const { current, leader } = effect;
-      next = publish(next, { type: "status", current, leader }, turn);
+      next = stepPublisher(next, { type: "status", current, leader }, context);
     }
   }
   return next;
 }
 
-function publish(
-  parts: Parts,
+function stepPublisher(
+  parts: State,
   event: publishers.PublisherEvent,
-  turn: Turn,
-): Parts {
-  const { publisher, effects } = parts.publisher.step(event, turn.now);
+  context: StepContext,
+): State {
+  const { publisher, effects } = parts.publisher.step(event, context.now);
   let publisherAt = Infinity;
   for (const effect of effects) {
     if (effect.type === "wake") publisherAt = effect.at;
-    else turn.effects.push(effect);
+    else context.effects.push(effect);
   }
   return { ...parts, publisher, publisherAt };
 }
--- a/src/control/watch/publisher.ts
+++ b/src/control/watch/publisher.ts
@@ -1,26 +1,27 @@
-/** Publishes the table to hosts that watch it. Runs on replicas of the log,
- * and on observers, which watch a replica themselves and serve other hosts.
+/** Publishes the table to subscribers. Runs on replicas of the log and on
+ * observers, which watch a replica themselves.
  * @module */
 
 import type * as schema from "../../schema/watch_types.ts";
 import * as table from "../table/mod.ts";
 import * as message from "./snapshot.ts";
 
-/** Milliseconds after which a watcher with nothing new hears so. */
+/** Time after which a subscriber without updates is sent a keepalive. */
 export const KEEPALIVE_INTERVAL_MS = 500;
-/** Milliseconds over which commits are gathered into one delta. */
-const BATCH = 20;
-/** Milliseconds after which a watcher that did not renew is forgotten. */
-const FORGET = 6000;
-/** Cells of the newest deltas kept; older watchers get a snapshot. */
-const HISTORY_CELLS = 4096;
-const HISTORY_EDITS = 1024;
-
-/** What a publisher hears. */
+/** Time over which commits are combined into one delta. */
+const BATCH_WINDOW_MS = 20;
+/** Time after which a subscription that was not renewed expires. */
+const SUBSCRIPTION_TTL_MS = 6000;
+/** Bounds of the history of changes; a subscriber that is further behind gets a
+ * snapshot. */
+const MAX_HISTORY_CELLS = 4096;
+const MAX_HISTORY_EDITS = 1024;
+
+/** Input of a publisher. */
 export type PublisherEvent =
   | {
-    /** The table moved on; `written` is absent when it is not known what
-     * changed. */
+    /** The table has a newer revision; `written` is absent if the changed cells
+     * are unknown. */
     type: "commit";
     table: table.Table;
     written?: readonly table.CellWrite[];
@@ -29,43 +30,43 @@
   | { type: "message"; from: string; body: schema.Message }
   | { type: "tick" };
 
-/** What a publisher asks for. */
+/** Action that a publisher requests. */
 export type PublisherEffect =
   | { type: "send"; to: string; body: schema.Message }
   | { type: "wake"; at: number };
 
-/** A publisher after an event, and what it asks for. */
+/** A publisher after an event, and the actions it requests. */
 export interface PublisherStep {
   publisher: Publisher;
   effects: PublisherEffect[];
 }
 
 interface Subscriber {
-  /** Revision up to which it was sent everything. */
+  /** Newest revision that was sent to it. */
   readonly sent: number;
   readonly renewed: number;
   readonly lastSend: number;
 }
 
-interface Edition {
+interface Revision {
   readonly revision: number;
   readonly written: readonly table.CellWrite[];
 }
 
 interface State {
   table: table.Table;
-  /** Newest changes without a gap, oldest first. */
-  history: readonly Edition[];
-  /** Revision before the first of `history`. */
+  /** Most recent changes without a gap, oldest first. */
+  history: readonly Revision[];
+  /** Revision before the first one of `history`. */
   from: number;
   subscribers: ReadonlyMap<string, Subscriber>;
   current: boolean;
   leader?: string;
-  /** When the gathered commits go out; undefined when there are none. */
+  /** When the batched commits are sent; undefined if there are none. */
   flushAt?: number;
 }
 
-/** Immutable state of a publisher. */
+/** Immutable state machine of a publisher. */
 export class Publisher {
   readonly #state: State;
 
@@ -73,7 +74,7 @@
     this.#state = state;
   }
 
-  /** A publisher that starts with `first`. */
+  /** Creates a publisher whose table is `first`. */
   static create(first: table.Table): Publisher {
     return new Publisher({
       table: first,
@@ -84,7 +85,8 @@
     });
   }
 
-  /** Takes in `event` at `now`; a wake asks for a `tick`. */
+  /** Handles `event` at `now`; the effect `wake` requests a `tick` at its
+   * time. */
   step(event: PublisherEvent, now: number): PublisherStep {
     const effects: PublisherEffect[] = [];
     const handler = handlers[event.type] as Handler<PublisherEvent>;
@@ -94,7 +96,7 @@
     return { publisher: new Publisher(state), effects };
   }
 
-  /** State for people. */
+  /** Returns the state for a dump. */
   dump(): unknown {
     const { table, history, current, leader, subscribers } = this.#state;
     return {
@@ -107,55 +109,55 @@
   }
 }
 
-interface Turn {
+interface StepContext {
   now: number;
   effects: PublisherEffect[];
-  /** Whether the status goes along with a delta. */
+  /** Whether the status is sent together with a delta. */
   status?: boolean;
 }
 
-type Handler<E> = (state: State, event: E, turn: Turn) => State;
+type Handler<E> = (state: State, event: E, context: StepContext) => State;
 
 const handlers: {
   [T in PublisherEvent["type"]]: Handler<Extract<PublisherEvent, { type: T }>>;
 } = {
-  commit: takeCommit,
-  status(state, { current, leader }, turn) {
+  commit: handleCommit,
+  status(state, { current, leader }, context) {
     const changed = current !== state.current || leader !== state.leader;
     const next = { ...state, current, leader };
-    return changed ? sendAll(next, { ...turn, status: true }, all) : next;
+    return changed ? sendAll(next, { ...context, status: true }, all) : next;
   },
-  message(state, { from, body }, turn) {
-    if (body.type === "leave") return forget(state, [from]);
+  message(state, { from, body }, context) {
+    if (body.type === "leave") return removeSubscribers(state, [from]);
     if (body.type !== "subscribe") return state;
-    const { now } = turn;
+    const { now } = context;
     const subscriber = { sent: body.revision, renewed: now, lastSend: now };
-    const known = addSubscriber(state, from, subscriber);
-    return sendTo(known, from, { ...turn, status: true });
+    const known = setSubscriber(state, from, subscriber);
+    return sendTo(known, from, { ...context, status: true });
   },
-  tick: takeTick,
+  tick: handleTick,
 };
 
-function takeCommit(
+function handleCommit(
   state: State,
   { table, written }: Extract<PublisherEvent, { type: "commit" }>,
-  { now }: Turn,
+  { now }: StepContext,
 ): State {
   const { revision } = table;
   if (revision <= state.table.revision) return state;
-  const flushAt = state.flushAt ?? now + BATCH;
+  const flushAt = state.flushAt ?? now + BATCH_WINDOW_MS;
   if (written === undefined) {
     return { ...state, table, history: [], from: revision, flushAt };
   }
   const history = [...state.history, { revision, written }];
-  return trim({ ...state, table, history, flushAt });
+  return trimHistory({ ...state, table, history, flushAt });
 }
 
-/** Drops the oldest history past the bounds. */
-function trim(state: State): State {
+/** Drops the oldest changes until the history is within its bounds. */
+function trimHistory(state: State): State {
   let { history, from } = state;
   let cells = history.reduce((sum, { written }) => sum + written.length, 0);
-  while (cells > HISTORY_CELLS || history.length > HISTORY_EDITS) {
+  while (cells > MAX_HISTORY_CELLS || history.length > MAX_HISTORY_EDITS) {
     const [first, ...rest] = history;
     cells -= first.written.length;
     from = first.revision;
@@ -164,17 +166,21 @@
   return { ...state, history, from };
 }
 
-function takeTick(state: State, _event: unknown, turn: Turn): State {
-  const { now } = turn;
+function handleTick(
+  state: State,
+  _event: unknown,
+  context: StepContext,
+): State {
+  const { now } = context;
   const silent = [...state.subscribers].filter(([, { renewed }]) =>
-    now >= renewed + FORGET
+    now >= renewed + SUBSCRIPTION_TTL_MS
   ).map(([host]) => host);
-  const known = forget(state, silent);
+  const known = removeSubscribers(state, silent);
   const flush = known.flushAt !== undefined && now >= known.flushAt;
   const next = flush ? { ...known, flushAt: undefined } : known;
   return sendAll(
     next,
-    turn,
+    context,
     ({ lastSend, sent }) =>
       now >= lastSend + KEEPALIVE_INTERVAL_MS ||
       (flush && sent < state.table.revision),
@@ -183,28 +189,28 @@
 
 function sendAll(
   state: State,
-  turn: Turn,
+  context: StepContext,
   due: (subscriber: Subscriber) => boolean,
 ): State {
   let next = state;
   for (const [host, subscriber] of state.subscribers) {
-    if (due(subscriber)) next = sendTo(next, host, turn);
+    if (due(subscriber)) next = sendTo(next, host, context);
   }
   return next;
 }
 
-/** Sends `to` what it lacks, or that there is nothing. */
-function sendTo(state: State, to: string, turn: Turn): State {
-  const { now, effects, status = false } = turn;
+/** Sends a subscriber the changes it lacks, or a keepalive if it lacks none. */
+function sendTo(state: State, to: string, context: StepContext): State {
+  const { now, effects, status = false } = context;
   const subscriber = state.subscribers.get(to)!;
-  for (const body of bodiesFor(state, { sent: subscriber.sent, status })) {
+  for (const body of messagesFor(state, { sent: subscriber.sent, status })) {
     effects.push({ type: "send", to, body });
   }
   const sent = Math.max(subscriber.sent, state.table.revision);
-  return addSubscriber(state, to, { ...subscriber, sent, lastSend: now });
+  return setSubscriber(state, to, { ...subscriber, sent, lastSend: now });
 }
 
-function bodiesFor(
+function messagesFor(
   state: State,
   { sent, status }: { sent: number; status: boolean },
 ): schema.Message[] {
@@ -223,7 +229,7 @@
   return true;
 }
 
-function addSubscriber(
+function setSubscriber(
   state: State,
   host: string,
   subscriber: Subscriber,
@@ -232,7 +238,7 @@
   return { ...state, subscribers };
 }
 
-function forget(state: State, hosts: readonly string[]): State {
+function removeSubscribers(state: State, hosts: readonly string[]): State {
   if (hosts.length === 0) return state;
   const subscribers = new Map(state.subscribers);
   for (const host of hosts) subscribers.delete(host);
@@ -242,7 +248,11 @@
 function wakeTime({ subscribers, flushAt }: State): number | undefined {
   let at = flushAt ?? Infinity;
   for (const { lastSend, renewed } of subscribers.values()) {
-    at = Math.min(at, lastSend + KEEPALIVE_INTERVAL_MS, renewed + FORGET);
+    at = Math.min(
+      at,
+      lastSend + KEEPALIVE_INTERVAL_MS,
+      renewed + SUBSCRIPTION_TTL_MS,
+    );
   }
   return at === Infinity ? undefined : at;
 }
--- a/src/control/watch/watch_test.ts
+++ b/src/control/watch/watch_test.ts
@@ -6,33 +6,42 @@
 import * as table from "../table/mod.ts";
 import * as watch from "./mod.ts";
 
-/** Anything that follows messages: the real watcher, or a faulty one. */
-interface Follower {
+/** A watcher under test: the real one or a faulty one. */
+interface TestedWatcher {
   readonly table: table.Table;
   step(event: watch.WatcherEvent, now: number): {
-    watcher: Follower;
+    watcher: TestedWatcher;
     effects: watch.WatcherEffect[];
   };
 }
 
-/** Takes every snapshot and delta as it comes. */
-function createGullible(inner: Follower, held: table.Table): Follower {
+/** Creates a faulty watcher that applies every delta without any check. */
+function createUnchecked(
+  inner: TestedWatcher,
+  held: table.Table,
+): TestedWatcher {
   return {
     table: held,
     step(event, now) {
       const { watcher, effects } = inner.step(event, now);
-      return { watcher: createGullible(watcher, take(held, event)), effects };
+      return {
+        watcher: createUnchecked(watcher, applyUnchecked(held, event)),
+        effects,
+      };
     },
   };
 }
 
-function take(held: table.Table, event: watch.WatcherEvent): table.Table {
+function applyUnchecked(
+  held: table.Table,
+  event: watch.WatcherEvent,
+): table.Table {
   if (event.type !== "message" || event.body.type !== "delta") return held;
   const { revision, written } = event.body;
   return held.applyWrites(revision, written as table.CellWrite[]);
 }
 
-interface Parcel {
+interface Delivery {
   due: number;
   from: string;
   to: string;
@@ -42,145 +51,155 @@
 const REPLICAS = ["r1", "r2", "r3"];
 const OBSERVERS = ["o1", "o2"];
 
-/** Three replicas that lag behind a growing table, two observers of them, one
- * watcher of the replicas or of the observers, and a network
- * that loses, delays, doubles and reorders until it heals at `HEAL`. */
-class Fleet {
-  static readonly HEAL = 20_000;
+/** Simulates three replicas that lag behind a growing table, two observers of
+ * them, and one watcher of the replicas or of the observers, over a network that
+ * loses, delays, duplicates and reorders messages until `HEAL_AT_MS`. */
+class Simulation {
+  static readonly HEAL_AT_MS = 20_000;
   now = 0;
   readonly random: runtime.Random;
-  readonly truth = [table.Table.create()];
+  readonly committed = [table.Table.create()];
   readonly written: table.CellWrite[][] = [[]];
   readonly publishers = new Map<string, watch.Publisher>();
   readonly applied = new Map<string, number>();
   readonly observers = new Map<string, watch.Observer>();
-  cut = "";
-  /** Host whose connections have gone silent. */
-  mute = "";
-  follower: Follower;
-  parcels: Parcel[] = [];
-  fault = "";
+  isolated = "";
+  /** Host whose messages are dropped in both directions. */
+  silenced = "";
+  watcher: TestedWatcher;
+  deliveries: Delivery[] = [];
+  violation = "";
 
-  constructor(seed: number, follower: Follower) {
+  constructor(seed: number, watcher: TestedWatcher) {
     this.random = runtime.createRandom(seed);
-    this.follower = follower;
+    this.watcher = watcher;
     for (const id of REPLICAS) {
-      this.publishers.set(id, watch.Publisher.create(this.truth[0]));
+      this.publishers.set(id, watch.Publisher.create(this.committed[0]));
       this.applied.set(id, 0);
-      this.tell(id, { type: "status", current: true });
+      this.stepPublisher(id, { type: "status", current: true });
     }
     for (const id of OBSERVERS) {
       const ranked = watch.rankPublishers(id, REPLICAS);
       this.observers.set(id, watch.Observer.create(ranked));
-      this.observe(id, { type: "start" });
+      this.stepObserver(id, { type: "start" });
     }
-    this.follow({ type: "start" });
+    this.stepWatcher({ type: "start" });
   }
 
-  /** Runs for `ms`; ends early with `fault` set when a rule is broken. */
+  /** Runs for `ms`; ends early with `violation` set if an invariant is
+   * violated. */
   run(ms: number, edits: boolean): void {
     const end = this.now + ms;
-    for (; this.now < end && this.fault === ""; this.now += 10) {
+    for (; this.now < end && this.violation === ""; this.now += 10) {
       if (edits && this.random.next() < 0.1) this.edit();
       if (this.random.next() < 0.002) this.partition();
       for (const id of REPLICAS) this.advance(id);
-      for (const id of OBSERVERS) this.observe(id, { type: "tick" });
+      for (const id of OBSERVERS) this.stepObserver(id, { type: "tick" });
       this.deliver();
-      this.follow({ type: "tick" });
+      this.stepWatcher({ type: "tick" });
     }
   }
 
   edit(): void {
     const column = this.random.next() < 0.5 ? "weight" : "rate";
     const row = `account/a${this.random.below(300)}`;
-    const last = this.truth.at(-1)!;
+    const last = this.committed.at(-1)!;
     const version = last.cell(row, column)?.version ?? 0;
     const value = this.random.next() < 0.2 ? null : this.random.below(9) + 1;
     const change: edits.Change = { row, column, version, value };
     const step = last.apply({ operation: "x", actor: "an", changes: [change] });
-    this.truth.push(step.table);
+    this.committed.push(step.table);
     this.written.push([...step.written]);
   }
 
-  /** One replica is cut off from the others at a time. */
+  /** Isolates a replica from the others, or ends the isolation of the present
+   * one. */
   partition(): void {
-    const healed = this.now >= Fleet.HEAL || this.cut !== "";
-    this.cut = healed ? "" : REPLICAS[this.random.below(REPLICAS.length)];
+    const healed = this.now >= Simulation.HEAL_AT_MS || this.isolated !== "";
+    this.isolated = healed ? "" : REPLICAS[this.random.below(REPLICAS.length)];
     for (const id of REPLICAS) {
-      this.tell(id, { type: "status", current: id !== this.cut });
+      this.stepPublisher(id, { type: "status", current: id !== this.isolated });
     }
   }
 
   advance(id: string): void {
     const pos = this.applied.get(id)! + 1;
-    if (id !== this.cut && pos < this.truth.length && this.flip(0.5)) {
+    if (id !== this.isolated && pos < this.committed.length && this.flip(0.5)) {
       this.applied.set(id, pos);
       const known = this.flip(0.95) ? this.written[pos] : undefined;
-      this.tell(id, { type: "commit", table: this.truth[pos], written: known });
+      this.stepPublisher(id, {
+        type: "commit",
+        table: this.committed[pos],
+        written: known,
+      });
     }
-    this.tell(id, { type: "tick" });
+    this.stepPublisher(id, { type: "tick" });
   }
 
   flip(chance: number): boolean {
     return this.random.next() < chance;
   }
 
-  tell(id: string, event: watch.PublisherEvent): void {
+  stepPublisher(id: string, event: watch.PublisherEvent): void {
     const step = this.publishers.get(id)!.step(event, this.now);
     this.publishers.set(id, step.publisher);
     for (const effect of step.effects) {
-      if (effect.type === "send") this.post(id, effect.to, effect.body);
+      if (effect.type === "send") this.send(id, effect.to, effect.body);
     }
   }
 
-  observe(id: string, event: watch.WatcherEvent): void {
+  stepObserver(id: string, event: watch.WatcherEvent): void {
     const step = this.observers.get(id)!.step(event, this.now);
     this.observers.set(id, step.observer);
     for (const effect of step.effects) {
-      if (effect.type === "send") this.post(id, effect.to, effect.body);
+      if (effect.type === "send") this.send(id, effect.to, effect.body);
     }
   }
 
-  follow(event: watch.WatcherEvent): void {
-    const before = this.follower.table.revision;
-    const { watcher, effects } = this.follower.step(event, this.now);
-    this.follower = watcher;
+  stepWatcher(event: watch.WatcherEvent): void {
+    const before = this.watcher.table.revision;
+    const { watcher, effects } = this.watcher.step(event, this.now);
+    this.watcher = watcher;
     this.check(before);
     for (const effect of effects) {
-      if (effect.type === "send") this.post("w", effect.to, effect.body);
+      if (effect.type === "send") this.send("w", effect.to, effect.body);
     }
   }
 
   check(before: number): void {
-    const { revision } = this.follower.table;
-    if (revision < before) this.fault = `went from ${before} to ${revision}`;
+    const { revision } = this.watcher.table;
+    if (revision < before) {
+      this.violation = `went from ${before} to ${revision}`;
+    }
     if (revision === before) return;
-    const held = JSON.stringify(this.follower.table);
-    if (held === JSON.stringify(this.truth[revision])) return;
-    this.fault = `holds at ${revision} what never was`;
+    const held = JSON.stringify(this.watcher.table);
+    if (held === JSON.stringify(this.committed[revision])) return;
+    this.violation = `differs at ${revision} from the committed table`;
   }
 
-  post(from: string, to: string, body: schema.Message): void {
-    const healed = this.now >= Fleet.HEAL;
-    if (from === this.mute || to === this.mute) return;
+  send(from: string, to: string, body: schema.Message): void {
+    const healed = this.now >= Simulation.HEAL_AT_MS;
+    if (from === this.silenced || to === this.silenced) return;
     if (!healed && this.flip(0.1)) return;
     const copies = !healed && this.flip(0.1) ? 2 : 1;
     const json = JSON.parse(JSON.stringify(body));
-    if (!validators.validate(json)) this.fault = `sent ${body.type} ill-formed`;
+    if (!validators.validate(json)) {
+      this.violation = `sent ${body.type} malformed`;
+    }
     for (let copy = 0; copy < copies; copy++) {
       const delay = healed ? 2 : this.random.below(this.flip(0.05) ? 3000 : 20);
-      this.parcels.push({ due: this.now + delay, from, to, body: json });
+      this.deliveries.push({ due: this.now + delay, from, to, body: json });
     }
   }
 
   deliver(): void {
-    const due = this.parcels.filter((parcel) => parcel.due <= this.now);
-    this.parcels = this.parcels.filter((parcel) => parcel.due > this.now);
+    const due = this.deliveries.filter((parcel) => parcel.due <= this.now);
+    this.deliveries = this.deliveries.filter((parcel) => parcel.due > this.now);
     for (const { from, to, body } of due) {
       const event = { type: "message" as const, from, body };
-      if (to === "w") this.follow(event);
-      else if (this.observers.has(to)) this.observe(to, event);
-      else this.tell(to, event);
+      if (to === "w") this.stepWatcher(event);
+      else if (this.observers.has(to)) this.stepObserver(to, event);
+      else this.stepPublisher(to, event);
     }
   }
 }
@@ -193,49 +212,52 @@
 
 for (const publishers of [REPLICAS, OBSERVERS]) {
   const name = publishers.join(", ");
-  test(`a watcher of ${name} never reverts, and catches up`, (t) => {
+  test(`a watcher of ${name} never goes back, and catches up`, (t) => {
     for (const seed of SEEDS) {
-      const fleet = new Fleet(seed, createWatcher(publishers));
-      fleet.run(Fleet.HEAL, true);
-      fleet.cut = "";
+      const simulation = new Simulation(seed, createWatcher(publishers));
+      simulation.run(Simulation.HEAL_AT_MS, true);
+      simulation.isolated = "";
       for (const id of REPLICAS) {
-        fleet.tell(id, { type: "status", current: true });
+        simulation.stepPublisher(id, { type: "status", current: true });
       }
-      fleet.edit();
-      fleet.run(4000, false);
-      const { revision } = fleet.follower.table;
-      t.is(fleet.fault, "", `seed ${seed}`);
-      t.is(revision, fleet.truth.length - 1, `seed ${seed}`);
+      simulation.edit();
+      simulation.run(4000, false);
+      const { revision } = simulation.watcher.table;
+      t.is(simulation.violation, "", `seed ${seed}`);
+      t.is(revision, simulation.committed.length - 1, `seed ${seed}`);
     }
   });
 }
 
-/** Milliseconds until the watcher has an edit that is made just after the
- * first of its publishers has gone silent. */
-function timeInForce(seed: number, publishers: string[]): number {
-  const fleet = new Fleet(seed, createWatcher(publishers));
-  fleet.now = Fleet.HEAL;
-  fleet.run(5000 + seed * 50, false);
-  [fleet.mute] = watch.rankPublishers("w", publishers);
-  fleet.edit();
-  const start = fleet.now;
-  const wanted = fleet.truth.length - 1;
-  while (fleet.follower.table.revision < wanted && fleet.now < start + 9000) {
-    fleet.run(10, false);
+/** Returns the milliseconds until the watcher has an edit that is committed just
+ * after its first publisher has gone silent. */
+function propagationTime(seed: number, publishers: string[]): number {
+  const simulation = new Simulation(seed, createWatcher(publishers));
+  simulation.now = Simulation.HEAL_AT_MS;
+  simulation.run(5000 + seed * 50, false);
+  [simulation.silenced] = watch.rankPublishers("w", publishers);
+  simulation.edit();
+  const start = simulation.now;
+  const wanted = simulation.committed.length - 1;
+  while (
+    simulation.watcher.table.revision < wanted && simulation.now < start + 9000
+  ) {
+    simulation.run(10, false);
   }
-  return fleet.now - start;
+  return simulation.now - start;
 }
 
 for (const publishers of [REPLICAS, OBSERVERS]) {
-  test(`an edit is in force in 2 s when one of ${publishers.join(", ")} goes silent`, (t) => {
+  test(`an edit arrives within 2 s when one of ${publishers.join(", ")} goes silent`, (t) => {
     for (const seed of SEEDS) {
-      const ms = timeInForce(seed, publishers);
+      const ms = propagationTime(seed, publishers);
       t.true(ms <= 2000, `seed ${seed}: ${ms} ms`);
     }
   });
 }
 
-test("what is missing is asked for once, not with each delta", (t) => {
+// Each request costs a snapshot, so a gap must not cause one per delta.
+test("missing changes are not requested again with each delta", (t) => {
   let { watcher } = createWatcher().step({ type: "start" }, 0);
   const [from] = watch.rankPublishers("w", REPLICAS);
   let asked = 0;
@@ -250,19 +272,19 @@
   t.true(asked >= 1 && asked <= 4);
 });
 
-test("the check finds a watcher that takes all it hears", (t) => {
-  const faults = SEEDS.map((seed) => {
-    const fleet = new Fleet(
+test("the check detects a watcher that applies all messages unchecked", (t) => {
+  const violations = SEEDS.map((seed) => {
+    const simulation = new Simulation(
       seed,
-      createGullible(createWatcher(), table.Table.create()),
+      createUnchecked(createWatcher(), table.Table.create()),
     );
-    fleet.run(Fleet.HEAL, true);
-    return fleet.fault;
+    simulation.run(Simulation.HEAL_AT_MS, true);
+    return simulation.violation;
   });
-  t.true(faults.some((fault) => fault !== ""));
+  t.true(violations.some((violation) => violation !== ""));
 });
 
-test("a watcher leaves a publisher that is silent or cut off", (t) => {
+test("a watcher leaves a publisher that is out of contact with the quorum", (t) => {
   const { watcher } = createWatcher().step({ type: "start" }, 0);
   const [first, second] = watch.rankPublishers("w", REPLICAS);
   const body = { type: "alive" as const, revision: 0, current: false };
@@ -283,7 +305,8 @@
   });
 });
 
-test("a pause of its own is not taken for silence, once", (t) => {
+// After a pause the messages of the publisher may be queued up at this host.
+test("a pause of the watcher's host extends the silence timeout, once", (t) => {
   const { watcher } = createWatcher().step({ type: "start" }, 0);
   const paused = watcher.step({ type: "tick" }, 5000);
   t.false(paused.effects.some(({ type }) => type === "redial"));
@@ -293,7 +316,7 @@
   t.true(effects.some(({ type }) => type === "redial"));
 });
 
-test("390 hosts spread evenly over 15 publishers", (t) => {
+test("390 hosts are distributed evenly over 15 publishers", (t) => {
   const publishers = Array.from({ length: 15 }, (_, pos) => `control-${pos}`);
   const counts = new Map<string, number>();
   for (let pos = 0; pos < 390; pos++) {
--- a/src/control/watch/watcher.ts
+++ b/src/control/watch/watcher.ts
@@ -1,5 +1,5 @@
-/** Follows the table from a host without the replicated log. What it has is
- * never exchanged for something older, whichever publisher it listens to.
+/** Watches the table through a publisher. The revision of the table never
+ * decreases, also when the watcher switches to another publisher.
  * @module */
 
 import type * as schema from "../../schema/watch_types.ts";
@@ -7,37 +7,40 @@
 import * as message from "./snapshot.ts";
 import * as publisher from "./publisher.ts";
 
-/** Milliseconds without word from the quorum after which another publisher is
- * tried: two keepalives may be lost, and the change still arrives in 2 s. */
+/** Time without confirmed contact with the quorum after which the watcher
+ * switches to another publisher: two keepalives in a row must be missed, and a
+ * change still arrives within 2 s. */
 export const SILENCE_TIMEOUT_MS = 2 * publisher.KEEPALIVE_INTERVAL_MS + 200;
-/** Milliseconds between renewals of the watch. */
-const RENEW = 2000;
-/** Milliseconds between requests for what is missing: what was asked for is
- * given this long to arrive, so that one gap costs one snapshot. */
-const ASK_AGAIN = 300;
-/** Milliseconds by which a tick that comes later shows that this host itself
- * has paused, and that are then left to read what waits. */
-const LATE = 300;
+/** Time between renewals of the subscription. */
+const RENEW_INTERVAL_MS = 2000;
+/** Minimum time between requests for missing changes: a snapshot gets this long
+ * to arrive, so that one gap costs one snapshot. */
+const REREQUEST_INTERVAL_MS = 300;
+/** A tick that is late by this much shows that this host itself was paused. The
+ * watcher then waits this long once, to handle the messages that have queued
+ * up, before it takes the publisher for silent. */
+const PAUSE_THRESHOLD_MS = 300;
 
-/** What a watcher hears. */
+/** Input of a watcher. */
 export type WatcherEvent =
   | { type: "start" }
   | { type: "message"; from: string; body: schema.Message }
-  /** Publishers in order of preference, when they have changed. */
+  /** The publishers, in order of preference, have changed. */
   | { type: "publishers"; publishers: readonly string[] }
   | { type: "tick" };
 
-/** What a watcher asks for. */
+/** Action that a watcher requests. */
 export type WatcherEffect =
   | { type: "send"; to: string; body: schema.Message }
   | { type: "wake"; at: number }
-  /** The table moved on; `written` is absent after a snapshot. */
+  /** The table has a newer revision; `written` is absent after a snapshot. */
   | { type: "table"; table: table.Table; written?: readonly table.CellWrite[] }
-  /** Another publisher is tried: a connection to the former may be dead. */
+  /** The watcher has switched publishers: the connection to the former one may
+   * be dead and is to be replaced. */
   | { type: "redial"; from: string; to: string }
   | { type: "status"; current: boolean; leader?: string };
 
-/** A watcher after an event, and what it asks for. */
+/** A watcher after an event, and the actions it requests. */
 export interface WatcherStep {
   watcher: Watcher;
   effects: WatcherEffect[];
@@ -45,21 +48,22 @@
 
 interface State {
   publishers: readonly string[];
-  /** Position of the publisher that is listened to. */
+  /** Position of the current publisher. */
   pos: number;
   table: table.Table;
-  /** When that publisher last said that it is in touch with the quorum. */
+  /** When that publisher last showed that it is in contact with the quorum. */
   heard: number;
   renewed: number;
-  /** Whether it waited longer once for a pause of its own. */
+  /** Whether the silence timeout was already extended once because this host
+   * was paused. */
   excused: boolean;
-  /** Parts of a snapshot that is not whole yet. */
+  /** Received parts of an incomplete snapshot. */
   parts: readonly schema.Snapshot[];
   current: boolean;
   leader?: string;
 }
 
-/** Immutable state of a watcher. */
+/** Immutable state machine of a watcher. */
 export class Watcher {
   readonly #state: State;
 
@@ -67,8 +71,8 @@
     this.#state = state;
   }
 
-  /** A watcher of `publishers`, in order of preference; `first` is what it
-   * has. */
+  /** Creates a watcher of `publishers`, which are in order of preference;
+   * `first` is its initial table. */
   static create(
     publishers: readonly string[],
     first = table.Table.create(),
@@ -85,22 +89,23 @@
     });
   }
 
-  /** The newest table that it has. */
+  /** The newest table received. */
   get table(): table.Table {
     return this.#state.table;
   }
 
-  /** Whether its publisher is in touch with the quorum. */
+  /** Whether the publisher is in contact with the quorum. */
   get current(): boolean {
     return this.#state.current;
   }
 
-  /** Host that takes edits, if known. */
+  /** Leader of the log, if known. */
   get leader(): string | undefined {
     return this.#state.leader;
   }
 
-  /** Takes in `event` at `now`; a wake asks for a `tick`. */
+  /** Handles `event` at `now`; the effect `wake` requests a `tick` at its
+   * time. */
   step(event: WatcherEvent, now: number): WatcherStep {
     const effects: WatcherEffect[] = [];
     const handler = handlers[event.type] as Handler<WatcherEvent>;
@@ -108,14 +113,14 @@
     if (state.publishers.length > 0) {
       const at = Math.min(
         state.heard + SILENCE_TIMEOUT_MS,
-        state.renewed + RENEW,
+        state.renewed + RENEW_INTERVAL_MS,
       );
       effects.push({ type: "wake", at });
     }
     return { watcher: new Watcher(state), effects };
   }
 
-  /** State for people. */
+  /** Returns the state for a dump. */
   dump(): unknown {
     const { publishers, pos, table, parts, ...rest } = this.#state;
     return {
@@ -127,40 +132,42 @@
   }
 }
 
-interface Turn {
+interface StepContext {
   now: number;
   effects: WatcherEffect[];
 }
 
-type Handler<E> = (state: State, event: E, turn: Turn) => State;
+type Handler<E> = (state: State, event: E, context: StepContext) => State;
 
 const handlers: {
   [T in WatcherEvent["type"]]: Handler<Extract<WatcherEvent, { type: T }>>;
 } = {
-  start: (state, _event, turn) =>
-    subscribe({ ...state, heard: turn.now }, turn),
-  message(state, { from, body }, turn) {
-    const take = takers[body.type] as Handler<Message> | undefined;
-    return take === undefined ? state : take(state, { from, body }, turn);
+  start: (state, _event, context) =>
+    subscribe({ ...state, heard: context.now }, context),
+  message(state, { from, body }, context) {
+    const take = messageHandlers[body.type] as Handler<Message> | undefined;
+    return take === undefined ? state : take(state, { from, body }, context);
   },
-  publishers(state, { publishers }, turn) {
+  publishers(state, { publishers }, context) {
     const kept = publishers.indexOf(state.publishers[state.pos]);
     if (kept >= 0) return { ...state, publishers, pos: kept };
-    const heard = turn.now;
-    return subscribe({ ...state, publishers, pos: 0, heard }, turn);
+    const heard = context.now;
+    return subscribe({ ...state, publishers, pos: 0, heard }, context);
   },
-  tick(state, _event, turn) {
+  tick(state, _event, context) {
     if (state.publishers.length === 0) return state;
-    const over = turn.now - (state.heard + SILENCE_TIMEOUT_MS);
-    if (over >= LATE && !state.excused) {
+    const over = context.now - (state.heard + SILENCE_TIMEOUT_MS);
+    if (over >= PAUSE_THRESHOLD_MS && !state.excused) {
       return {
         ...state,
-        heard: turn.now - SILENCE_TIMEOUT_MS + LATE,
+        heard: context.now - SILENCE_TIMEOUT_MS + PAUSE_THRESHOLD_MS,
         excused: true,
       };
     }
-    if (over >= 0) return redial(state, turn);
-    if (turn.now >= state.renewed + RENEW) return subscribe(state, turn);
+    if (over >= 0) return switchPublisher(state, context);
+    if (context.now >= state.renewed + RENEW_INTERVAL_MS) {
+      return subscribe(state, context);
+    }
     return state;
   },
 };
@@ -170,53 +177,53 @@
   body: B;
 }
 
-const takers: {
+const messageHandlers: {
   [T in schema.Message["type"]]?: Handler<
     Message<Extract<schema.Message, { type: T }>>
   >;
-} = { alive: takeAlive, delta: takeDelta, snapshot: takeSnapshot };
+} = { alive: handleAlive, delta: handleDelta, snapshot: handleSnapshot };
 
-function takeAlive(
+function handleAlive(
   state: State,
   { from, body }: Message<schema.Alive>,
-  turn: Turn,
+  context: StepContext,
 ): State {
   if (from !== state.publishers[state.pos]) return state;
   const { current, leader, revision } = body;
-  const heard = current ? turn.now : state.heard;
+  const heard = current ? context.now : state.heard;
   const excused = !current && state.excused;
   const status = { current, leader };
-  const next = changeStatus({ ...state, heard, excused }, status, turn);
-  const lacking = revision > state.table.revision && state.parts.length === 0;
-  return lacking ? ask(next, turn) : next;
+  const next = changeStatus({ ...state, heard, excused }, status, context);
+  const isBehind = revision > state.table.revision && state.parts.length === 0;
+  return isBehind ? requestMissing(next, context) : next;
 }
 
-function takeDelta(
+function handleDelta(
   state: State,
   { from, body }: Message<schema.Delta>,
-  turn: Turn,
+  context: StepContext,
 ): State {
   const heard = from === state.publishers[state.pos] && state.current
-    ? turn.now
+    ? context.now
     : state.heard;
   const own = state.table.revision;
-  // What overlaps is left out by the versions of its cells.
+  // A delta may overlap the table: cells that are not newer are skipped.
   if (body.revision <= own) return { ...state, heard };
-  if (body.from > own) return ask({ ...state, heard }, turn);
+  if (body.from > own) return requestMissing({ ...state, heard }, context);
   const all = body.written as table.CellWrite[];
   const written = all.filter(({ version }) => version > own);
-  const moved = state.table.applyWrites(body.revision, written);
-  turn.effects.push({ type: "table", table: moved, written });
-  return { ...state, heard, table: moved };
+  const updated = state.table.applyWrites(body.revision, written);
+  context.effects.push({ type: "table", table: updated, written });
+  return { ...state, heard, table: updated };
 }
 
-function takeSnapshot(
+function handleSnapshot(
   state: State,
   { from, body }: Message<schema.Snapshot>,
-  turn: Turn,
+  context: StepContext,
 ): State {
   const heard = from === state.publishers[state.pos] && state.current
-    ? turn.now
+    ? context.now
     : state.heard;
   if (body.revision <= state.table.revision) {
     return { ...state, heard, parts: [] };
@@ -225,30 +232,33 @@
     revision === body.revision && part !== body.part
   ).concat(body);
   if (parts.length < body.parts) return { ...state, heard, parts };
-  const whole = message.tableOf(parts);
-  turn.effects.push({ type: "table", table: whole });
-  return { ...state, heard, table: whole, parts: [] };
+  const snapshot = message.tableOf(parts);
+  context.effects.push({ type: "table", table: snapshot });
+  return { ...state, heard, table: snapshot, parts: [] };
 }
 
-function redial(state: State, turn: Turn): State {
+function switchPublisher(state: State, context: StepContext): State {
   const from = state.publishers[state.pos];
   const pos = (state.pos + 1) % state.publishers.length;
   const to = state.publishers[pos];
-  turn.effects.push(
+  context.effects.push(
     { type: "send", to: from, body: { type: "leave" } },
     { type: "redial", from, to },
   );
-  const next = { ...state, pos, heard: turn.now, parts: [] };
+  const next = { ...state, pos, heard: context.now, parts: [] };
   const status = { current: false, leader: state.leader };
-  return subscribe(changeStatus(next, status, turn), turn);
+  return subscribe(changeStatus(next, status, context), context);
 }
 
-/** Asks for what is missing, unless that was just done. */
-function ask(state: State, turn: Turn): State {
-  return turn.now < state.renewed + ASK_AGAIN ? state : subscribe(state, turn);
+/** Subscribes again to get the missing changes, unless that was done less than
+ * `REREQUEST_INTERVAL_MS` ago. */
+function requestMissing(state: State, context: StepContext): State {
+  return context.now < state.renewed + REREQUEST_INTERVAL_MS
+    ? state
+    : subscribe(state, context);
 }
 
-function subscribe(state: State, { now, effects }: Turn): State {
+function subscribe(state: State, { now, effects }: StepContext): State {
   const to = state.publishers[state.pos];
   if (to === undefined) return state;
   const { revision } = state.table;
@@ -259,7 +269,7 @@
 function changeStatus(
   state: State,
   { current, leader }: { current: boolean; leader?: string },
-  { effects }: Turn,
+  { effects }: StepContext,
 ): State {
   if (current === state.current && leader === state.leader) return state;
   effects.push({ type: "status", current, leader });
