--- a/src/control/orders/engine_client.ts
+++ b/src/control/orders/engine_client.ts
@@ -1,5 +1,6 @@
-/** Calls engines over HTTP. The lease is looked at again as the body of an
- * order is written, also after a pause while the connection was opened.
+/** HTTP client of the engines. It checks the lease again when it writes the body
+ * of an order, so that an order is not sent after the lease has ended while the
+ * connection was being opened.
  * @module */
 
 import * as undici from "undici";
@@ -8,23 +9,23 @@
 import * as validators from "../../schema/orders_validators.ts";
 import * as errors from "./errors.ts";
 import type * as events from "./reconciler_event.ts";
-import * as orders from "./reconciler_state.ts";
+import * as states from "./reconciler_state.ts";
 import type * as plans from "./plan.ts";
 
-/** Bytes of the largest answer. */
-const MOST_ANSWER = 1024 * 1024;
+/** Maximum length of a response, in characters. */
+const MAX_ANSWER_LENGTH = 1024 * 1024;
 
-/** What a caller needs. */
+/** Options of an `EngineClient`. */
 export interface EngineClientOptions {
   dispatcher?: undici.Dispatcher;
-  /** Bearer token that engines expect, if they do. */
+  /** Bearer token for the engines, if they require one. */
   token?: string;
-  /** Whether the lease with this fencing token is held now, by a fresh look
-   * at the clock. */
+  /** Whether the lease with this fencing token is held now; reads the clock on
+   * each call. */
   holdsLease(token: number): boolean;
 }
 
-/** Reads and orders engines. */
+/** Reads the reports of engines and sends orders to them. */
 export class EngineClient {
   readonly #options: EngineClientOptions;
 
@@ -32,12 +33,13 @@
     this.#options = options;
   }
 
-  /** A caller through `options.dispatcher`, or undici's own. */
+  /** Creates a client that uses `options.dispatcher`, or undici's default. */
   static create(options: EngineClientOptions): EngineClient {
     return new EngineClient(options);
   }
 
-  /** What the engine has loaded; undefined when it cannot be read. */
+  /** Returns the report of what an engine has loaded; undefined if the call
+   * fails. */
   async readReport({ url }: plans.Engine): Promise<schema.Report | undefined> {
     try {
       const { statusCode, body } = await this.#request(url, { method: "GET" });
@@ -49,23 +51,23 @@
     }
   }
 
-  /** Sends an order unless the lease has ended. */
+  /** Sends an order, unless the lease has ended. */
   async sendOrder(
     { url }: plans.Engine,
     token: number,
     { order }: { order: schema.Order },
   ): Promise<events.Answer> {
     const written = { any: false };
-    const body = this.#body(token, { order, written });
+    const body = this.#orderBody(token, { order, written });
     try {
       const answer = await this.#request(url, { method: "POST", body });
-      return await answerOf(answer, token);
+      return await parseAnswer(answer, token);
     } catch {
       return { type: written.any ? "lost" : "unsent" };
     }
   }
 
-  async *#body(
+  async *#orderBody(
     token: number,
     { order, written }: { order: schema.Order; written: { any: boolean } },
   ): AsyncGenerator<string> {
@@ -90,12 +92,12 @@
       method,
       headers,
       body: body as unknown as undici.Dispatcher.RequestOptions["body"],
-      signal: AbortSignal.timeout(orders.CALL_TIMEOUT),
+      signal: AbortSignal.timeout(states.CALL_TIMEOUT),
     });
   }
 }
 
-async function answerOf(
+async function parseAnswer(
   { statusCode, body }: undici.Dispatcher.ResponseData,
   token: number,
 ): Promise<events.Answer> {
@@ -105,7 +107,7 @@
   }
   await body.dump();
   if (statusCode >= 200 && statusCode < 300) return { type: "accepted" };
-  // A server error does not say whether the order was taken.
+  // After a server error the order may have been accepted or not.
   return { type: statusCode >= 500 ? "lost" : "refused" };
 }
 
@@ -115,8 +117,10 @@
   let text = "";
   for await (const chunk of body.setEncoding("utf8")) {
     text += chunk;
-    if (text.length > MOST_ANSWER) {
-      throw new errors.OrderError("The answer of an engine is too large");
+    if (text.length > MAX_ANSWER_LENGTH) {
+      throw new errors.OrderError(
+        "The response of an engine exceeds the maximum length",
+      );
     }
   }
   return JSON.parse(text);
--- a/src/control/orders/engine_client_test.ts
+++ b/src/control/orders/engine_client_test.ts
@@ -8,7 +8,8 @@
 
 const REPORT = { models: [], role: "both", loading: false, token: 9 };
 
-/** An engine over HTTP that notes the orders that reach it whole. */
+/** Starts an HTTP server of an engine that records the complete orders that it
+ * receives. */
 async function listen(status: number) {
   const taken: string[] = [];
   const server = http.createServer((request, response) => {
@@ -32,36 +33,36 @@
 
 const LOAD = { order: { type: "load" as const, model: "m" } };
 
-test("reads and orders over HTTP", async (t) => {
+test("a client reads reports and sends orders over HTTP", async (t) => {
   const { engine, taken, close } = await listen(202);
-  const caller = orders.EngineClient.create({ holdsLease: () => true });
-  t.like(await caller.readReport(engine), { models: [], token: 9 });
-  t.deepEqual(await caller.sendOrder(engine, 3, LOAD), { type: "accepted" });
+  const client = orders.EngineClient.create({ holdsLease: () => true });
+  t.like(await client.readReport(engine), { models: [], token: 9 });
+  t.deepEqual(await client.sendOrder(engine, 3, LOAD), { type: "accepted" });
   t.deepEqual(taken.map((text) => JSON.parse(text)), [{ token: 3, ...LOAD }]);
   close();
 });
 
-test("an order does not leave once the lease has ended", async (t) => {
+test("an order is not sent once the lease has ended", async (t) => {
   const { engine, taken, close } = await listen(202);
-  const caller = orders.EngineClient.create({ holdsLease: () => false });
-  t.deepEqual(await caller.sendOrder(engine, 3, LOAD), { type: "unsent" });
+  const client = orders.EngineClient.create({ holdsLease: () => false });
+  t.deepEqual(await client.sendOrder(engine, 3, LOAD), { type: "unsent" });
   t.deepEqual(taken, []);
   close();
 });
 
-test("tells a refusal by fencing token from a lost answer", async (t) => {
-  const caller = orders.EngineClient.create({ holdsLease: () => true });
+test("a refusal by fencing token is distinguished from a lost answer", async (t) => {
+  const client = orders.EngineClient.create({ holdsLease: () => true });
   const fenced = await listen(409);
-  const answer = await caller.sendOrder(fenced.engine, 3, LOAD);
+  const answer = await client.sendOrder(fenced.engine, 3, LOAD);
   t.deepEqual(answer, { type: "fenced", token: 9 });
   fenced.close();
   const broken = await listen(500);
-  t.deepEqual(await caller.sendOrder(broken.engine, 3, LOAD), { type: "lost" });
+  t.deepEqual(await client.sendOrder(broken.engine, 3, LOAD), { type: "lost" });
   broken.close();
-  t.is(await caller.readReport(broken.engine), undefined);
+  t.is(await client.readReport(broken.engine), undefined);
 });
 
-test("a reconciler orders while it holds the lease, and no longer", async (t) => {
+test("a reconciler sends orders only while it holds the lease", async (t) => {
   const { engine, taken, close } = await listen(202);
   const clock = new runtime.FakeClock();
   let lease: orders.Lease | undefined = { token: 3, since: 0, until: 1e9 };
--- a/src/control/orders/errors.ts
+++ b/src/control/orders/errors.ts
@@ -1,7 +1,7 @@
-/** Errors of orders to engines.
+/** Errors of calls to engines.
  * @module */
 
-/** A call to an engine failed, or was given up before it was sent. */
+/** A call to an engine failed or was aborted before it was sent. */
 export class OrderError extends Error {
   override readonly name = "OrderError";
 }
--- a/src/control/orders/mod.ts
+++ b/src/control/orders/mod.ts
@@ -1,4 +1,5 @@
-/** Orders to engines: the table's wishes carried out by the leaseholder.
+/** Reconciliation of the engines with the table: the lease holder orders them to
+ * load and unload models and to change roles.
  * @module */
 
 export { EngineClient, type EngineClientOptions } from "./engine_client.ts";
--- a/src/control/orders/plan.ts
+++ b/src/control/orders/plan.ts
@@ -1,37 +1,37 @@
-/** What a service's engines should have loaded, and the next order that brings
- * one of them there.
+/** Compares what the engines of a service have loaded with the goal in the table,
+ * and plans the next orders.
  * @module */
 
 import type * as endpoint from "../../schema/endpoint_types.ts";
 import type * as schema from "../../schema/orders_types.ts";
 import type * as table from "../table/mod.ts";
 
-/** An engine that takes orders. */
+/** An engine that accepts orders. */
 export interface Engine {
   id: string;
   service: string;
   url: string;
-  /** Run of the engine: a later one has nothing of what the former loaded. */
+  /** Run of the engine; a restart unloads all models. */
   generation?: number;
-  /** Whether it refuses old fencing tokens; `unknown` counts as ignoring. */
+  /** Whether it refuses old fencing tokens; `unknown` is treated as `ignores`. */
   fencing?: endpoint.Announcement["fencing"];
 }
 
-/** What a row `service/NAME` asks for. */
+/** Desired state of a service, from the row `service/NAME`. */
 export interface Goal {
   model?: string;
   adapter?: string;
   version?: string;
   role?: string;
-  /** Engines that have the model; all when absent. */
+  /** Number of engines that load the model; all if absent. */
   replicas?: number;
 }
 
-/** An engine with the newest report of it; undefined when it has none. */
+/** An engine and its newest report, if there is one. */
 export interface Candidate {
   engine: string;
   report?: schema.Report;
-  /** Whether the report is from after the last order and the last failure. */
+  /** Whether the report was read after the last order and the last failure. */
   fresh: boolean;
 }
 
@@ -41,7 +41,7 @@
   order: schema.Order;
 }
 
-/** The goal of `service` in the table. */
+/** Returns the goal of `service` in the table. */
 export function goalOf(current: table.Table, service: string): Goal {
   const { cells = {} } = current.row(`service/${service}`) ?? {};
   return {
@@ -53,8 +53,9 @@
   };
 }
 
-/** At most one order for each engine, the most useful first. Engines without
- * a fresh report get none, but keep their place among the replicas. */
+/** Returns at most one order per engine, those to engines nearest to the goal
+ * first. An engine without a fresh report gets none, but may still count as a
+ * replica. */
 export function plan(
   goal: Goal,
   candidates: readonly Candidate[],
@@ -65,47 +66,50 @@
   );
   const assigned = ordered.slice(0, replicas);
   const surplus = ordered.slice(replicas);
-  const steps = assigned.map((candidate) => stepFor(goal, candidate));
-  if (assigned.every((one) => one.fresh && has(goal, one))) {
-    steps.push(...surplus.map((candidate) => release(goal, candidate)));
+  const steps = assigned.map((candidate) => nextOrder(goal, candidate));
+  if (assigned.every((one) => one.fresh && isLoaded(goal, one))) {
+    steps.push(...surplus.map((candidate) => releaseSurplus(goal, candidate)));
   }
   return steps.filter((step) => step !== undefined);
 }
 
-/** Engines that have the model stay in, then those that load, then those that
- * answer. */
+/** Rank for the choice of replicas: engines that have loaded the model come
+ * first, then those that are loading, then those with a fresh report. */
 function rank(goal: Goal, candidate: Candidate): number {
   const { report, fresh } = candidate;
-  if (has(goal, candidate)) return 3;
+  if (isLoaded(goal, candidate)) return 3;
   if (report?.loading) return 2;
   return fresh ? 1 : 0;
 }
 
-function stepFor(goal: Goal, candidate: Candidate): PlannedOrder | undefined {
+function nextOrder(goal: Goal, candidate: Candidate): PlannedOrder | undefined {
   const { engine, report, fresh } = candidate;
   if (!fresh || report === undefined || report.loading) return undefined;
   const { model, adapter, version, role } = goal;
-  if (model !== undefined && !has(goal, candidate)) {
+  if (model !== undefined && !isLoaded(goal, candidate)) {
     return { engine, order: { type: "load", model, adapter, version } };
   }
   if (role !== undefined && report.role !== role) {
     return { engine, order: { type: "role", role } };
   }
-  // The former version goes only once the wanted one is there.
+  // Other versions are unloaded only once the desired one is loaded.
   const old = report.models.find((loaded) =>
     sameModel(goal, loaded) && !sameVersion(goal, loaded)
   );
-  return old && { engine, order: unload(old) };
+  return old && { engine, order: unloadOrder(old) };
 }
 
-function release(goal: Goal, candidate: Candidate): PlannedOrder | undefined {
+function releaseSurplus(
+  goal: Goal,
+  candidate: Candidate,
+): PlannedOrder | undefined {
   const { engine, report, fresh } = candidate;
   if (!fresh || report === undefined || report.loading) return undefined;
   const loaded = report.models.find((loaded) => sameModel(goal, loaded));
-  return loaded && { engine, order: unload(loaded) };
+  return loaded && { engine, order: unloadOrder(loaded) };
 }
 
-function has(goal: Goal, { report }: Candidate): boolean {
+function isLoaded(goal: Goal, { report }: Candidate): boolean {
   if (report === undefined) return false;
   return report.models.some((loaded) =>
     sameModel(goal, loaded) && sameVersion(goal, loaded)
@@ -121,7 +125,7 @@
   return goal.version === undefined || version === goal.version;
 }
 
-function unload(
+function unloadOrder(
   { model, adapter, version }: schema.LoadedModel,
 ): schema.ModelOrder {
   return {
--- a/src/control/orders/reconciler.ts
+++ b/src/control/orders/reconciler.ts
@@ -1,107 +1,108 @@
-/** Drives the orders over clock and HTTP on a host that may hold the lease.
+/** Runs the reconciler's state machine with a clock and an HTTP client, on a host
+ * that may hold the lease.
  * @module */
 
 import type * as undici from "undici";
 import * as runtime from "../../runtime/mod.ts";
 import type * as telemetry from "../../telemetry/mod.ts";
 import type * as table from "../table/mod.ts";
-import * as callers from "./engine_client.ts";
+import * as clients from "./engine_client.ts";
 import type * as events from "./reconciler_event.ts";
-import * as orders from "./reconciler_state.ts";
+import * as states from "./reconciler_state.ts";
 import type * as plans from "./plan.ts";
 
-/** Milliseconds between looks at the lease. */
-const LOOK = 200;
+/** Time between checks of the lease. */
+const LEASE_POLL_INTERVAL_MS = 200;
 
-/** What a reconciler needs of its host. */
+/** Options of a `Reconciler`. */
 export interface ReconcilerOptions {
   clock: runtime.Clock;
   logger: telemetry.Logger;
   limits: events.Limits;
-  /** The lease as it is now, by a fresh look at the clock. */
+  /** Returns the lease if it is held now; reads the clock on each call. */
   lease(): events.Lease | undefined;
-  /** Connections to engines; undici's own when absent. */
+  /** Connections to engines; undici's default if absent. */
   dispatcher?: undici.Dispatcher;
-  /** Bearer token that engines expect, if they do. */
+  /** Bearer token for the engines, if they require one. */
   token?: string;
 }
 
-/** Brings engines to what the table asks for, while the lease is held here. */
+/** Reconciles the engines with the table while this host holds the lease. */
 export class Reconciler {
   readonly #options: ReconcilerOptions;
-  readonly #caller: callers.EngineClient;
-  readonly #alarm: runtime.Timer;
-  readonly #look: runtime.Timer;
-  #orders: orders.ReconcilerState;
+  readonly #client: clients.EngineClient;
+  readonly #timer: runtime.Timer;
+  readonly #leaseTimer: runtime.Timer;
+  #state: states.ReconcilerState;
   #table: table.Table | undefined;
   #token: number | undefined;
 
   private constructor(options: ReconcilerOptions) {
     const { clock, limits, dispatcher, token } = options;
     this.#options = options;
-    this.#orders = orders.ReconcilerState.create(limits);
-    this.#caller = callers.EngineClient.create({
+    this.#state = states.ReconcilerState.create(limits);
+    this.#client = clients.EngineClient.create({
       dispatcher,
       token,
-      holdsLease: (token) => this.#held()?.token === token,
+      holdsLease: (token) => this.#currentLease()?.token === token,
     });
     const tick = () => this.#step({ type: "tick" });
-    this.#alarm = runtime.Timer.create(clock, tick);
-    this.#look = runtime.Timer.create(clock, () => this.#lookAtLease());
+    this.#timer = runtime.Timer.create(clock, tick);
+    this.#leaseTimer = runtime.Timer.create(clock, () => this.#pollLease());
   }
 
-  /** A reconciler that does nothing before `start`. */
+  /** Creates a reconciler that is idle until `start`. */
   static create(options: ReconcilerOptions): Reconciler {
     return new Reconciler(options);
   }
 
-  /** Begins to order whenever the lease is held. */
+  /** Starts to check the lease, and sends orders while it is held. */
   start(): void {
-    this.#lookAtLease();
+    this.#pollLease();
   }
 
-  /** Follows the table in force. */
+  /** Sets the current table. */
   setTable(current: table.Table): void {
     this.#table = current;
     this.#step({ type: "table", table: current });
   }
 
-  /** Follows the engines that are announced. */
+  /** Sets the engines that are announced. */
   setEngines(engines: readonly plans.Engine[]): void {
     this.#step({ type: "engines", engines });
   }
 
-  /** Orders nothing any more; calls under way end by themselves. */
+  /** Stops sending orders; pending calls are not aborted. */
   stop(): void {
-    this.#look.cancel();
+    this.#leaseTimer.cancel();
     this.#step({ type: "lease" });
-    this.#alarm.cancel();
+    this.#timer.cancel();
   }
 
-  /** State for people. */
+  /** Returns the state for a dump. */
   dump(): unknown {
-    return this.#orders.dump();
+    return this.#state.dump();
   }
 
-  #lookAtLease(): void {
-    const lease = this.#held();
+  #pollLease(): void {
+    const lease = this.#currentLease();
     if (lease?.token !== this.#token) {
       this.#token = lease?.token;
       this.#options.logger.info({ token: lease?.token }, "order lease changed");
     }
     this.#step({ type: "lease", lease });
-    this.#look.set(this.#options.clock.now() + LOOK);
+    this.#leaseTimer.set(this.#options.clock.now() + LEASE_POLL_INTERVAL_MS);
   }
 
-  #held(): events.Lease | undefined {
+  #currentLease(): events.Lease | undefined {
     const lease = this.#options.lease();
     const held = lease !== undefined && this.#options.clock.now() < lease.until;
     return held ? lease : undefined;
   }
 
   #step(event: events.ReconcilerEvent): void {
-    const step = this.#orders.step(event, this.#options.clock.now());
-    this.#orders = step.state;
+    const step = this.#state.step(event, this.#options.clock.now());
+    this.#state = step.state;
     for (const effect of step.effects) {
       const handler = this.#handlers[effect.type] as Handler<string>;
       handler(effect as never);
@@ -116,11 +117,11 @@
         { engine, token },
         "engine knows a newer leader",
       ),
-    wake: ({ at }) => this.#alarm.set(at),
+    wake: ({ at }) => this.#timer.set(at),
   };
 
   async #read(engine: plans.Engine): Promise<void> {
-    const report = await this.#caller.readReport(engine);
+    const report = await this.#client.readReport(engine);
     this.#step({ type: "report", engine: engine.id, report });
   }
 
@@ -132,7 +133,7 @@
   ): Promise<void> {
     const { id, service } = engine;
     const operators = this.#table?.lastWriters(`service/${service}`);
-    const answer = await this.#caller.sendOrder(engine, token, { order });
+    const answer = await this.#client.sendOrder(engine, token, { order });
     this.#options.logger.info(
       { engine: id, service, operators, token, order, answer },
       "engine ordered",
--- a/src/control/orders/reconciler_event.ts
+++ b/src/control/orders/reconciler_event.ts
@@ -1,29 +1,31 @@
-/** What the orders hear and ask for.
+/** Input and output of the reconciler's state machine.
  * @module */
 
 import type * as schema from "../../schema/orders_types.ts";
 import type * as table from "../table/mod.ts";
 import type * as plans from "./plan.ts";
 
-/** Settings of the orders. */
+/** Limits of the reconciler. */
 export interface Limits {
-  /** Loads a second over all engines. */
+  /** Maximum rate of model loads over all engines. */
   loadsPerSecond: number;
-  /** Milliseconds of a leader's lease, with the allowance for clock drift. */
+  /** Length of a leader's lease, including the allowance for clock drift. */
   leaseMs: number;
 }
 
-/** The right to order, by the holder's own clock. */
+/** Lease under which orders may be sent; its times are by the holder's clock. */
 export interface Lease {
   /** Fencing token: the term of the log. */
   token: number;
-  /** When it was gained. */
+  /** When it was acquired. */
   since: number;
-  /** When it ends unless it is renewed. */
+  /** When it expires unless it is renewed. */
   until: number;
 }
 
-/** How a call for an order ended; `unsent` when the lease ended before. */
+/** Result of sending an order: `fenced` if the engine knows a newer token,
+ * `unsent` if no part of the order was sent, such as after the end of the lease,
+ * and `lost` if the order may have been accepted. */
 export type Answer =
   | { type: "accepted" }
   | { type: "fenced"; token: number }
@@ -31,17 +33,17 @@
   | { type: "refused" }
   | { type: "lost" };
 
-/** What the orders hear. */
+/** Input of the reconciler. */
 export type ReconcilerEvent =
   | { type: "lease"; lease?: Lease }
   | { type: "table"; table: table.Table }
   | { type: "engines"; engines: readonly plans.Engine[] }
-  /** A read ended; without a report it failed. */
+  /** A read has ended; it failed if there is no report. */
   | { type: "report"; engine: string; report?: schema.Report }
   | { type: "answer"; engine: string; answer: Answer }
   | { type: "tick" };
 
-/** What the orders ask for. */
+/** Action that the reconciler requests. */
 export type ReconcilerEffect =
   | { type: "read"; engine: plans.Engine }
   | {
@@ -50,6 +52,6 @@
     token: number;
     order: schema.Order;
   }
-  /** An engine knows a newer leader than this one. */
+  /** An engine has refused an order since it knows a newer leader. */
   | { type: "fenced"; engine: string; token: number }
   | { type: "wake"; at: number };
--- a/src/control/orders/reconciler_state.ts
+++ b/src/control/orders/reconciler_state.ts
@@ -1,30 +1,30 @@
-/** Brings the engines to what the table asks for. Runs where the lease of the
- * log is held; reads each engine, orders one change at a time and reads again
- * before the next, so that an order whose answer was lost is not repeated
- * blindly.
+/** State machine that reconciles the engines with the table, on the host that
+ * holds the lease of the log. It reads each engine, orders one change at a time
+ * and reads the engine again before the next, so that an order whose answer was
+ * lost is not repeated if it took effect.
  * @module */
 
 import type * as schema from "../../schema/orders_types.ts";
 import * as table from "../table/mod.ts";
-import * as bucket from "./token_bucket.ts";
+import * as tokenBuckets from "./token_bucket.ts";
 import type * as events from "./reconciler_event.ts";
 import * as plans from "./plan.ts";
 
-/** Milliseconds in which a call to an engine ends. */
+/** Timeout of a call to an engine. */
 export const CALL_TIMEOUT = 2000;
-/** Milliseconds between reads of an engine at rest, at the least. */
-const READ_EVERY = 10_000;
-/** Milliseconds that reads are apart over all engines, at the least. */
-const READ_SPACING = 20;
-/** Milliseconds until an engine is read again after an order, a load under
- * way or a failure. */
-const READ_AGAIN = 1000;
-/** Milliseconds until an order whose answer was lost has surely arrived. */
-const LOST_WAIT = 2 * CALL_TIMEOUT;
-/** Reads and orders under way at once. */
-const MOST_CALLS = 64;
+/** Minimum time between reads of an engine without a change under way. */
+const READ_INTERVAL_MS = 10_000;
+/** Minimum mean time between reads over all engines. */
+const READ_SPACING_MS = 20;
+/** Time until an engine is read again after an order, a failure, or a report of
+ * a load in progress. */
+const REREAD_DELAY_MS = 1000;
+/** Time after which an order whose answer was lost has arrived, if at all. */
+const LOST_ORDER_DELAY_MS = 2 * CALL_TIMEOUT;
+/** Maximum number of concurrent reads and orders. */
+const MAX_CONCURRENT_CALLS = 64;
 
-/** Orders after an event, and what they ask for. */
+/** The state after an event, and the actions it requests. */
 export interface ReconcilerStep {
   state: ReconcilerState;
   effects: events.ReconcilerEffect[];
@@ -32,16 +32,16 @@
 
 interface Entry {
   readonly engine: plans.Engine;
-  /** Newest report; undefined when there is none. */
+  /** Newest report; undefined if there is none. */
   readonly report?: schema.Report;
-  /** Whether the report is from after the last order and the last failure,
-   * and was read under this lease. */
+  /** Whether the report was read under the present lease, after the last order
+   * and the last failure. */
   readonly fresh: boolean;
-  /** Whether it was read since the last order under this lease, with or
-   * without success. */
+  /** Whether a read was attempted under the present lease since the last order,
+   * with or without success. */
   readonly asked: boolean;
   readonly call?: "read" | "order";
-  /** Fencing token of the lease under which it is read. */
+  /** Fencing token of the lease under which the call was started. */
   readonly token?: number;
   readonly readAt: number;
 }
@@ -52,11 +52,11 @@
   table: table.Table;
   entries: table.Trie<Entry>;
   services: ReadonlyMap<string, readonly string[]>;
-  bucket?: bucket.TokenBucket;
+  bucket?: tokenBuckets.TokenBucket;
   calls: number;
 }
 
-/** Immutable state of the orders. */
+/** Immutable state of the reconciler. */
 export class ReconcilerState {
   readonly #state: State;
 
@@ -64,7 +64,7 @@
     this.#state = state;
   }
 
-  /** Orders without lease, table or engines. */
+  /** Creates a state without lease, table or engines. */
   static create(limits: events.Limits): ReconcilerState {
     return new ReconcilerState({
       limits,
@@ -75,16 +75,17 @@
     });
   }
 
-  /** Takes in `event` at `now`; a wake asks for a `tick`. */
+  /** Handles `event` at `now`; the effect `wake` requests a `tick` at its
+   * time. */
   step(event: events.ReconcilerEvent, now: number): ReconcilerStep {
     const effects: events.ReconcilerEffect[] = [];
     const handler = handlers[event.type] as Handler<events.ReconcilerEvent>;
     const taken = handler(this.#state, event, { now, effects });
-    const state = act(taken, { now, effects });
+    const state = startCalls(taken, { now, effects });
     return { state: new ReconcilerState(state), effects };
   }
 
-  /** State for people. */
+  /** Returns the state for a dump. */
   dump(): unknown {
     const { lease, entries, calls } = this.#state;
     const engines = [...entries.entries()].map(([id, entry]) => [
@@ -95,12 +96,12 @@
   }
 }
 
-interface Turn {
+interface StepContext {
   now: number;
   effects: events.ReconcilerEffect[];
 }
 
-type Handler<E> = (state: State, event: E, turn: Turn) => State;
+type Handler<E> = (state: State, event: E, context: StepContext) => State;
 
 const handlers: {
   [T in events.ReconcilerEvent["type"]]: Handler<
@@ -109,7 +110,7 @@
 } = {
   lease(state, { lease }, { now }) {
     if (lease?.token === state.lease?.token) return { ...state, lease };
-    // What was read under another lease may have been changed since.
+    // An engine may have been changed since it was read under another lease.
     const entries = [...state.entries.entries()].map(([id, entry]) =>
       [id, { ...entry, fresh: false, asked: false, readAt: now }] as const
     );
@@ -118,25 +119,25 @@
       lease,
       entries: table.Trie.create<Entry>(entries),
       bucket: lease &&
-        bucket.TokenBucket.create(state.limits.loadsPerSecond, now),
+        tokenBuckets.TokenBucket.create(state.limits.loadsPerSecond, now),
     };
   },
   table: (state, event) => ({ ...state, table: event.table }),
-  engines: takeEngines,
+  engines: handleEngines,
   report(state, { engine, report }, { now }) {
     const entry = state.entries.get(engine);
     if (entry === undefined || entry.call !== "read") return state;
     const { token } = entry;
     if (token !== state.lease?.token) {
-      return finish(state, { ...entry, readAt: now });
+      return endCall(state, { ...entry, readAt: now });
     }
     const fresh = report !== undefined;
     const wait = report === undefined || report.loading
-      ? READ_AGAIN
-      : Math.max(READ_EVERY, state.entries.size * READ_SPACING);
+      ? REREAD_DELAY_MS
+      : Math.max(READ_INTERVAL_MS, state.entries.size * READ_SPACING_MS);
     const readAt = now + wait;
     const known = report ?? entry.report;
-    return finish(state, {
+    return endCall(state, {
       ...entry,
       report: known,
       fresh,
@@ -150,23 +151,23 @@
     if (answer.type === "fenced") {
       effects.push({ type: "fenced", engine, token: answer.token });
     }
-    const wait = answer.type === "lost" ? LOST_WAIT : READ_AGAIN;
-    return finish(state, { ...entry, readAt: now + wait });
+    const wait = answer.type === "lost" ? LOST_ORDER_DELAY_MS : REREAD_DELAY_MS;
+    return endCall(state, { ...entry, readAt: now + wait });
   },
   tick: (state) => state,
 };
 
-function takeEngines(
+function handleEngines(
   state: State,
   { engines }: Extract<events.ReconcilerEvent, { type: "engines" }>,
-  { now }: Turn,
+  { now }: StepContext,
 ): State {
   const services = new Map<string, string[]>();
   const entries = engines.map((engine): [string, Entry] => {
     const ids = services.get(engine.service) ?? [];
     services.set(engine.service, [...ids, engine.id]);
     const known = state.entries.get(engine.id);
-    // Another process: what is known of the former is void.
+    // The report of another process of the engine is not valid for this one.
     if (known !== undefined && sameProcess(known.engine, engine)) {
       return [engine.id, { ...known, engine }];
     }
@@ -180,30 +181,33 @@
   return left.url === right.url && left.generation === right.generation;
 }
 
-function finish(state: State, entry: Entry): State {
+function endCall(state: State, entry: Entry): State {
   const ended = { ...entry, call: undefined };
   const entries = state.entries.set(entry.engine.id, ended);
   return { ...state, entries, calls: state.calls - 1 };
 }
 
-/** Orders and reads what is due, while the lease lasts. */
-function act(state: State, turn: Turn): State {
+/** Starts the orders and reads that are due, while the lease is valid. */
+function startCalls(state: State, context: StepContext): State {
   const { lease } = state;
-  if (lease === undefined || turn.now >= lease.until) return state;
-  const ordered = order(state, lease, turn);
-  const next = read(ordered, lease, turn);
-  turn.effects.push({ type: "wake", at: wakeTime(next, lease, turn.now) });
+  if (lease === undefined || context.now >= lease.until) return state;
+  const ordered = startOrders(state, lease, context);
+  const next = startReads(ordered, lease, context);
+  context.effects.push({
+    type: "wake",
+    at: wakeTime(next, lease, context.now),
+  });
   return next;
 }
 
-function read(
+function startReads(
   state: State,
   lease: events.Lease,
-  { now, effects }: Turn,
+  { now, effects }: StepContext,
 ): State {
   let next = state;
   for (const [id, entry] of state.entries.entries()) {
-    if (next.calls >= MOST_CALLS) break;
+    if (next.calls >= MAX_CONCURRENT_CALLS) break;
     if (entry.call !== undefined || now < entry.readAt) continue;
     effects.push({ type: "read", engine: entry.engine });
     const called: Entry = { ...entry, call: "read", token: lease.token };
@@ -213,12 +217,16 @@
   return next;
 }
 
-function order(state: State, lease: events.Lease, turn: Turn): State {
+function startOrders(
+  state: State,
+  lease: events.Lease,
+  context: StepContext,
+): State {
   let next = state;
   for (const [service, ids] of state.services) {
     const entries = ids.map((id) => next.entries.get(id)!);
-    // A choice among engines waits until all were asked, and one change of a
-    // service ends before the next begins.
+    // The plan compares all engines of the service, so each one must have been
+    // read, and an order must end before the next one of the service is sent.
     if (!entries.every(({ asked, call }) => asked && call !== "order")) {
       continue;
     }
@@ -229,7 +237,7 @@
     }));
     const goal = plans.goalOf(next.table, service);
     for (const step of plans.plan(goal, candidates)) {
-      const sent = send(next, step, { lease, turn });
+      const sent = startOrder(next, step, { lease, context });
       if (sent === undefined) continue;
       next = sent;
       break;
@@ -238,27 +246,32 @@
   return next;
 }
 
-function send(
+function startOrder(
   state: State,
   { engine: id, order }: plans.PlannedOrder,
-  { lease, turn }: { lease: events.Lease; turn: Turn },
+  { lease, context }: { lease: events.Lease; context: StepContext },
 ): State | undefined {
   const entry = state.entries.get(id)!;
   const { engine } = entry;
-  if (entry.call !== undefined || state.calls >= MOST_CALLS) return undefined;
-  if (turn.now < allowedAt(engine, lease, state.limits)) return undefined;
+  if (entry.call !== undefined || state.calls >= MAX_CONCURRENT_CALLS) {
+    return undefined;
+  }
+  if (context.now < earliestOrderAt(engine, lease, state.limits)) {
+    return undefined;
+  }
   const paced = order.type === "load";
-  const left = paced ? state.bucket?.take(turn.now) : state.bucket;
+  const left = paced ? state.bucket?.take(context.now) : state.bucket;
   if (left === undefined) return undefined;
-  turn.effects.push({ type: "order", engine, token: lease.token, order });
+  context.effects.push({ type: "order", engine, token: lease.token, order });
   const sent: Entry = { ...entry, fresh: false, asked: false, call: "order" };
   const entries = state.entries.set(id, sent);
   return { ...state, entries, bucket: left, calls: state.calls + 1 };
 }
 
-/** An engine that does not check tokens gets no order before the former lease
- * is over and what was sent under it has arrived. */
-function allowedAt(
+/** Returns the earliest time of an order to an engine. If the engine does not
+ * check fencing tokens, that is when the former lease has expired and all orders
+ * sent under it have arrived. */
+function earliestOrderAt(
   { fencing = "unknown" }: plans.Engine,
   { since }: events.Lease,
   { leaseMs: lease }: events.Limits,
@@ -267,7 +280,7 @@
 }
 
 function wakeTime(state: State, lease: events.Lease, now: number): number {
-  let at = now + READ_EVERY;
+  let at = now + READ_INTERVAL_MS;
   for (const [, { readAt, call }] of state.entries.entries()) {
     if (call === undefined) at = Math.min(at, readAt);
   }
--- a/src/control/orders/reconciler_state_test.ts
+++ b/src/control/orders/reconciler_state_test.ts
@@ -22,7 +22,7 @@
   return { models: [], role: "both", token: 0, loading: false, ...changes };
 }
 
-/** An engine that may ignore fencing tokens and lose answers. */
+/** An engine that may ignore fencing tokens. */
 class FakeEngine {
   report = createReport();
   loads = 0;
@@ -52,29 +52,33 @@
   }
 }
 
-/** Runs leaders over fake engines, with answers and reads lost by chance. */
-class Bench {
+/** Runs leaders against fake engines; reads and answers get lost at random. */
+class Simulation {
   now = 0;
   readonly engines = new Map<string, FakeEngine>();
   readonly leaders = new Map<string, orders.ReconcilerState>();
   readonly sent: { by: string; engine: string; at: number; type: string }[] =
     [];
   #calls: { due: number; by: string; event: orders.ReconcilerEvent }[] = [];
-  #late: { due: number; arrive: () => void }[] = [];
+  #delayedOrders: { due: number; arrive: () => void }[] = [];
 
   constructor(
     readonly random: runtime.Random,
     fencing: ("checks" | "ignores")[],
-    readonly loss = 0,
-    /** Whether a lost answer is taken for a refusal. */
-    readonly careless = false,
+    readonly lossProbability = 0,
+    /** Whether a lost answer is treated as a refusal. */
+    readonly repeatsLost = false,
   ) {
     fencing.forEach((kind, pos) =>
       this.engines.set(`e${pos}`, new FakeEngine(kind === "checks"))
     );
   }
 
-  lead(by: string, lease: orders.Lease | undefined, wish: table.Table): void {
+  startLeader(
+    by: string,
+    lease: orders.Lease | undefined,
+    desired: table.Table,
+  ): void {
     this.leaders.set(by, orders.ReconcilerState.create(LIMITS));
     const engines = [...this.engines].map(([id, engine]) => ({
       id,
@@ -82,33 +86,35 @@
       url: `http://${id}`,
       fencing: engine.checks ? "checks" as const : "ignores" as const,
     }));
-    this.tell(by, { type: "table", table: wish });
-    this.tell(by, { type: "engines", engines });
-    this.tell(by, { type: "lease", lease });
+    this.step(by, { type: "table", table: desired });
+    this.step(by, { type: "engines", engines });
+    this.step(by, { type: "lease", lease });
   }
 
-  tell(by: string, event: orders.ReconcilerEvent): void {
+  step(by: string, event: orders.ReconcilerEvent): void {
     const step = this.leaders.get(by)!.step(event, this.now);
     this.leaders.set(by, step.state);
-    for (const effect of step.effects) this.#carry(by, effect);
+    for (const effect of step.effects) this.#execute(by, effect);
   }
 
   run(ms: number): void {
     for (const end = this.now + ms; this.now < end; this.now += 50) {
-      const arrived = this.#late.filter(({ due }) => due <= this.now);
-      this.#late = this.#late.filter(({ due }) => due > this.now);
+      const arrived = this.#delayedOrders.filter(({ due }) => due <= this.now);
+      this.#delayedOrders = this.#delayedOrders.filter(({ due }) =>
+        due > this.now
+      );
       for (const { arrive } of arrived) arrive();
       const due = this.#calls.filter((call) => call.due <= this.now);
       this.#calls = this.#calls.filter((call) => call.due > this.now);
-      for (const { by, event } of due) this.tell(by, event);
-      for (const by of this.leaders.keys()) this.tell(by, { type: "tick" });
+      for (const { by, event } of due) this.step(by, event);
+      for (const by of this.leaders.keys()) this.step(by, { type: "tick" });
     }
   }
 
-  #carry(by: string, effect: orders.ReconcilerEffect): void {
+  #execute(by: string, effect: orders.ReconcilerEffect): void {
     if (effect.type !== "read" && effect.type !== "order") return;
     const engine = this.engines.get(effect.engine.id)!;
-    const lost = this.random.next() < this.loss;
+    const lost = this.random.next() < this.lossProbability;
     const due = this.now + (lost ? 2000 : 50);
     const id = effect.engine.id;
     if (effect.type === "read") {
@@ -131,31 +137,31 @@
     });
   }
 
-  /** The answer is lost, and with it the order itself or not; it may also
-   * arrive after the call has ended. */
+  /** Loses the answer to an order. The order itself is lost too or arrives
+   * later, possibly after the call has ended. */
   #lose(arrive: () => void): orders.Answer {
     const due = this.now + this.random.below(2 * orders.CALL_TIMEOUT - 200);
-    if (this.random.next() < 0.5) this.#late.push({ due, arrive });
-    return { type: this.careless ? "refused" : "lost" };
+    if (this.random.next() < 0.5) this.#delayedOrders.push({ due, arrive });
+    return { type: this.repeatsLost ? "refused" : "lost" };
   }
 }
 
-const WISH = createTable({ model: "m", version: "1", role: "decode" });
+const DESIRED = createTable({ model: "m", version: "1", role: "decode" });
 const FOREVER = 1e9;
 
-/** Engines after a run in which answers are lost. */
-function runLossy(seed: number, careless: boolean): FakeEngine[] {
+/** Returns the engines after a run in which answers are lost. */
+function runLossy(seed: number, repeatsLost: boolean): FakeEngine[] {
   const random = runtime.createRandom(seed);
   const kinds = ["checks" as const, "ignores" as const, "checks" as const];
-  const bench = new Bench(random, kinds, 0.4, careless);
-  bench.lead("a", { token: 3, since: 0, until: FOREVER }, WISH);
-  bench.run(200_000);
-  return [...bench.engines.values()];
+  const simulation = new Simulation(random, kinds, 0.4, repeatsLost);
+  simulation.startLeader("a", { token: 3, since: 0, until: FOREVER }, DESIRED);
+  simulation.run(200_000);
+  return [...simulation.engines.values()];
 }
 
 const SEEDS = Array.from({ length: 20 }, (_, pos) => pos + 1);
 
-test("brings all engines there, each loaded once, though answers are lost", (t) => {
+test("all engines reach the goal with one load each, despite lost answers", (t) => {
   for (const seed of SEEDS) {
     for (const engine of runLossy(seed, false)) {
       t.like(engine.report, { role: "decode", token: 3 });
@@ -164,16 +170,19 @@
   }
 });
 
-test("the count finds loads that are repeated blindly", (t) => {
+test("the simulation detects loads that are repeated after a lost answer", (t) => {
   const engines = SEEDS.flatMap((seed) => runLossy(seed, true));
   t.true(engines.some(({ loads }) => loads > 1));
 });
 
-test("paces loads by the limit of the weight store", (t) => {
-  const bench = new Bench(runtime.createRandom(1), Array(6).fill("checks"));
-  bench.lead("a", { token: 3, since: 0, until: FOREVER }, WISH);
-  bench.run(60_000);
-  const loads = bench.sent.filter(({ type }) => type === "load");
+test("loads keep to the rate limit of the weight store", (t) => {
+  const simulation = new Simulation(
+    runtime.createRandom(1),
+    Array(6).fill("checks"),
+  );
+  simulation.startLeader("a", { token: 3, since: 0, until: FOREVER }, DESIRED);
+  simulation.run(60_000);
+  const loads = simulation.sent.filter(({ type }) => type === "load");
   t.is(loads.length, 6);
   loads.reduce((former, load) => {
     t.true(load.at - former.at >= 1000 / LIMITS.loadsPerSecond);
@@ -181,44 +190,55 @@
   });
 });
 
-test("waits out the former lease only where tokens are not checked", (t) => {
-  const bench = new Bench(runtime.createRandom(1), ["checks", "ignores"]);
-  bench.lead("a", { token: 3, since: 0, until: FOREVER }, WISH);
-  bench.run(30_000);
+test("orders wait for the former lease to expire only if tokens are not checked", (t) => {
+  const simulation = new Simulation(runtime.createRandom(1), [
+    "checks",
+    "ignores",
+  ]);
+  simulation.startLeader("a", { token: 3, since: 0, until: FOREVER }, DESIRED);
+  simulation.run(30_000);
   const first = (engine: string) =>
-    bench.sent.find((order) => order.engine === engine)!.at;
+    simulation.sent.find((order) => order.engine === engine)!.at;
   t.true(first("e0") < LIMITS.leaseMs);
   t.true(first("e1") >= LIMITS.leaseMs + orders.CALL_TIMEOUT);
 });
 
-test("orders nothing once the lease has ended, also after a pause", (t) => {
-  const bench = new Bench(runtime.createRandom(1), ["checks", "checks"]);
-  bench.lead("a", { token: 3, since: 0, until: 5000 }, WISH);
-  bench.now = 5000;
-  bench.run(20_000);
-  t.deepEqual(bench.sent, []);
+// A leader that was paused may resume after its lease has ended.
+test("no order is sent once the lease has ended, also after a pause", (t) => {
+  const simulation = new Simulation(runtime.createRandom(1), [
+    "checks",
+    "checks",
+  ]);
+  simulation.startLeader("a", { token: 3, since: 0, until: 5000 }, DESIRED);
+  simulation.now = 5000;
+  simulation.run(20_000);
+  t.deepEqual(simulation.sent, []);
 });
 
-test("a leader that does not know it was replaced is refused", (t) => {
-  const bench = new Bench(runtime.createRandom(1), ["checks"]);
-  bench.engines.get("e0")!.report.token = 4;
-  bench.lead("a", { token: 3, since: 0, until: FOREVER }, WISH);
-  bench.run(10_000);
-  t.deepEqual(bench.engines.get("e0")!.report.models, []);
+test("an engine refuses the orders of a leader that was replaced", (t) => {
+  const simulation = new Simulation(runtime.createRandom(1), ["checks"]);
+  simulation.engines.get("e0")!.report.token = 4;
+  simulation.startLeader("a", { token: 3, since: 0, until: FOREVER }, DESIRED);
+  simulation.run(10_000);
+  t.deepEqual(simulation.engines.get("e0")!.report.models, []);
 });
 
-test("reads what a former leader did before it orders", (t) => {
-  const bench = new Bench(runtime.createRandom(1), ["checks"]);
-  const engine = bench.engines.get("e0")!;
-  bench.lead("a", { token: 3, since: 0, until: 2000 }, WISH);
-  bench.run(2000);
-  bench.lead("b", { token: 4, since: 2000, until: FOREVER }, WISH);
-  bench.run(20_000);
+test("a new leader reads the engines before it sends orders", (t) => {
+  const simulation = new Simulation(runtime.createRandom(1), ["checks"]);
+  const engine = simulation.engines.get("e0")!;
+  simulation.startLeader("a", { token: 3, since: 0, until: 2000 }, DESIRED);
+  simulation.run(2000);
+  simulation.startLeader(
+    "b",
+    { token: 4, since: 2000, until: FOREVER },
+    DESIRED,
+  );
+  simulation.run(20_000);
   t.is(engine.loads, 1);
   t.is(engine.report.role, "decode");
 });
 
-test("what is known of an engine is void once it has started again", (t) => {
+test("the report of an engine is invalid after a restart of the engine", (t) => {
   const engine = { id: "e0", service: "lm", url: "http://e0" };
   const event = (generation: number): orders.ReconcilerEvent => ({
     type: "engines",
--- a/src/control/orders/token_bucket.ts
+++ b/src/control/orders/token_bucket.ts
@@ -1,4 +1,5 @@
-/** Paces loads, which draw on the rate-limited weight store.
+/** Token bucket that limits the rate of model loads, since the weight store that
+ * they read from is rate-limited.
  * @module */
 
 /** Immutable token bucket. */
@@ -15,18 +16,19 @@
     this.#at = at;
   }
 
-  /** An empty bucket at `now`, since a former leader may just have loaded;
-   * `rate` tokens a second. */
+  /** Creates a bucket that gains `rate` tokens per second. It is empty at `now`,
+   * since a former leader may have just ordered a load. */
   static create(rate: number, now: number): TokenBucket {
     return new TokenBucket(rate, 1, 0, now);
   }
 
-  /** When the next token is there. */
+  /** Returns when the next token is available. */
   readyAt(): number {
     return this.#at + Math.max(0, 1 - this.#level) / this.#rate * 1000;
   }
 
-  /** A copy without one token, or undefined when there is none at `now`. */
+  /** Returns a copy with one token less, or undefined if there is none at
+   * `now`. */
   take(now: number): TokenBucket | undefined {
     if (now < this.readyAt()) return undefined;
     const gained = (now - this.#at) / 1000 * this.#rate;
