--- a/src/shares/allocator.ts
+++ b/src/shares/allocator.ts
@@ -1,5 +1,5 @@
-/** Leases shares of fleet-wide limits to hosts. Runs on the host that holds
- * the control lease; its term orders allocators.
+/** Allocator of fleet-wide limits: leases shares to hosts. Runs on the host that
+ * holds the control lease, whose term distinguishes successive allocators.
  * @module */
 
 import type * as schema from "../schema/shares_types.ts";
@@ -7,36 +7,36 @@
 import * as divisions from "./division.ts";
 import * as limits from "./limit.ts";
 
-/** Between two rounds of grants. */
+/** Time between two rounds of grants. */
 export const ROUND_INTERVAL_MS = 1000;
-/** Length of a lease, from when the host sent its report. */
+/** Length of a lease, from the time at which the host sent its report. */
 export const LEASE_MS = 4000;
-/** Most that clocks may differ in speed. */
+/** Maximum difference in the rates of two clocks. */
 export const MAX_CLOCK_DRIFT_RATIO = 0.02;
-/** Answered reports of a host that it may build upon. */
-const BASES_KEPT = 8;
-/** Added to a lease before its share is granted again. */
+/** Number of answered reports per host that a later report may be a delta of. */
+const MAX_BASES = 8;
+/** Margin after the end of a lease before its share is granted again. */
 export const LEASE_MARGIN_MS = 100;
 
-/** What happens to an allocator. */
+/** Input of an allocator. */
 export type Event =
-  /** This host has the control lease of a term, until then by its clock;
-   * given again each time the lease is renewed. */
+  /** This host holds the control lease of `term` until `until` by its clock;
+   * repeated whenever the lease is renewed. */
   | { type: "lead"; term: number; until: number }
-  /** This host lost the control lease. */
+  /** This host has lost the control lease. */
   | { type: "yield" }
   | { type: "limits"; limits: readonly limits.Limit[] }
-  /** Hosts that may be running, those that count as dead included. */
+  /** Number of hosts that may be running, including those considered dead. */
   | { type: "hosts"; count: number }
   | { type: "message"; from: string; body: schema.SharesMessage }
   | { type: "wake" };
 
-/** What the shell does for an allocator. */
+/** Action that an allocator requests. */
 export type Effect =
   | { type: "send"; to: string; body: schema.SharesMessage }
   | { type: "wake"; at: number };
 
-/** Outcome of a step. */
+/** The state after an event, and the actions it requests. */
 export interface Result {
   state: Allocator;
   effects: Effect[];
@@ -50,7 +50,7 @@
   readonly hosts: number;
   readonly clients: ReadonlyMap<string, divisions.Client>;
   readonly number: number;
-  /** Until then, leases of the last allocator may run. */
+  /** Time until which leases of the previous allocator may be valid. */
   readonly waitUntil: number;
   readonly nextRound: number;
 }
@@ -72,7 +72,7 @@
   nextRound: Infinity,
 };
 
-/** An immutable allocator; `step` gives the next one. */
+/** Immutable state machine of an allocator. */
 export class Allocator {
   readonly #state: State;
 
@@ -80,12 +80,12 @@
     this.#state = state;
   }
 
-  /** An allocator that does not lead yet. */
+  /** Creates an allocator that does not hold the control lease. */
   static create(): Allocator {
     return new Allocator(IDLE);
   }
 
-  /** Takes one event at `now`, milliseconds of a monotonic clock. */
+  /** Handles an event at `now`, in milliseconds of a monotonic clock. */
   step(event: Event, now: number): Result {
     const step: Step = { state: this.#state, effects: [], now };
     const handler = handlers[event.type] as (step: Step, event: Event) => void;
@@ -97,7 +97,7 @@
     return { state: new Allocator(step.state), effects: step.effects };
   }
 
-  /** For the state dump. */
+  /** Returns the state for a dump. */
   toJSON(): object {
     const { term, hosts, clients, waitUntil } = this.#state;
     return { term, hosts, waitUntil, clients: Object.fromEntries(clients) };
@@ -118,7 +118,7 @@
       step.state = { ...step.state, until };
       return;
     }
-    const waitUntil = step.now + longest();
+    const waitUntil = step.now + maxLeaseTime();
     const nextRound = step.now + ROUND_INTERVAL_MS;
     step.state = { ...IDLE, limits, hosts, term, until, waitUntil, nextRound };
   },
@@ -133,23 +133,23 @@
     step.state = { ...step.state, hosts: count };
   },
   message: (step, { from, body }) => {
-    if (body.type === "report") receive(step, from, body);
+    if (body.type === "report") handleReport(step, from, body);
   },
   wake: (step) => {
     if (step.now < step.state.nextRound) return;
-    if (step.now < step.state.until) round(step);
+    if (step.now < step.state.until) runRound(step);
     step.state = { ...step.state, nextRound: step.now + ROUND_INTERVAL_MS };
   },
 };
 
-/** Longest time after which a lease granted now is over everywhere. */
-function longest(): number {
+/** Returns the time after which a lease granted now has expired by any clock. */
+function maxLeaseTime(): number {
   return LEASE_MS * (1 + MAX_CLOCK_DRIFT_RATIO) + LEASE_MARGIN_MS;
 }
 
-function receive(step: Step, from: string, report: schema.Report): void {
+function handleReport(step: Step, from: string, report: schema.Report): void {
   const { state, now } = step;
-  if (report.term !== state.term) return correct(step, from);
+  if (report.term !== state.term) return sendTerm(step, from);
   const known = state.clients.get(from);
   const outstanding = (known?.outstanding ?? []).filter((grant) => {
     return grant.number >= report.applied;
@@ -157,7 +157,7 @@
   const bases = known?.bases ?? new Map<number, claims.Claims>();
   const { like = 0 } = report;
   const base = report.like === undefined ? new Map() : bases.get(report.like);
-  // The host sends all rows when it gets no answer.
+  // The base is no longer stored: without an answer the host will send all rows.
   if (base === undefined) return;
   const client: divisions.Client = {
     report: report.number,
@@ -172,15 +172,15 @@
   step.state = { ...state, clients };
 }
 
-/** Tells a host that reports to another allocator of the present one. */
-function correct({ state, effects, now }: Step, to: string): void {
+/** Sends the present term to a host whose report has another one. */
+function sendTerm({ state, effects, now }: Step, to: string): void {
   const { term, until } = state;
   if (term === undefined || now >= until) return;
   effects.push({ type: "send", to, body: { type: "lead", term } });
 }
 
-/** Answers all reports since the last round. */
-function round(step: Step): void {
+/** Divides all limits and answers the reports since the last round. */
+function runRound(step: Step): void {
   const { state, now } = step;
   const clients = new Map<string, divisions.Client>();
   for (const [host, client] of state.clients) {
@@ -198,12 +198,12 @@
   for (const [host, client] of clients) {
     if (client.answered) continue;
     const extras = granted.get(host) ?? new Map<string, number>();
-    clients.set(host, grant(step, { host, client, extras, number }));
+    clients.set(host, sendGrant(step, { host, client, extras, number }));
   }
   step.state = { ...state, clients, number };
 }
 
-function grant(
+function sendGrant(
   step: Step,
   { host, client, extras, number }: {
     host: string;
@@ -218,22 +218,23 @@
   const type = "grant";
   const head = { type, number, term, report, lease: LEASE_MS } as const;
   const last = client.outstanding.find((grant) => grant.number === applied);
-  const rows = sharesOf(state, extras, last?.extras ?? new Map());
+  const rows = changedShares(state, extras, last?.extras ?? new Map());
   const body: schema.Grant = last === undefined
     ? { ...head, rows }
     : { ...head, like: applied, ...(rows.length > 0 ? { rows } : {}) };
   step.effects.push({ type: "send", to: host, body });
   const outstanding = [
     ...client.outstanding,
-    { number, extras, until: now + longest() },
+    { number, extras, until: now + maxLeaseTime() },
   ];
-  const recent = [...client.bases].slice(1 - BASES_KEPT);
+  const recent = [...client.bases].slice(1 - MAX_BASES);
   const bases = new Map(recent).set(report, client.claims);
   return { ...client, answered: true, outstanding, bases };
 }
 
-/** Shares that differ from those of a grant that the host has. */
-function sharesOf(
+/** Returns the shares that differ from those of the grant that the host has
+ * applied. */
+function changedShares(
   { limits: all }: State,
   extras: divisions.Extras,
   known: divisions.Extras,
--- a/src/shares/claim.ts
+++ b/src/shares/claim.ts
@@ -1,31 +1,31 @@
-/** What a host claims of limits, and how a report tells what changed.
+/** Claims of a host on limits, and their encoding as deltas in reports.
  * @module */
 
 import type * as schema from "../schema/shares_types.ts";
 import type * as holders from "./holder.ts";
 import * as limits from "./limit.ts";
 
-/** Significant digits of a demand. */
+/** Significant digits of a reported demand. */
 const DEMAND_DIGITS = 2;
-/** A demand is reported anew once it has risen or fallen by these factors: a
- * few requests a second differ that much by chance. */
-const RISE = 1.5;
-const FALL = 2;
+/** A demand is reported again once it has risen or fallen by these factors: at
+ * a few requests per second it varies by less at random. */
+const RISE_FACTOR = 1.5;
+const FALL_FACTOR = 2;
 
 /** Claims of a host by key of the limit. */
 export type Claims = ReadonlyMap<string, schema.Claim>;
 
-/** What the claims of a host follow from. */
+/** Inputs to the claims of a host. */
 export interface Basis {
   hosts: number;
   demands: readonly holders.Demand[];
-  /** Claims that the allocator has. */
+  /** Claims in the last answered report, which the allocator knows. */
   reported: Claims;
-  /** What the host holds of a limit over its base. */
+  /** Returns the share of a limit that the host holds beyond its base. */
   held(key: string): number;
 }
 
-/** Claims on limits of which the base may not be enough. */
+/** Creates the claims on the limits whose base may not suffice. */
 export function create(
   all: readonly limits.Limit[],
   { hosts, demands, reported: said, held: heldOf }: Basis,
@@ -40,15 +40,15 @@
     const held = heldOf(key);
     if (demand <= base / 2 && held === 0 && used === 0) continue;
     const { row, column } = limit;
-    const steady = steadyOf(demand, said.get(key)?.demand);
+    const steady = smoothDemand(demand, said.get(key)?.demand);
     const claim: schema.Claim = { row, column, demand: steady, held };
     claims.set(key, used > 0 ? { ...claim, used } : claim);
   }
   return claims;
 }
 
-/** Rows that turn `base` into `claims`. What is held needs no row: the
- * allocator knows its own grants. */
+/** Returns the rows of a report that change `base` to `claims`. A change of the
+ * held share needs no row: the allocator knows its own grants. */
 export function changes(claims: Claims, base: Claims): schema.Claim[] {
   const rows = [...claims].filter(([key, { demand, used }]) => {
     const known = base.get(key);
@@ -64,7 +64,7 @@
   ];
 }
 
-/** Claims after the rows of a report. */
+/** Returns the claims after applying the rows of a report to `base`. */
 export function applyRows(base: Claims, rows: readonly schema.Claim[]): Claims {
   const claims = new Map(base);
   for (const row of rows) {
@@ -76,7 +76,9 @@
   return claims;
 }
 
-function steadyOf(demand: number, said = 0): number {
-  if (demand <= RISE * said && demand >= said / FALL) return said;
+function smoothDemand(demand: number, reported = 0): number {
+  if (demand <= RISE_FACTOR * reported && demand >= reported / FALL_FACTOR) {
+    return reported;
+  }
   return Number(demand.toPrecision(DEMAND_DIGITS));
 }
--- a/src/shares/fake_host.ts
+++ b/src/shares/fake_host.ts
@@ -1,5 +1,5 @@
-/** A host with its shares and an allocator on a fake fleet, for tests and
- * benches.
+/** A host with a holder and an allocator on a fake fleet, for tests and
+ * benchmarks.
  * @module */
 
 import type * as fakeFleet from "../membership/fake_fleet.ts";
@@ -9,18 +9,18 @@
 import * as holders from "./holder.ts";
 import type * as limits from "./limit.ts";
 
-/** What a fake host starts with. */
+/** Options of a `FakeHost`. */
 export interface Options {
   limits: readonly limits.Limit[];
   hosts: number;
   seed: number;
 }
 
-/** Both sides of fleet-wide limits, wired as a node wires them. */
+/** A holder and an allocator, connected as in a node. */
 export class FakeHost implements fakeFleet.Program {
   holder: holders.Holder;
   allocator = allocators.Allocator.create();
-  /** What clients ask of this host. */
+  /** Demand of the clients of this host. */
   demands: readonly holders.Demand[] = [];
   #demandAt: number;
   #allocatorAt = Infinity;
@@ -58,7 +58,7 @@
     return outgoing;
   }
 
-  /** Gives an event to the shares of this host. */
+  /** Passes an event to the holder; returns the messages to send. */
   hold(event: holders.Event, now: number): fakeFleet.OutgoingMessage[] {
     const { state, effects } = this.holder.step(event, now);
     this.holder = state;
@@ -68,7 +68,7 @@
     });
   }
 
-  /** Gives an event to the allocator of this host. */
+  /** Passes an event to the allocator; returns the messages to send. */
   allocate(event: allocators.Event, now: number): fakeFleet.OutgoingMessage[] {
     const { state, effects } = this.allocator.step(event, now);
     this.allocator = state;
@@ -80,7 +80,7 @@
     return outgoing;
   }
 
-  /** What this host may use of a limit at `now`. */
+  /** Returns the share of a limit that this host may use at `now`. */
   shareOf(row: string, now: number): number {
     this.hold({ type: "wake" }, now);
     return this.holder.shares.find((share) => share.row === row)?.share ?? 0;
--- a/src/shares/holder.ts
+++ b/src/shares/holder.ts
@@ -1,5 +1,5 @@
-/** Shares of fleet-wide limits at one host: a base that it always has, and
- * what the allocator leases to it beyond.
+/** Holder of shares of fleet-wide limits at one host. A share consists of a base
+ * that the host always has and an extra part that the allocator leases to it.
  * @module */
 
 import type * as runtime from "../runtime/mod.ts";
@@ -7,62 +7,63 @@
 import * as claims from "./claim.ts";
 import * as limits from "./limit.ts";
 
-/** Least time between two reports. */
+/** Minimum time between two reports. */
 export const REPORT_INTERVAL_MS = 1000;
-/** A report answered longer ago is not built upon: the allocator may have
- * forgotten it. */
-const ANSWER_KEPT = 2500;
-/** Reports whose sending time is remembered. */
-const REPORTS_KEPT = 16;
+/** Maximum age of the report that a new one is a delta of: the allocator may
+ * have dropped an older one. */
+const MAX_BASE_AGE_MS = 2500;
+/** Number of sent reports that are remembered. */
+const MAX_SENT_REPORTS = 16;
 
-/** What a host could use of a limit if it were alone. */
+/** Amount of a limit that a host could use if there were no other hosts. */
 export interface Demand {
   row: string;
   column: schema.LimitColumn;
-  /** Requests a second that arrive, or requests in flight and waiting. */
+  /** Arriving requests per second, or requests in flight and waiting. */
   demand: number;
-  /** Requests in flight, for a limit on these. */
+  /** Requests in flight, for a limit on concurrency. */
   inFlight?: number;
 }
 
-/** What a host may use of a limit. */
+/** Amount of a limit that a host may use. */
 export interface Share {
   row: string;
   column: schema.LimitColumn;
   share: number;
 }
 
-/** What happens to the shares of a host. */
+/** Input of a holder. */
 export type Event =
   | { type: "limits"; limits: readonly limits.Limit[] }
-  /** Hosts that may be running, those that count as dead included. */
+  /** Number of hosts that may be running, including those considered dead. */
   | { type: "hosts"; count: number }
-  /** The host that holds the control lease, as far as known. */
+  /** The host that is known to hold the control lease. */
   | { type: "allocator"; host: string; term: number }
-  /** As above where the term is not known: the host itself will tell. */
+  /** As `allocator`, without the term: the allocator sends its term in reply to
+   * a report. */
   | { type: "leader"; host: string }
-  /** Demand on all limits; to be given at least each `REPORT_INTERVAL`. */
+  /** Demand on all limits; expected at least every `REPORT_INTERVAL_MS`. */
   | { type: "demand"; demands: readonly Demand[] }
   | { type: "message"; from: string; body: schema.SharesMessage }
   | { type: "wake" };
 
-/** What the shell does for the shares of a host. */
+/** Action that a holder requests. */
 export type Effect =
   | { type: "send"; to: string; body: schema.SharesMessage }
-  /** All shares, after one has changed. */
+  /** All shares, after a change of any of them. */
   | { type: "notify"; shares: readonly Share[] }
   | { type: "wake"; at: number };
 
-/** What the shares of a host need at the start. */
+/** Options of a `Holder`. */
 export interface Options {
-  /** Hosts that may be running. */
+  /** Number of hosts that may be running. */
   hosts: number;
-  /** Gives the first number of a report, so that no grant to an earlier run
-   * of this host is taken for one to this run. */
+  /** Source of the number of the first report, so that a grant to an earlier run
+   * of this host is not taken for one to this run. */
   random: runtime.Random;
 }
 
-/** Outcome of a step. */
+/** The state after an event, and the actions it requests. */
 export interface Result {
   state: Holder;
   effects: Effect[];
@@ -87,9 +88,9 @@
   readonly term: number;
   readonly number: number;
   readonly reportedAt: number;
-  /** As last given. */
+  /** Demand of the last event `demand`. */
   readonly demands: readonly Demand[];
-  /** Recent reports of this term by number. */
+  /** Recent reports of this term, by number. */
   readonly sent: ReadonlyMap<number, Sent>;
   /** Last report of this term that was answered. */
   readonly answered: (Sent & { number: number }) | undefined;
@@ -103,7 +104,7 @@
   now: number;
 }
 
-/** Immutable shares of a host; `step` gives the next ones. */
+/** Immutable state machine of a holder. */
 export class Holder {
   readonly #state: State;
 
@@ -111,7 +112,7 @@
     this.#state = state;
   }
 
-  /** Shares of a host that has just started. */
+  /** Creates a holder for a host that has just started. */
   static create({ hosts, random }: Options): Holder {
     return new Holder({
       limits: [],
@@ -128,21 +129,21 @@
     });
   }
 
-  /** Takes one event at `now`, milliseconds of a monotonic clock. */
+  /** Handles an event at `now`, in milliseconds of a monotonic clock. */
   step(event: Event, now: number): Result {
     const step: Step = { state: this.#state, effects: [], now };
     const handler = handlers[event.type] as (step: Step, event: Event) => void;
     handler(step, event);
-    settle(step);
+    updateShares(step);
     return { state: new Holder(step.state), effects: step.effects };
   }
 
-  /** What this host may use of each limit. */
+  /** Share of each limit that this host may use. */
   get shares(): readonly Share[] {
     return this.#state.shares;
   }
 
-  /** For the state dump. */
+  /** Returns the state for a dump. */
   toJSON(): object {
     const { allocator, term, hosts, lease, shares } = this.#state;
     return { allocator, term, hosts, leaseUntil: lease?.until, shares };
@@ -165,34 +166,37 @@
   },
   allocator: (step, { host, term }) => {
     if (term <= step.state.term) return;
-    step.state = { ...step.state, allocator: host, ...termOf(term) };
+    step.state = { ...step.state, allocator: host, ...startTerm(term) };
   },
   leader: (step, { host }) => {
     if (host === step.state.allocator) return;
     step.state = { ...step.state, allocator: host };
-    report(step);
+    sendReport(step);
   },
   demand: (step, { demands }) => {
     step.state = { ...step.state, demands };
-    if (step.now - step.state.reportedAt >= REPORT_INTERVAL_MS) report(step);
+    if (step.now - step.state.reportedAt >= REPORT_INTERVAL_MS) {
+      sendReport(step);
+    }
   },
   message: (step, { from, body }) => {
-    if (body.type === "grant") apply(step, body);
+    if (body.type === "grant") applyGrant(step, body);
     if (body.type !== "lead" || from !== step.state.allocator) return;
     const { term } = body;
     if (term <= step.state.term) return;
-    step.state = { ...step.state, ...termOf(term) };
-    report(step);
+    step.state = { ...step.state, ...startTerm(term) };
+    sendReport(step);
   },
   wake: () => {},
 };
 
-/** Nothing is known to an allocator at the start of its term. */
-function termOf(term: number): Pick<State, "term" | "sent" | "answered"> {
+/** Returns the state at the start of a term, when the allocator knows no
+ * reports. */
+function startTerm(term: number): Pick<State, "term" | "sent" | "answered"> {
   return { term, sent: new Map(), answered: undefined };
 }
 
-function report(step: Step): void {
+function sendReport(step: Step): void {
   const { state, now } = step;
   const { lease, allocator, answered } = state;
   if (allocator === undefined) return;
@@ -200,14 +204,14 @@
   const idle = all.size === 0 && answered?.claims.size === 0;
   if (idle) return;
   const number = state.number + 1;
-  const recent = [...state.sent].slice(1 - REPORTS_KEPT);
+  const recent = [...state.sent].slice(1 - MAX_SENT_REPORTS);
   step.state = {
     ...state,
     number,
     reportedAt: now,
     sent: new Map(recent).set(number, { at: now, claims: all }),
   };
-  const base = answered !== undefined && now - answered.at < ANSWER_KEPT
+  const base = answered !== undefined && now - answered.at < MAX_BASE_AGE_MS
     ? answered
     : undefined;
   const body: schema.Report = {
@@ -221,7 +225,7 @@
   step.effects.push({ type: "send", to: allocator, body });
 }
 
-/** Claims on limits of which the base may not be enough. */
+/** Returns the claims on the limits whose base may not suffice. */
 function claimsOf(state: State, now: number): claims.Claims {
   const { limits, hosts, demands, answered } = state;
   return claims.create(limits, {
@@ -232,8 +236,9 @@
   });
 }
 
-/** Puts a grant in force, unless a newer one is or its allocator is old. */
-function apply(step: Step, grant: schema.Grant): void {
+/** Applies a grant, unless a newer one was applied or its term is not the
+ * present one. */
+function applyGrant(step: Step, grant: schema.Grant): void {
   const { state, now } = step;
   const { term, number, report, lease, like } = grant;
   const sent = state.sent.get(report);
@@ -242,14 +247,14 @@
   if (known?.term === term && number <= known.number) return;
   const until = sent.at + lease;
   if (until <= now) return;
-  const follows = known?.term === term && known.number === like;
-  if (like !== undefined && !follows) return;
-  const extras = extrasOf(grant, follows ? known.extras : new Map());
+  const isDelta = known?.term === term && known.number === like;
+  if (like !== undefined && !isDelta) return;
+  const extras = applyExtras(grant, isDelta ? known.extras : new Map());
   const answered = { ...sent, number: report };
   step.state = { ...state, answered, lease: { term, number, until, extras } };
 }
 
-function extrasOf(
+function applyExtras(
   { rows = [] }: schema.Grant,
   known: ReadonlyMap<string, number>,
 ): ReadonlyMap<string, number> {
@@ -262,8 +267,8 @@
   return extras;
 }
 
-/** Brings the shares up to date and tells the other parts. */
-function settle(step: Step): void {
+/** Recomputes the shares, and requests a notification if they have changed. */
+function updateShares(step: Step): void {
   const { state, now } = step;
   const shares = state.limits.map((limit) => shareOf(state, { limit, now }));
   const changed = shares.length !== state.shares.length ||
--- a/src/shares/max_min_fairness.ts
+++ b/src/shares/max_min_fairness.ts
@@ -1,16 +1,17 @@
 /** Weighted max-min fair division.
  * @module */
 
-/** One party to a division. */
+/** Demand of one participant in a division. */
 export interface WeightedDemand {
-  /** The most it can use. */
+  /** Maximum amount that the participant can use. */
   want: number;
-  /** Above 0. */
+  /** Relative weight, greater than 0. */
   weight: number;
 }
 
-/** Divides `amount`: nobody gets more than it wants, and nobody who gets less
- * can get more without somebody with less per weight losing some. */
+/** Divides `amount` by weighted max-min fairness: no share exceeds its demand,
+ * and a share below its demand could grow only at the expense of a share that is
+ * no larger relative to its weight. */
 export function divideMaxMin(
   amount: number,
   claims: readonly WeightedDemand[],
--- a/src/shares/max_min_fairness_test.ts
+++ b/src/shares/max_min_fairness_test.ts
@@ -11,8 +11,9 @@
 );
 const amounts = fastCheck.integer({ min: 0, max: 5000 });
 
-/** The same division by sorting: the least want per weight is met first. */
-function fillBySorting(
+/** Reference implementation that sorts the demands: the smallest one relative to
+ * its weight is met first. */
+function divideBySorting(
   amount: number,
   claims: readonly shares.WeightedDemand[],
 ) {
@@ -32,11 +33,11 @@
   return filled;
 }
 
-test("division equals water-filling by sorting", (t) => {
+test("the division equals water-filling over sorted demands", (t) => {
   fastCheck.assert(
     fastCheck.property(amounts, claims, (amount, claims) => {
       const fast = shares.divideMaxMin(amount, claims);
-      const naive = fillBySorting(amount, claims);
+      const naive = divideBySorting(amount, claims);
       fast.forEach((share, pos) => {
         if (Math.abs(share - naive[pos]) > 1e-6) throw new Error(`${pos}`);
       });
@@ -46,7 +47,7 @@
   t.pass();
 });
 
-test("division uses all that is wanted, and never more than there is", (t) => {
+test("the division allots all demand, and never more than the amount", (t) => {
   fastCheck.assert(
     fastCheck.property(amounts, claims, (amount, claims) => {
       const used = shares.divideMaxMin(amount, claims).reduce(
--- a/src/shares/meter.ts
+++ b/src/shares/meter.ts
@@ -1,42 +1,44 @@
-/** What callers ask of this host, by row of the table that has a limit: the
- * demand from which shares are given out.
+/** Measures the demand on this host for each row of the table that has a limit;
+ * the shares are divided by demand.
  * @module */
 
 import type * as request from "../request/mod.ts";
 import type * as holders from "./holder.ts";
 import type * as limits from "./limit.ts";
 
-/** Milliseconds in which a demand that has ended fades to 1/e. */
-const FADE = 3000;
-/** Share that one request has in the mean time in this host. */
-const STEP = 0.1;
+/** Time constant of the decay of a rate: after it, the rate of arrivals that
+ * have stopped is down to 1/e. */
+const RATE_DECAY_MS = 3000;
+/** Weight of one request in the exponential moving average of the time that
+ * requests spend in this host. */
+const STAY_SMOOTHING_FACTOR = 0.1;
 
 type Flow = Pick<request.Request, "account" | "kind">;
 
 interface Row {
   /** Arrivals since the last reading. */
   arrivals: number;
-  /** Arrivals a second of late. */
+  /** Decaying mean of the arrivals per second. */
   rate: number;
   /** Mean milliseconds from arrival to the final answer; 0 at first. */
   stay: number;
 }
 
-/** Counts requests; changed in place. */
+/** Mutable counters of requests by row. */
 export class DemandMeter implements request.Observer {
   #rows: ReadonlyMap<string, Row> = new Map();
-  /** Requests in this host by row, also rows without a limit. */
+  /** Requests in flight by row, including rows without a limit. */
   readonly #inFlight = new Map<string, number>();
   #readAt = 0;
 
   private constructor() {}
 
-  /** A meter that follows no row yet. */
+  /** Creates a meter without rows. */
   static create(): DemandMeter {
     return new DemandMeter();
   }
 
-  /** Follows the rows that have limits. */
+  /** Sets the limits whose rows are measured. */
   setLimits(limits: readonly limits.Limit[]): void {
     const known = this.#rows;
     this.#rows = new Map(limits.map(({ row }) => {
@@ -52,7 +54,7 @@
   }
 
   admitted(request: request.Request): void {
-    for (const name of rowsOf(request)) this.#shift(name, 1);
+    for (const name of rowsOf(request)) this.#addInFlight(name, 1);
   }
 
   finished(
@@ -62,35 +64,39 @@
   ): void {
     const stay = now - request.arrived;
     for (const name of rowsOf(request)) {
-      this.#shift(name, -1);
+      this.#addInFlight(name, -1);
       const row = this.#rows.get(name);
       if (row === undefined) continue;
-      row.stay += (row.stay === 0 ? 1 : STEP) * (stay - row.stay);
+      row.stay += (row.stay === 0 ? 1 : STAY_SMOOTHING_FACTOR) *
+        (stay - row.stay);
     }
   }
 
-  /** Demand on `limits` since the last reading. A rise counts at once. */
+  /** Returns the demand on `limits` since the last call. A rise has its full
+   * effect at once, a fall decays. */
   read(limits: readonly limits.Limit[], now: number): holders.Demand[] {
     const passed = Math.max(1, now - this.#readAt);
     this.#readAt = now;
     const peaks = new Map<string, number>();
     for (const [name, row] of this.#rows) {
-      const late = row.arrivals / passed * 1000;
-      row.rate += (late - row.rate) * (1 - Math.exp(-passed / FADE));
+      const recentRate = row.arrivals / passed * 1000;
+      row.rate += (recentRate - row.rate) *
+        (1 - Math.exp(-passed / RATE_DECAY_MS));
       row.arrivals = 0;
-      peaks.set(name, Math.max(late, row.rate));
+      peaks.set(name, Math.max(recentRate, row.rate));
     }
     return limits.map(({ row, column }) => {
       const rate = peaks.get(row) ?? 0;
       if (column === "rate") return { row, column, demand: rate };
       const inFlight = this.#inFlight.get(row) ?? 0;
-      // What is refused for want of a share would be in flight as well.
+      // By Little's law: requests that are refused for lack of a share count as
+      // demand too.
       const wanted = rate / 1000 * (this.#rows.get(row)?.stay ?? 0);
       return { row, column, demand: Math.max(inFlight, wanted), inFlight };
     });
   }
 
-  #shift(name: string, change: 1 | -1): void {
+  #addInFlight(name: string, change: 1 | -1): void {
     const count = (this.#inFlight.get(name) ?? 0) + change;
     if (count > 0) this.#inFlight.set(name, count);
     else this.#inFlight.delete(name);
--- a/src/shares/mod.ts
+++ b/src/shares/mod.ts
@@ -1,4 +1,4 @@
-/** Limits that the whole fleet shares.
+/** Fleet-wide limits: an allocator leases shares of them to the hosts.
  * @module */
 
 export * as allocator from "./allocator.ts";
