--- a/src/fleet/coalescer.ts
+++ b/src/fleet/coalescer.ts
@@ -1,24 +1,25 @@
-/** Request coalescing: questions that come while one is under way share the
- * answer of the next, and rounds keep a distance, so that their number does
- * not grow with that of who asks.
+/** Request coalescing: all calls that arrive while a fetch runs share the
+ * result of the next one, and fetches are spaced by a minimum interval, so that
+ * their rate does not grow with the number of callers.
  * @module */
 
 import type * as runtime from "../runtime/mod.ts";
 
-/** What a coalescer is made from. */
+/** Parameters of a coalescer. */
 export interface CoalescerOptions<T> {
   readonly clock: runtime.Clock;
-  /** Least milliseconds from the begin of one round to that of the next. */
+  /** Least milliseconds from the start of one fetch to the start of the
+   * next. */
   readonly minInterval: number;
-  /** One round. */
+  /** Fetches a result. */
   fetch(): Promise<T>;
 }
 
-/** Asks in rounds, one after the other. */
+/** Runs one fetch for all concurrent callers. */
 export class Coalescer<T> {
   readonly #options: CoalescerOptions<T>;
-  #next?: Promise<T>;
-  #begun = -Infinity;
+  #pending?: Promise<T>;
+  #startedAt = -Infinity;
 
   private constructor(options: CoalescerOptions<T>) {
     this.#options = options;
@@ -28,20 +29,20 @@
     return new Coalescer(options);
   }
 
-  /** The answer of a round that begins after this call. */
+  /** Result of a fetch that starts after this call. */
   join(): Promise<T> {
-    this.#next ??= this.#begin();
-    return this.#next;
+    this.#pending ??= this.#run();
+    return this.#pending;
   }
 
-  async #begin(): Promise<T> {
-    const { clock, minInterval: distance, fetch: ask } = this.#options;
-    const wait = Math.max(0, this.#begun + distance - clock.now());
+  async #run(): Promise<T> {
+    const { clock, minInterval, fetch } = this.#options;
+    const wait = Math.max(0, this.#startedAt + minInterval - clock.now());
     await new Promise<void>((resolve) =>
       void clock.after(wait, () => resolve())
     );
-    this.#next = undefined;
-    this.#begun = clock.now();
-    return ask();
+    this.#pending = undefined;
+    this.#startedAt = clock.now();
+    return fetch();
   }
 }
--- a/src/fleet/control_host.ts
+++ b/src/fleet/control_host.ts
@@ -1,5 +1,5 @@
-/** A host with a disk: keeps the configuration, hears the endpoints, and
- * answers operators and the hosts that take requests.
+/** A control host: it replicates the configuration on disk, receives endpoint
+ * heartbeats, and serves operators and the entry hosts.
  * @module */
 
 import * as versions from "../control/versions/mod.ts";
@@ -7,151 +7,155 @@
 import * as quarantine from "../quarantine/mod.ts";
 import * as rateLimits from "../rate_limits/mod.ts";
 import type * as schema from "../schema/fleet_types.ts";
-import * as bases from "./host_context.ts";
+import * as hostContext from "./host_context.ts";
 import * as controlServer from "./control_server.ts";
-import * as coreMembers from "./control_members.ts";
+import * as controlMembers from "./control_members.ts";
 import * as entryMembers from "./entry_members.ts";
-import * as followers from "./sync_sessions.ts";
+import * as syncSessions from "./sync_sessions.ts";
 import * as protocol from "./control_protocol.ts";
-import * as operatorOrders from "./operator_commands.ts";
-import * as coalescing from "./coalescer.ts";
-import * as spread from "./endpoint_replicator.ts";
+import * as operatorCommands from "./operator_commands.ts";
+import * as coalescers from "./coalescer.ts";
+import * as endpointReplicator from "./endpoint_replicator.ts";
 import type * as settings from "./settings.ts";
 import * as rosterCodec from "./roster_codec.ts";
 
-/** Milliseconds between greetings among hosts with disks. */
-const GREETING = 400;
-/** Milliseconds in which a majority confirms what is in force, for a host that
- * asks another one soon. */
-const SYNC_PATIENCE = 350;
-/** Least milliseconds between two such rounds: dozens of hosts ask a control
- * host each second, and each round asks the leader, and it the voters. */
-const SYNC_DISTANCE = 100;
-/** Heartbeats that an endpoint may miss before it counts as silent. */
-const MISSED = 3.5;
-/** Milliseconds for which a silent endpoint, or one that is gone, is kept:
- * longer than any late report of it. */
-const MEMORY = 60_000;
-/** Fewest voters, where there are so many hosts. */
-const VOTERS = 5;
-
-/** What a host with a disk is made from. */
-export interface ControlHostOptions extends bases.HostContext {
+/** Interval of hello messages between control hosts, and of `#tick`. */
+const HELLO_INTERVAL_MS = 400;
+/** Timeout for a quorum to confirm the current configuration. Short, since the
+ * entry host that waits for it soon hedges to another control host. */
+const CONFIRM_TIMEOUT_MS = 350;
+/** Least interval between two confirmations: dozens of entry hosts sync with a
+ * control host each second, and each confirmation is a round trip to the leader
+ * and from there to the voters. */
+const MIN_CONFIRM_INTERVAL_MS = 100;
+/** Heartbeat intervals without a heartbeat after which an endpoint is
+ * silent. */
+const MISSED_HEARTBEAT_COUNT = 3.5;
+/** How long silent and removed endpoints are retained. Longer than any delayed
+ * report can take, so that such a report does not bring one back. */
+const RETENTION_MS = 60_000;
+/** Number of voters when there are enough control hosts; higher when more
+ * losses must be tolerated. */
+const DEFAULT_VOTER_COUNT = 5;
+
+/** Dependencies of a control host. */
+export interface ControlHostOptions extends hostContext.HostContext {
   protocol: protocol.ControlProtocol;
   openStorage: versions.OpenStorage;
 }
 
-/** Evacuations, for people. */
+/** Report of evacuations to operators. */
 export interface EvacuationReport {
   readonly dataCentres: readonly (
     & Omit<schema.Evacuation, "orderedAt">
     & { readonly ageMs: number }
   )[];
-  /** Number of entry hosts that follow the host. */
+  /** Number of entry hosts that sync from this control host. */
   readonly followers: number;
-  /** Those that don't hold the last order yet. */
+  /** Entry hosts among them that have not received the latest command. */
   readonly behind: readonly string[];
 }
 
-/** A running host with a disk. */
+/** A running control host. */
 export class ControlHost {
   readonly #options: ControlHostOptions;
-  readonly #network: bases.Network;
-  readonly #members: coreMembers.ControlMembers;
-  readonly #entries = entryMembers.EntryMembers.create();
+  readonly #network: hostContext.Network;
+  readonly #members: controlMembers.ControlMembers;
+  readonly #entryMembers = entryMembers.EntryMembers.create();
   readonly #roster: endpoints.Roster;
-  readonly #spread: spread.EndpointReplicator;
+  readonly #replicator: endpointReplicator.EndpointReplicator;
   readonly #coordinator: quarantine.Coordinator;
-  readonly #quotas: rateLimits.QuotaServer;
-  readonly #followers = followers.SyncSessions.create();
+  readonly #quotaServer: rateLimits.QuotaServer;
+  readonly #syncSessions = syncSessions.SyncSessions.create();
   readonly #epoch: string;
-  readonly #confirmations: coalescing.Coalescer<FleetState>;
-  /** Undefined until the disk is read. */
+  readonly #confirmations: coalescers.Coalescer<FleetState>;
+  /** Undefined until the disk has been read. */
   #store?: versions.ConfigurationStore;
   #server?: controlServer.ControlServer;
   #stopped = false;
 
   private constructor(options: ControlHostOptions) {
     const { settings, clock } = options;
-    const { host, dataCentre, seeds, heartbeatInterval: heartbeat } = settings;
+    const { host, dataCentre, seeds, heartbeatInterval } = settings;
     this.#options = options;
     this.#epoch = `${host}/${Math.floor(clock.wall())}`;
-    this.#members = coreMembers.ControlMembers.create({ host, dataCentre }, {
+    this.#members = controlMembers.ControlMembers.create({ host, dataCentre }, {
       known: seeds,
       now: clock.now(),
     });
     this.#roster = endpoints.Roster.create({
-      silenceTimeoutMs: MISSED * heartbeat,
-      retentionMs: MEMORY,
+      silenceTimeoutMs: MISSED_HEARTBEAT_COUNT * heartbeatInterval,
+      retentionMs: RETENTION_MS,
     });
-    this.#network = bases.createNetwork(options, {
+    this.#network = hostContext.createNetwork(options, {
       handlers: {
-        confirm: (question) => this.#answer(question),
-        replace: (question) => this.#answer(question),
-        evacuate: (question) => this.#answer(question),
-        sync: (question, from) => this.#sync(question, from),
-        note: (question) => this.#note(question),
+        confirm: (question) => this.#handleLeaderQuestion(question),
+        replace: (question) => this.#handleLeaderQuestion(question),
+        evacuate: (question) => this.#handleLeaderQuestion(question),
+        sync: (question, from) => this.#handleSync(question, from),
+        note: (question) => this.#handleNote(question),
         suspects: ({ suspects }) => {
           this.#coordinator.merge(suspects);
           return Promise.resolve({ type: "noted" });
         },
-        quota: (question) => Promise.resolve(this.#quotas.request(question)),
+        quota: (question) =>
+          Promise.resolve(this.#quotaServer.request(question)),
         warmup: (question) =>
-          Promise.resolve(this.#quotas.requestCold(question)),
+          Promise.resolve(this.#quotaServer.requestCold(question)),
         lease: (question, from) =>
           Promise.resolve(this.#coordinator.requestLease(question, from)),
       },
-      onNotice: (notice, from) => this.#hear(notice, from),
+      onNotice: (notice, from) => this.#handleNotice(notice, from),
       onLog: (envelope) => this.#store?.receive(envelope),
     });
-    this.#confirmations = coalescing.Coalescer.create({
+    this.#confirmations = coalescers.Coalescer.create({
       clock,
-      minInterval: SYNC_DISTANCE,
-      fetch: () => this.#fleetState(),
+      minInterval: MIN_CONFIRM_INTERVAL_MS,
+      fetch: () => this.#readFleetState(),
     });
-    this.#spread = spread.EndpointReplicator.create({
+    this.#replicator = endpointReplicator.EndpointReplicator.create({
       clock,
       roster: this.#roster,
-      heartbeatInterval: heartbeat,
+      heartbeatInterval,
       logger: options.logger,
       calls: this.#network.calls,
-      peers: () => this.#others(),
+      peers: () => this.#peers(),
     });
-    this.#quotas = rateLimits.QuotaServer.create({
+    this.#quotaServer = rateLimits.QuotaServer.create({
       ...options,
       calls: this.#network.calls,
       recipients:
-        () => [...this.#others(), ...this.#followers.live(clock.now())],
+        () => [...this.#peers(), ...this.#syncSessions.live(clock.now())],
     });
     this.#coordinator = quarantine.Coordinator.create({
       ...options,
       calls: this.#network.calls,
-      heartbeat,
-      cores: () => this.#others(),
-      followers: () => this.#followers.live(clock.now()),
-      lastHeartbeatAt: (endpoint) => this.#heardAt(endpoint),
+      heartbeat: heartbeatInterval,
+      cores: () => this.#peers(),
+      followers: () => this.#syncSessions.live(clock.now()),
+      lastHeartbeatAt: (endpoint) => this.#lastHeartbeatAt(endpoint),
     });
   }
 
-  /** Reads the disk, takes part in the log and serves callers. */
+  /** Recovers from disk, joins the replicated log and starts to serve. */
   static async start(options: ControlHostOptions): Promise<ControlHost> {
     const host = new ControlHost(options);
     await host.#start();
     return host;
   }
 
-  /** Follows settings that have changed. */
+  /** Applies changed settings; only the seeds are reloaded. */
   reload({ seeds }: settings.HostSettings): void {
     this.#members.addKnown(seeds);
-    this.#options.logger.info({ seeds }, "Settings read again");
+    this.#options.logger.info({ seeds }, "Settings reloaded");
   }
 
-  /** Hands its part in the log over and ends. */
+  /** Transfers log leadership to another voter and stops. */
   async stop(): Promise<void> {
     this.#stopped = true;
     this.#store?.transferLeadership();
     await new Promise<void>((resolve) =>
-      void this.#options.clock.after(FAREWELL, () => resolve())
+      void this.#options.clock.after(HANDOVER_MS, () => resolve())
     );
     await this.#server?.stop();
     this.#store?.stop();
@@ -160,80 +164,79 @@
     this.#options.logger.info({}, "Host stopped");
   }
 
-  /** State for people. */
+  /** Diagnostic state, for operators. */
   dump(): unknown {
     const now = this.#options.clock.now();
     return {
       log: this.#store?.dump(),
       cores: this.#members.live(now),
-      entryHosts: this.#entries.live(now),
+      entryHosts: this.#entryMembers.live(now),
       endpoints: [...this.#roster.entries],
       suspects: this.#coordinator.dump(),
-      limits: this.#quotas.limits,
+      limits: this.#quotaServer.limits,
       evacuations: this.evacuations(),
       peers: this.#network.transport.dump(),
     };
   }
 
-  /** Evacuations as this host knows them, and the entry hosts that follow it and
-   * don't hold the last order yet. */
+  /** Evacuations known to this host, and which of the entry hosts that sync
+   * from it have not received the latest command yet. */
   evacuations(): EvacuationReport {
     const { clock } = this.#options;
-    const known = this.#store?.evacuations ?? versions.Evacuations.NONE;
+    const evacuations = this.#store?.evacuations ?? versions.Evacuations.NONE;
     return {
-      dataCentres: known.list.map(({ orderedAt, ...order }) => ({
-        ...order,
+      dataCentres: evacuations.list.map(({ orderedAt, ...evacuation }) => ({
+        ...evacuation,
         ageMs: Math.max(0, Math.round(clock.wall() - orderedAt)),
       })),
-      followers: this.#followers.live(clock.now()).length,
-      behind: this.#followers.behind(known.totalRevision, clock.now()),
+      followers: this.#syncSessions.live(clock.now()).length,
+      behind: this.#syncSessions.behind(evacuations.totalRevision, clock.now()),
     };
   }
 
-  /** Lets a quarantined request run again on all hosts, by an operator's order;
-   * false where it is not suspected. */
+  /** Releases a request from quarantine on all hosts. Returns false when it is
+   * not a suspect. */
   release(fingerprint: string): boolean {
     return this.#coordinator.release(fingerprint);
   }
 
   async #start(): Promise<void> {
-    const { settings, logger, clock, openStorage: open } = this.#options;
-    const { host, seeds, isBootstrap: isFirstStart, controlAddress: control } =
-      settings;
-    const founds = isFirstStart && seeds.includes(host);
+    const { settings, logger, clock, openStorage } = this.#options;
+    const { host, seeds, isBootstrap, controlAddress } = settings;
+    const bootstraps = isBootstrap && seeds.includes(host);
     await this.#network.transport.start();
     this.#store = await versions.ConfigurationStore.start({
       ...this.#options,
       self: host,
       initialVoters: seeds,
-      isBootstrap: founds,
+      isBootstrap: bootstraps,
       transport: this.#network.transport,
-      openStorage: open,
-      callHost: (to, question, options) =>
-        this.#network.calls.ask(to, question, options),
-      // Hosts without a vote hear of a leader by greetings alone.
-      onElected: () => this.#greet(clock.now()),
+      openStorage,
+      callHost: (target, question, options) =>
+        this.#network.calls.ask(target, question, options),
+      // Non-voters learn of the leader from hello messages only.
+      onElected: () => this.#sendHellos(clock.now()),
     });
     this.#tick();
-    if (control !== undefined) {
+    if (controlAddress !== undefined) {
       this.#server = await controlServer.ControlServer.start({
-        listenAddress: control,
+        listenAddress: controlAddress,
         logger,
         metrics: this.#options.metrics,
         clock,
         protocol: this.#options.protocol,
         handlers: {
-          ...operatorOrders.handlers({
+          ...operatorCommands.handlers({
             store: this.#store,
             logger,
             dataCentres: Object.keys(settings.regions),
           }),
-          heartbeat: (order) => this.#heartbeat(order),
-          leave: (order) => this.#leave(order),
+          heartbeat: (command) => this.#handleHeartbeat(command),
+          leave: (command) => this.#handleLeave(command),
         },
       });
     }
-    logger.info({ founds, seeds }, "Host started");
+    logger.info({ founds: bootstraps, seeds }, "Host started");
   }
 
   #tick(): void {
@@ -242,113 +245,114 @@
     const now = clock.now();
     this.#members.addKnown(this.#store?.voters ?? []);
     this.#store?.setKnownHosts(this.#members.others);
-    this.#greet(now);
+    this.#sendHellos(now);
     this.#roster.expire(now);
-    this.#spread.tick();
+    this.#replicator.tick();
     this.#coordinator.tick();
-    this.#quotas.tick();
+    this.#quotaServer.tick();
     this.#options.metrics.gauge(
       "evacuation.active",
       this.#store?.evacuations.active.length ?? 0,
     );
-    this.#chooseVoters(now);
-    clock.after(GREETING, () => this.#tick());
+    this.#updateVoters(now);
+    clock.after(HELLO_INTERVAL_MS, () => this.#tick());
   }
 
-  #greet(now: number): void {
+  #sendHellos(now: number): void {
     const { settings: { dataCentre } } = this.#options;
-    const cores = this.#members.live(now).map(({ host }) => host);
-    const hosts = this.#entries.live(now);
-    for (const other of this.#members.others) {
+    const controlHosts = this.#members.live(now).map(({ host }) => host);
+    const hosts = this.#entryMembers.live(now);
+    for (const peer of this.#members.others) {
       const notice = {
         type: "hello" as const,
         dataCentre,
-        cores,
+        cores: controlHosts,
         hosts,
         leadership: this.#store?.leadership,
         ...this.#limits,
       };
-      this.#network.calls.cast(other, notice);
+      this.#network.calls.cast(peer, notice);
     }
   }
 
-  /** Rate limits as messages carry them: nothing without any. */
+  /** Rate limits as a message field, which is absent when there are none. */
   get #limits(): { limits?: schema.EndpointLimit[] } {
-    const { limits: told } = this.#quotas;
-    return told.length > 0 ? { limits: told } : {};
+    const { limits } = this.#quotaServer;
+    return limits.length > 0 ? { limits } : {};
   }
 
-  #chooseVoters(now: number): void {
+  #updateVoters(now: number): void {
     const store = this.#store;
     if (store === undefined || !store.isLeader) return;
     const { voters } = store;
-    const { host: leader, toleratedLosses: lossesBorne } =
-      this.#options.settings;
-    const most = Math.max(VOTERS, 2 * lossesBorne + 1);
+    const { host: leader, toleratedLosses } = this.#options.settings;
+    const maxVoters = Math.max(DEFAULT_VOTER_COUNT, 2 * toleratedLosses + 1);
     const live = this.#members.candidates(voters, now);
     store.setDesiredVoters(
-      coreMembers.chooseVoters({ leader, live, voters, maxVoters: most }),
+      controlMembers.chooseVoters({ leader, live, voters, maxVoters }),
     );
   }
 
-  #others(): string[] {
+  #peers(): string[] {
     const { host } = this.#options.settings;
     return this.#members.live(this.#options.clock.now())
-      .map((each) => each.host)
-      .filter((other) => other !== host);
+      .map((member) => member.host)
+      .filter((peer) => peer !== host);
   }
 
-  #hear(notice: schema.Notice, from: string): void {
-    if (notice.type === "hello") this.#greeted(notice, from);
+  #handleNotice(notice: schema.Notice, from: string): void {
+    if (notice.type === "hello") this.#handleHello(notice, from);
     else if (notice.type === "suspects") {
       this.#coordinator.merge(notice.suspects);
     } else if (notice.type === "limits") {
-      this.#quotas.mergeLimits(notice.limits);
+      this.#quotaServer.mergeLimits(notice.limits);
     } else if (notice.type === "lease-over") {
       this.#coordinator.endLease(notice.fingerprint, from);
     }
   }
 
-  #greeted(
-    { dataCentre, cores, hosts, leadership, limits = [] }: schema.HelloNotice,
+  #handleHello(
+    { dataCentre, cores: controlHosts, hosts, leadership, limits = [] }:
+      schema.HelloNotice,
     from: string,
   ): void {
     const now = this.#options.clock.now();
-    const isNew = !this.#others().includes(from);
+    const isNewHost = !this.#peers().includes(from);
     this.#members.recordHello({ host: from, dataCentre, heard: now });
-    this.#members.addKnown(cores);
-    hosts.forEach((host) => this.#entries.record(host, now));
+    this.#members.addKnown(controlHosts);
+    hosts.forEach((host) => this.#entryMembers.record(host, now));
     if (leadership !== undefined) this.#store?.updateLeaderHint(leadership);
-    this.#quotas.mergeLimits(limits);
-    // A host that has just come knows no endpoints and no suspects.
-    if (!isNew) return;
-    this.#spread.sendAll(from);
+    this.#quotaServer.mergeLimits(limits);
+    // A host that has just joined knows no endpoints and no suspects.
+    if (!isNewHost) return;
+    this.#replicator.sendAll(from);
     this.#coordinator.sendAll(from);
   }
 
-  #heardAt(endpoint: string): number | undefined {
+  #lastHeartbeatAt(endpoint: string): number | undefined {
     const entry = this.#roster.find(endpoint);
-    // One that has taken leave has ended, and did not crash.
+    // An endpoint that deregistered stopped on purpose; it did not crash.
     return entry?.state === "gone" ? Infinity : entry?.heardAt;
   }
 
-  async #sync(
+  async #handleSync(
     question: schema.SyncQuestion,
     from: string,
   ): Promise<schema.Reply> {
     const { clock } = this.#options;
-    this.#entries.record({ ...question.host, host: from }, clock.now());
-    const { evacuationOrders: orders = 0 } = question;
-    this.#followers.record(from, { now: clock.now(), orders });
-    const { edition, evacuations, hosts, mark, cores } = await this
-      .#confirmations.join();
+    this.#entryMembers.record({ ...question.host, host: from }, clock.now());
+    const { evacuationOrders: totalRevision = 0 } = question;
+    this.#syncSessions.record(from, { now: clock.now(), totalRevision });
+    const { configuration, evacuations, hosts, hostsDigest, controlHosts } =
+      await this
+        .#confirmations.join();
     const now = clock.now();
     const isSame = question.epoch === this.#epoch;
     const since = isSame ? question.revision : 0;
-    const { version, document } = edition ?? versions.NO_VERSION;
+    const { version, document } = configuration ?? versions.NO_VERSION;
     return {
       type: "synced",
-      confirmed: edition !== undefined,
+      confirmed: configuration !== undefined,
       version,
       ...(version > question.version && { document }),
       epoch: this.#epoch,
@@ -356,9 +360,9 @@
       sightings: this.#roster.changedSince(since).map((entry) =>
         rosterCodec.encode(entry, now)
       ),
-      mark,
-      ...(mark !== question.mark && { hosts }),
-      cores,
+      mark: hostsDigest,
+      ...(hostsDigest !== question.mark && { hosts }),
+      cores: controlHosts,
       evacuations,
       ...this.#limits,
       ...this.#coordinator.changesSince(
@@ -367,20 +371,20 @@
     };
   }
 
-  /** What all who ask in one round are told alike. */
-  async #fleetState(): Promise<FleetState> {
-    const edition = await this.#confirmed();
+  /** Fleet state that all sync requests of one round share. */
+  async #readFleetState(): Promise<FleetState> {
+    const configuration = await this.#readConfirmed();
     const now = this.#options.clock.now();
-    const hosts = this.#entries.live(now);
-    const mark = entryMembers.digestOf(hosts);
-    const cores = this.#members.live(now).map(({ host }) => host);
+    const hosts = this.#entryMembers.live(now);
+    const hostsDigest = entryMembers.digestOf(hosts);
+    const controlHosts = this.#members.live(now).map(({ host }) => host);
     const evacuations = this.#store?.evacuations.list ?? [];
-    return { edition, evacuations, hosts, mark, cores };
+    return { configuration, evacuations, hosts, hostsDigest, controlHosts };
   }
 
-  async #confirmed(): Promise<versions.ConfigurationVersion | undefined> {
+  async #readConfirmed(): Promise<versions.ConfigurationVersion | undefined> {
     try {
-      return await this.#store?.read(SYNC_PATIENCE);
+      return await this.#store?.read(CONFIRM_TIMEOUT_MS);
     } catch (error) {
       if (!(error instanceof versions.StoreError)) throw error;
       this.#options.metrics.count("config.unconfirmed");
@@ -388,82 +392,93 @@
     }
   }
 
-  async #answer(
+  async #handleLeaderQuestion(
     question: versions.LeaderQuestion,
   ): Promise<schema.Reply> {
     const reply = await this.#store?.handle(question);
     return reply ?? { type: "failed", reason: "stopped" };
   }
 
-  #note({ sightings: told }: schema.NoteQuestion): Promise<schema.Reply> {
+  #handleNote({ sightings }: schema.NoteQuestion): Promise<schema.Reply> {
     const now = this.#options.clock.now();
-    for (const sighting of told) {
+    for (const sighting of sightings) {
       this.#roster.merge(rosterCodec.decode(sighting, { now, judges: true }));
     }
     return Promise.resolve({ type: "noted" });
   }
 
-  async #heartbeat(
-    { sighting, coldFor }: Order<"heartbeat">,
+  async #handleHeartbeat(
+    { sighting, coldFor }: CommandOf<"heartbeat">,
   ): Promise<protocol.ControlResponse> {
     const heard = this.#options.clock.now();
     const coldUntil = coldFor > 0 ? heard + coldFor : 0;
-    const isNews = this.#roster.merge({
+    const isChange = this.#roster.merge({
       status: sighting,
       heardAt: heard,
       coldUntil,
     });
-    this.#spread.recordHeartbeat(sighting.id);
-    if (sighting.state === "ready" && !isNews) return DONE;
-    return await this.#tell(sighting.id, sighting.state);
+    this.#replicator.recordHeartbeat(sighting.id);
+    if (sighting.state === "ready" && !isChange) return OK;
+    return await this.#replicateChange(sighting.id, sighting.state);
   }
 
-  #leave({ id, born }: Order<"leave">): Promise<protocol.ControlResponse> {
+  #handleLeave(
+    { id, born }: CommandOf<"leave">,
+  ): Promise<protocol.ControlResponse> {
     this.#roster.recordLeave({ id, born }, this.#options.clock.now());
-    this.#spread.recordHeartbeat(id);
-    return this.#tell(id, "gone");
+    this.#replicator.recordHeartbeat(id);
+    return this.#replicateChange(id, "gone");
   }
 
-  /** Tells the other hosts of a change. One that takes an endpoint away is
-   * acknowledged only when a majority of the voters knows: any host that is of
-   * use to an entry host is in touch with one of these. */
-  async #tell(
+  /** Replicates a state change to the other control hosts. A drain or
+   * deregistration is acknowledged only once a majority of the voters has it:
+   * a control host can confirm anything to an entry host only while it reaches
+   * a majority, which includes at least one of these. */
+  async #replicateChange(
     id: string,
     state: endpoints.EndpointState,
   ): Promise<protocol.ControlResponse> {
     const { logger } = this.#options;
     if (state === "ready") {
-      void this.#spread.broadcast(id);
-      logger.info({ endpoint: id, state }, "Endpoint changed");
-      return DONE;
+      void this.#replicator.broadcast(id);
+      logger.info({ endpoint: id, state }, "Endpoint ready");
+      return OK;
     }
     const { host } = this.#options.settings;
-    const told = [host, ...await this.#spread.broadcast(id)];
+    const acknowledged = [host, ...await this.#replicator.broadcast(id)];
     const voters = this.#store?.voters ?? [];
-    const isKnown = this.#members.isMajority(told, voters);
+    const isAcknowledged = this.#members.isMajority(acknowledged, voters);
     logger.info(
-      { endpoint: id, state, told, voters, isKnown },
-      "Endpoint leaves",
+      {
+        endpoint: id,
+        state,
+        told: acknowledged,
+        voters,
+        isKnown: isAcknowledged,
+      },
+      "Endpoint drained or deregistered",
     );
-    return isKnown ? DONE : protocol.problem(503, "other hosts do not answer");
+    return isAcknowledged
+      ? OK
+      : protocol.problem(503, "other hosts do not answer");
   }
 }
 
-/** Milliseconds for which a host that stops still answers: its successor in
- * the log is elected within. */
-const FAREWELL = 300;
+/** How long a stopping host keeps answering, so that its successor as leader is
+ * elected meanwhile. */
+const HANDOVER_MS = 300;
 
-/** What a round has confirmed, and the fleet as it is then. */
+/** Result of one confirmation round: configuration and members at that time. */
 interface FleetState {
-  /** Undefined where no majority has answered. */
-  readonly edition: versions.ConfigurationVersion | undefined;
+  /** Undefined when no quorum answered. */
+  readonly configuration: versions.ConfigurationVersion | undefined;
   readonly evacuations: schema.Evacuation[];
   readonly hosts: schema.EntryHost[];
-  readonly mark: string;
-  /** Hosts with disks. */
-  readonly cores: string[];
+  readonly hostsDigest: string;
+  /** Control hosts. */
+  readonly controlHosts: string[];
 }
 
-type Order<T> = Extract<protocol.ControlCommand, { type: T }>;
+type CommandOf<T> = Extract<protocol.ControlCommand, { type: T }>;
 
-const DONE: protocol.ControlResponse = { status: 200, body: "{}" };
+const OK: protocol.ControlResponse = { status: 200, body: "{}" };
--- a/src/fleet/control_host_directory.ts
+++ b/src/fleet/control_host_directory.ts
@@ -1,19 +1,20 @@
-/** The control hosts that an entry host may ask. Seeds are a few that were there
- * when the settings were written; answers name those that are there now.
+/** The control hosts that an entry host may sync with. Seeds are some that
+ * existed when the settings were written; replies list the present ones.
  * @module */
 
 import type * as runtime from "../runtime/mod.ts";
 
-/** Milliseconds after the newest naming of any host after which one that is no
- * longer named is forgotten: longer than a cut or a restart. */
-const FORGOTTEN = 60_000;
+/** Time after which a host that replies no longer list is forgotten, counted up
+ * to the last reply that lists any: longer than a network partition or a
+ * restart. */
+const RETENTION_MS = 60_000;
 
-/** Known control hosts; changed in place. */
+/** Known control hosts; mutable. */
 export class ControlHostDirectory {
   #seeds: readonly string[];
-  /** Those that the last proved answer has named. */
-  #live: readonly string[] = [];
-  readonly #namedAt = new Map<string, number>();
+  /** Hosts that the last confirmed reply listed. */
+  #confirmed: readonly string[] = [];
+  readonly #listedAt = new Map<string, number>();
   readonly #failedAt = new Map<string, number>();
 
   private constructor(seeds: readonly string[]) {
@@ -24,64 +25,70 @@
     return new ControlHostDirectory(seeds);
   }
 
-  /** Takes seeds of settings that were read again. */
+  /** Replaces the seeds after a reload of the settings. */
   setSeeds(seeds: readonly string[]): void {
     this.#seeds = seeds;
   }
 
-  /** Notes hosts that an answer names. One without a proof may come from a host
-   * that is behind, but whom it names may be the only ones that are not. */
+  /** Adds hosts that a reply lists. An unconfirmed reply may come from a
+   * control host that is out of date, but the hosts it lists may be the only
+   * ones that are up to date. */
   addReported(hosts: readonly string[], now: number): void {
-    hosts.forEach((host) => this.#namedAt.set(host, now));
-    for (const [host, at] of this.#namedAt) {
-      if (now - at <= FORGOTTEN) continue;
-      this.#namedAt.delete(host);
+    hosts.forEach((host) => this.#listedAt.set(host, now));
+    for (const [host, at] of this.#listedAt) {
+      if (now - at <= RETENTION_MS) continue;
+      this.#listedAt.delete(host);
       this.#failedAt.delete(host);
     }
   }
 
-  /** Notes hosts that a proved answer names. */
+  /** Sets the present hosts to those that a confirmed reply lists. */
   setConfirmed(hosts: readonly string[], now: number): void {
     this.addReported(hosts, now);
-    this.#live = hosts;
+    this.#confirmed = hosts;
   }
 
-  /** Notes that a host proved nothing. */
+  /** Records that a host gave no confirmed reply. */
   recordFailure(host: string, now: number): void {
     this.#failedAt.set(host, now);
   }
 
-  /** Notes that a host has proved something. */
+  /** Records that a host gave a confirmed reply. */
   recordSuccess(host: string): void {
     this.#failedAt.delete(host);
   }
 
-  /** All that may be asked: `first`, then in any order those that are there and
-   * have not failed, then those that were there once, then those that failed, the
-   * last one at the end. */
+  /** All hosts in the order to try them: `first`, then the present hosts that
+   * have not failed, then hosts that were listed earlier, each group in random
+   * order, then those that failed, the most recent failure last. */
   inOrderOfPreference(
     first: string | undefined,
     random: runtime.Random,
   ): string[] {
     const rankOf = (host: string) => {
       if (host === first) return -1;
-      const isThere = this.current.includes(host);
-      return (this.#failedAt.get(host) ?? (isThere ? 0 : 1)) + random.next();
+      const isPresent = this.current.includes(host);
+      return (this.#failedAt.get(host) ?? (isPresent ? 0 : 1)) + random.next();
     };
     const rank = new Map(this.all.map((host) => [host, rankOf(host)]));
     return this.all.sort((a, b) => rank.get(a)! - rank.get(b)!);
   }
 
-  /** All that are known. */
+  /** All known hosts. */
   get all(): string[] {
     return [
-      ...new Set([...this.#live, ...this.#namedAt.keys(), ...this.#seeds]),
+      ...new Set([
+        ...this.#confirmed,
+        ...this.#listedAt.keys(),
+        ...this.#seeds,
+      ]),
     ];
   }
 
-  /** Those that have duties for the fleet: all hosts derive the same owners from
-   * these, so what settings named at some time does not count beside them. */
+  /** Hosts that own fleet-wide tasks. All entry hosts must derive the same
+   * owners from this list, so seeds, which differ between hosts, count only
+   * until the first confirmed reply. */
   get current(): readonly string[] {
-    return this.#live.length > 0 ? this.#live : this.#seeds;
+    return this.#confirmed.length > 0 ? this.#confirmed : this.#seeds;
   }
 }
--- a/src/fleet/control_members.ts
+++ b/src/fleet/control_members.ts
@@ -1,18 +1,18 @@
-/** The hosts with disks: who is there, and who should be a voter.
+/** Liveness of the control hosts, and the choice of the log's voters.
  * @module */
 
-/** Milliseconds without a greeting after which a host counts as lost: three
- * greetings and the delay of a busy host. */
-const LOST = 1500;
+/** Time without a hello message after which a host counts as lost: three hello
+ * intervals and the delay of a busy host. */
+const LIVENESS_TIMEOUT_MS = 1500;
 
-/** A host with a disk that was heard. */
+/** A control host, and when its last hello message arrived. */
 export interface ControlMember {
   readonly host: string;
   readonly dataCentre: string;
   readonly heard: number;
 }
 
-/** Hosts with disks as one of them knows them; changed in place. */
+/** Control hosts as one of them sees them; mutable. */
 export class ControlMembers {
   readonly #self: ControlMember;
   readonly #known = new Set<string>();
@@ -24,7 +24,8 @@
     this.#started = started;
   }
 
-  /** Only this host is known, and `known` by their addresses. */
+  /** Creates a view where this host is live and the hosts `known` are only
+   * addresses to contact. */
   static create(
     self: Pick<ControlMember, "host" | "dataCentre">,
     { known, now }: { known: readonly string[]; now: number },
@@ -34,98 +35,102 @@
     return members;
   }
 
-  /** Notes hosts that may be there. */
+  /** Adds hosts that may exist, live or not. */
   addKnown(hosts: readonly string[]): void {
     for (const host of hosts) {
       if (host !== this.#self.host) this.#known.add(host);
     }
   }
 
-  /** Notes a greeting. */
+  /** Records a hello message. */
   recordHello(host: ControlMember): void {
     this.addKnown([host.host]);
     this.#heard.set(host.host, host);
   }
 
-  /** Whether `hosts` are a majority: of the voters, as whatever binds the fleet
-   * needs, or of all hosts ever known while no voters are. Those that were heard
-   * just now don't count as all: on a host that is cut off they are few. */
+  /** Whether `hosts` contain a majority of the voters or, while no voters are
+   * known, of all hosts ever known. The live hosts are no basis for a majority:
+   * on a partitioned host they are few. */
   isMajority(hosts: readonly string[], voters: readonly string[]): boolean {
     const all = voters.length > 0 ? voters : [this.#self.host, ...this.#known];
-    const known = all.filter((host) => hosts.includes(host));
-    return 2 * known.length > all.length;
+    const present = all.filter((host) => hosts.includes(host));
+    return 2 * present.length > all.length;
   }
 
-  /** The other hosts that greetings go to. */
+  /** All known hosts except this one, live or not. */
   get others(): string[] {
     return [...this.#known];
   }
 
-  /** Hosts that are there, this one among them. */
+  /** Live hosts, including this one. */
   live(now: number): ControlMember[] {
     const others = [...this.#heard.values()];
     return [
       this.#self,
-      ...others.filter(({ heard }) => now - heard <= LOST),
+      ...others.filter(({ heard }) => now - heard <= LIVENESS_TIMEOUT_MS),
     ];
   }
 
-  /** Hosts to choose voters from: those that are there, and voters that this
-   * host has had no time to hear since its start. */
+  /** Hosts to choose voters from: live hosts, and shortly after the start of
+   * this host also voters whose hello messages may not have arrived yet. */
   candidates(voters: readonly string[], now: number): ControlMember[] {
     const live = this.live(now);
-    if (now - this.#started > LOST) return live;
+    if (now - this.#started > LIVENESS_TIMEOUT_MS) return live;
     const unheard = voters.filter((host) =>
       !live.some((one) => one.host === host)
     );
-    const since = { dataCentre: "", heard: this.#started };
-    return [...live, ...unheard.map((host) => ({ host, ...since }))];
+    const placeholder = { dataCentre: "", heard: this.#started };
+    return [...live, ...unheard.map((host) => ({ host, ...placeholder }))];
   }
 }
 
-/** What a choice of voters goes by. */
+/** Inputs of `chooseVoters`. */
 export interface VoterSelection {
-  /** Host that leads: it stays a voter. */
+  /** Leader of the log, which remains a voter. */
   readonly leader: string;
   readonly live: readonly Pick<ControlMember, "host" | "dataCentre">[];
-  /** Hosts that are voters now. */
+  /** Hosts that are voters at present. */
   readonly voters: readonly string[];
-  /** Most voters; odd. */
+  /** Upper limit of the number of voters; odd. */
   readonly maxVoters: number;
 }
 
-/** Hosts that should be voters: who leads, those that are and live, then live
- * ones, from the data centres with the fewest, up to an odd number; a lost voter
- * stays until a live host can take its place. */
+/** Chooses the hosts that should be voters: the leader, then live voters, then
+ * other live hosts, each time from the data centre with the fewest chosen
+ * hosts, up to an odd number. A lost voter remains until a live host can
+ * replace it. */
 export function chooseVoters(
-  { leader, live, voters, maxVoters: most }: VoterSelection,
+  { leader, live, voters, maxVoters }: VoterSelection,
 ): string[] {
   const known = new Set([...voters, ...live.map(({ host }) => host)]);
-  const wanted = Math.min(most, oddUpTo(known.size));
+  const voterCount = Math.min(maxVoters, largestOddUpTo(known.size));
   const chosen: Candidate[] = [];
-  const choose = (from: readonly Candidate[]) => {
-    const free = [...from];
-    while (chosen.length < wanted && free.length > 0) {
-      const next = free.reduce((best, each) =>
-        compare(each, best, chosen) < 0 ? each : best
+  const addBest = (candidates: readonly Candidate[]) => {
+    const remaining = [...candidates];
+    while (chosen.length < voterCount && remaining.length > 0) {
+      const next = remaining.reduce((best, candidate) =>
+        compareCandidates(candidate, best, chosen) < 0 ? candidate : best
       );
-      free.splice(free.indexOf(next), 1);
+      remaining.splice(remaining.indexOf(next), 1);
       chosen.push(next);
     }
   };
-  choose(live.filter(({ host }) => host === leader));
-  choose(
+  addBest(live.filter(({ host }) => host === leader));
+  addBest(
     live.filter(({ host }) => host !== leader && voters.includes(host)),
   );
-  choose(live.filter(({ host }) => !voters.includes(host)));
+  addBest(live.filter(({ host }) => !voters.includes(host)));
   const lost = voters.filter((host) => !live.some((one) => one.host === host));
-  const kept = lost.sort().slice(0, Math.max(0, wanted - chosen.length));
-  return [...chosen.map(({ host }) => host), ...kept].sort();
+  const keptLost = lost.sort().slice(
+    0,
+    Math.max(0, voterCount - chosen.length),
+  );
+  return [...chosen.map(({ host }) => host), ...keptLost].sort();
 }
 
 type Candidate = Pick<ControlMember, "host" | "dataCentre">;
 
-function compare(
+function compareCandidates(
   one: Candidate,
   other: Candidate,
   chosen: readonly Candidate[],
@@ -135,6 +140,6 @@
   return count(one) - count(other) || (one.host < other.host ? -1 : 1);
 }
 
-function oddUpTo(count: number): number {
+function largestOddUpTo(count: number): number {
   return count % 2 === 0 ? count - 1 : count;
 }
--- a/src/fleet/control_protocol.ts
+++ b/src/fleet/control_protocol.ts
@@ -1,19 +1,19 @@
-/** What operators and endpoints say to a control host, as an adapter of their
- * platform decodes it.
+/** HTTP requests of operators and endpoints to a control host, as the platform
+ * adapter decodes them.
  * @module */
 
 import type * as configurations from "../configuration/mod.ts";
 import type * as endpoints from "../endpoints/mod.ts";
 
-/** A call that was read. */
+/** A request that has been received. */
 export interface ControlRequest {
   readonly method: string;
-  /** Path with query. */
+  /** Path and query. */
   readonly target: string;
   readonly body: Buffer;
 }
 
-/** What a call asks for. */
+/** The command that a request contains. */
 export type ControlCommand =
   | {
     type: "replace";
@@ -21,33 +21,33 @@
     configuration: configurations.Configuration;
   }
   | { type: "read" }
-  /** Begins the evacuation of a data centre, or ends it. */
+  /** Begins or ends the evacuation of a data centre. */
   | { type: "evacuate"; dataCentre: string; active: boolean }
   | { type: "heartbeat"; sighting: endpoints.EndpointStatus; coldFor: number }
   | { type: "leave"; id: string; born?: number }
-  /** A call that there is, with content that cannot be read. */
+  /** A known request whose content cannot be decoded. */
   | { type: "malformed"; detail: string; fault: string }
   | { type: "unknown" };
 
-/** Who has sent an order. */
+/** The connection that a command arrived on. */
 export interface ControlConnection {
-  /** Whether the call's connection has ended. */
+  /** Whether the client has disconnected. */
   isClosed(): boolean;
 }
 
-/** Answer to a call. */
+/** Response to a request. */
 export interface ControlResponse {
   readonly status: number;
   /** JSON text. */
   readonly body: string;
 }
 
-/** Decodes calls to control hosts. */
+/** Decodes requests to control hosts. */
 export interface ControlProtocol {
-  decode(call: ControlRequest): ControlCommand;
+  decode(request: ControlRequest): ControlCommand;
 }
 
-/** An answer that says what is wrong. */
+/** Creates an error response. */
 export function problem(status: number, detail: string): ControlResponse {
   return { status, body: JSON.stringify({ detail }) };
 }
--- a/src/fleet/control_server.ts
+++ b/src/fleet/control_server.ts
@@ -1,4 +1,4 @@
-/** HTTP towards operators and endpoints.
+/** HTTP server of a control host, for operators and endpoints.
  * @module */
 
 import type * as http from "node:http";
@@ -8,23 +8,23 @@
 import * as httpListener from "./http_listener.ts";
 import * as protocol from "./control_protocol.ts";
 
-/** Bytes of the largest configuration: thousands of routes. */
-const MOST_BODY = 16 * 1024 * 1024;
-/** Characters of a target in a line: what others send is not bounded. */
-const MOST_SHOWN = 300;
+/** Enough for a configuration with thousands of routes. */
+const MAX_BODY_BYTES = 16 * 1024 * 1024;
+/** Targets in log lines are truncated, since clients may send any length. */
+const MAX_LOGGED_CHARACTERS = 300;
 
-type Order<T> = Extract<protocol.ControlCommand, { type: T }>;
-type Served = "replace" | "read" | "evacuate" | "heartbeat" | "leave";
+type CommandOf<T> = Extract<protocol.ControlCommand, { type: T }>;
+type HandledType = "replace" | "read" | "evacuate" | "heartbeat" | "leave";
 
-/** Answers orders by their types. */
+/** Handlers of commands by type. */
 export type CommandHandlers = {
-  [T in Served]: (
-    order: Order<T>,
-    caller: protocol.ControlConnection,
+  [T in HandledType]: (
+    command: CommandOf<T>,
+    connection: protocol.ControlConnection,
   ) => Promise<protocol.ControlResponse>;
 };
 
-/** What the server needs of its host. */
+/** Dependencies of the server. */
 export interface ControlServerOptions {
   listenAddress: httpListener.ListenAddress;
   logger: telemetry.Logger;
@@ -34,7 +34,7 @@
   handlers: CommandHandlers;
 }
 
-/** A listening server. */
+/** A listening control server. */
 export class ControlServer {
   readonly #options: ControlServerOptions;
   #server!: http.Server;
@@ -43,17 +43,17 @@
     this.#options = options;
   }
 
-  /** Listens; resolves once calls are taken. */
+  /** Starts to listen; resolves once requests are accepted. */
   static async start(options: ControlServerOptions): Promise<ControlServer> {
-    const control = new ControlServer(options);
-    control.#server = await httpListener.listen(
+    const server = new ControlServer(options);
+    server.#server = await httpListener.listen(
       options.listenAddress,
-      (request, response) => void control.#serve(request, response),
+      (request, response) => void server.#serve(request, response),
     );
-    return control;
+    return server;
   }
 
-  /** Closes all connections. */
+  /** Stops listening and closes all connections. */
   stop(): Promise<void> {
     return httpListener.close(this.#server);
   }
@@ -64,13 +64,13 @@
   ): Promise<void> {
     const { clock, metrics, logger } = this.#options;
     const started = clock.now();
-    const caller = { isClosed: () => response.closed };
-    const { status, body } = await this.#answer(request, caller);
-    const target = (request.url ?? "").slice(0, MOST_SHOWN);
+    const connection = { isClosed: () => response.closed };
+    const { status, body } = await this.#respond(request, connection);
+    const target = (request.url ?? "").slice(0, MAX_LOGGED_CHARACTERS);
     metrics.time("control.duration", clock.now() - started, {
       status: `${status}`,
     });
-    if (status >= 400) logger.info({ target, status, body }, "Call refused");
+    if (status >= 400) logger.info({ target, status, body }, "Request refused");
     response.writeHead(status, {
       "content-type": "application/json",
       "content-length": Buffer.byteLength(body),
@@ -78,40 +78,43 @@
     response.end(body);
   }
 
-  async #answer(
+  async #respond(
     request: http.IncomingMessage,
-    caller: protocol.ControlConnection,
+    connection: protocol.ControlConnection,
   ): Promise<protocol.ControlResponse> {
     const { logger } = this.#options;
     const { method = "", url: target = "" } = request;
     try {
-      const body = await httpListener.readBody(request, MOST_BODY);
-      const call = { method, target, body };
-      return await this.#handle(this.#options.protocol.decode(call), caller);
+      const body = await httpListener.readBody(request, MAX_BODY_BYTES);
+      const received = { method, target, body };
+      return await this.#handle(
+        this.#options.protocol.decode(received),
+        connection,
+      );
     } catch (error) {
       if (error instanceof errors.FleetError) {
         return protocol.problem(413, error.message);
       }
-      logger.error({ err: error, target }, "Call failed");
+      logger.error({ err: error, target }, "Control request failed");
       return protocol.problem(500, "the call failed");
     }
   }
 
   #handle(
-    order: protocol.ControlCommand,
-    caller: protocol.ControlConnection,
+    parsed: protocol.ControlCommand,
+    connection: protocol.ControlConnection,
   ): protocol.ControlResponse | Promise<protocol.ControlResponse> {
     const { handlers, metrics } = this.#options;
-    metrics.count("control.calls", 1, { type: order.type });
-    if (order.type === "malformed") {
-      metrics.count("control.malformed", 1, { fault: order.fault });
-      return protocol.problem(400, order.detail);
+    metrics.count("control.calls", 1, { type: parsed.type });
+    if (parsed.type === "malformed") {
+      metrics.count("control.malformed", 1, { fault: parsed.fault });
+      return protocol.problem(400, parsed.detail);
     }
-    if (order.type === "unknown") return protocol.problem(404, "no such call");
-    const handler = handlers[order.type] as (
-      order: protocol.ControlCommand,
-      caller: protocol.ControlConnection,
+    if (parsed.type === "unknown") return protocol.problem(404, "no such call");
+    const handler = handlers[parsed.type] as (
+      command: protocol.ControlCommand,
+      connection: protocol.ControlConnection,
     ) => Promise<protocol.ControlResponse>;
-    return handler(order, caller);
+    return handler(parsed, connection);
   }
 }
--- a/src/fleet/daemon.ts
+++ b/src/fleet/daemon.ts
@@ -1,4 +1,5 @@
-/** The process around a host: settings, signals, metrics, exit codes.
+/** Process of a control host or entry host: settings, signals, metrics and exit
+ * codes.
  * @module */
 
 import * as crypto from "node:crypto";
@@ -6,78 +7,78 @@
 import type * as http from "node:http";
 import * as runtime from "../runtime/mod.ts";
 import * as telemetry from "../telemetry/mod.ts";
-import type * as bases from "./host_context.ts";
+import type * as hostContext from "./host_context.ts";
 import * as httpListener from "./http_listener.ts";
 import type * as settings from "./settings.ts";
 
 /** Exit codes. */
-const EXIT = { ok: 0, failed: 1, settings: 2 } as const;
-/** Milliseconds between looks at the settings file, which may change without
+const EXIT_CODES = { ok: 0, failed: 1, settings: 2 } as const;
+/** Interval at which the settings file is checked, since it may change without
  * a signal. */
-const LOOK = 1000;
+const SETTINGS_CHECK_INTERVAL_MS = 1000;
 
-/** A host that runs. */
+/** A running host. */
 export interface Host {
   reload(settings: settings.HostSettings): void;
   stop(): Promise<void>;
   dump(): unknown;
-  /** Lets a quarantined request run again, by an operator's order; false where
-   * it is not suspected. Absent where the host can't order it. */
+  /** Releases a request from quarantine at an operator's command; returns false
+   * when it is not a suspect. Absent on hosts that do not take the command. */
   release?(fingerprint: string): boolean;
-  /** Evacuations as the host knows them; absent where none can be ordered. */
+  /** Report of evacuations. Absent on hosts that do not take the command. */
   evacuations?(): unknown;
 }
 
 /** Starts a host. */
-export type HostStarter = (base: bases.HostContext) => Promise<Host>;
+export type HostStarter = (context: hostContext.HostContext) => Promise<Host>;
 
-/** What a process is made of. */
+/** Parameters of a host process. */
 export interface DaemonOptions {
   load(): settings.HostSettings;
   isSettingsError(error: unknown): boolean;
-  /** File that is looked at for changes. */
+  /** File to watch for changes. */
   settingsFile?: string;
   start: HostStarter;
 }
 
-/** Runs a host until SIGTERM or SIGINT; SIGHUP reads the settings again and
- * SIGUSR2 writes the state of all parts as one line. Ends the process. */
+/** Runs a host until SIGTERM or SIGINT, then exits the process. SIGHUP reloads
+ * the settings, SIGUSR2 logs the host's diagnostic state in one line. */
 export async function run(options: DaemonOptions): Promise<void> {
   let loaded: settings.HostSettings;
   try {
     loaded = options.load();
   } catch (error) {
     process.stderr.write(`chicoryloftd: ${messageOf(error)}\n`);
-    process.exit(EXIT.settings);
+    process.exit(EXIT_CODES.settings);
   }
   const exposition = telemetry.Exposition.create();
-  const base = baseOf(loaded, exposition);
-  const { logger } = base;
+  const context = createContext(loaded, exposition);
+  const { logger } = context;
   process.on("uncaughtException", (error) => {
-    logger.error({ err: error }, "Process failed");
-    process.exit(EXIT.failed);
+    logger.error({ err: error }, "Uncaught exception; exiting");
+    process.exit(EXIT_CODES.failed);
   });
   try {
-    const host = await options.start(base);
-    const server = await serveMetrics(loaded, { exposition, host });
+    const host = await options.start(context);
+    const server = await serveDiagnostics(loaded, { exposition, host });
     process.on("SIGUSR2", () => logger.info({ dump: host.dump() }, "Dump"));
-    followSettings(options, { host, logger });
-    await signal();
-    logger.info({}, "Host stops");
+    watchSettings(options, { host, logger });
+    await stopSignal();
+    logger.info({}, "Signal received; stopping");
     await host.stop();
     server?.close();
-    process.exit(EXIT.ok);
+    process.exit(EXIT_CODES.ok);
   } catch (error) {
-    logger.error({ err: error }, "Host failed");
+    logger.error({ err: error }, "Host failed to start or stop; exiting");
     const isSettings = options.isSettingsError(error);
-    process.exit(isSettings ? EXIT.settings : EXIT.failed);
+    process.exit(isSettings ? EXIT_CODES.settings : EXIT_CODES.failed);
   }
 }
 
-function baseOf(
+function createContext(
   loaded: settings.HostSettings,
   metrics: telemetry.Metrics,
-): bases.HostContext {
+): hostContext.HostContext {
   const clock = runtime.systemClock;
   const logger = telemetry.createLogger({ host: loaded.name });
   return {
@@ -89,9 +90,9 @@
   };
 }
 
-/** Serves counters, and takes the orders of operators that concern what hosts
- * believe. */
-async function serveMetrics(
+/** Serves metrics, the evacuation report, and the command that releases a
+ * request from quarantine. */
+async function serveDiagnostics(
   { metrics }: settings.HostSettings,
   { exposition, host }: { exposition: telemetry.Exposition; host: Host },
 ): Promise<http.Server | undefined> {
@@ -104,12 +105,12 @@
         void exposition.text().then((text) => response.end(text));
         return;
       }
-      if (url === EVACUATIONS && host.evacuations !== undefined) {
+      if (url === EVACUATIONS_PATH && host.evacuations !== undefined) {
         response.setHeader("content-type", "application/json");
         response.end(JSON.stringify(host.evacuations()));
         return;
       }
-      const fingerprint = RELEASE.exec(url)?.[1];
+      const fingerprint = RELEASE_PATTERN.exec(url)?.[1];
       const isReleased = method === "POST" && fingerprint !== undefined &&
         host.release?.(fingerprint);
       response.writeHead(isReleased ? 204 : 404).end();
@@ -117,14 +118,14 @@
   );
 }
 
-/** Target of the question for evacuations. */
-const EVACUATIONS = "/evacuations";
-/** Target of the order that lets a quarantined request run again. */
-const RELEASE = /^\/suspects\/([\w-]{1,64})\/release$/;
+/** Path of the evacuation report. */
+const EVACUATIONS_PATH = "/evacuations";
+/** Path of the command that releases a request from quarantine. */
+const RELEASE_PATTERN = /^\/suspects\/([\w-]{1,64})\/release$/;
 
-/** Reads the settings again on SIGHUP and when their file has changed. What
- * cannot be read is refused: the former settings stay in force. */
-function followSettings(
+/** Reloads the settings on SIGHUP and when their file has changed. Invalid
+ * settings are rejected, and the former ones remain in effect. */
+function watchSettings(
   { load, settingsFile }: DaemonOptions,
   { host, logger }: { host: Host; logger: telemetry.Logger },
 ): void {
@@ -132,28 +133,31 @@
     try {
       host.reload(load());
     } catch (error) {
-      logger.error({ err: error, cause }, "Settings not read");
+      logger.error(
+        { err: error, cause },
+        "Settings not reloaded; the former ones remain in effect",
+      );
     }
   };
   process.on("SIGHUP", () => reload("signal"));
   if (settingsFile === undefined) return;
-  let last = fs.statSync(settingsFile).mtimeMs;
-  // A look takes microseconds; handing it to another thread and back costs a
-  // quarter of all system calls of a host at rest.
-  const look = setInterval(() => {
+  let lastModified = fs.statSync(settingsFile).mtimeMs;
+  // Synchronous on purpose: the call takes microseconds, while the asynchronous
+  // one makes up a quarter of an idle host's system calls.
+  const timer = setInterval(() => {
     try {
       const { mtimeMs } = fs.statSync(settingsFile);
-      if (mtimeMs === last) return;
-      last = mtimeMs;
+      if (mtimeMs === lastModified) return;
+      lastModified = mtimeMs;
       reload("file");
     } catch (error) {
-      logger.debug({ err: error }, "Settings file not found");
+      logger.debug({ err: error }, "Settings file could not be checked");
     }
-  }, LOOK);
-  look.unref();
+  }, SETTINGS_CHECK_INTERVAL_MS);
+  timer.unref();
 }
 
-function signal(): Promise<void> {
+function stopSignal(): Promise<void> {
   return new Promise((resolve) => {
     process.once("SIGTERM", () => resolve());
     process.once("SIGINT", () => resolve());
--- a/src/fleet/endpoint_replicator.ts
+++ b/src/fleet/endpoint_replicator.ts
@@ -1,6 +1,6 @@
-/** How hosts with disks tell each other of endpoints: a change at once, what
- * was heard in batches, and changes of the last seconds once more, so that a
- * host which could not be reached learns them from any other.
+/** Replication of endpoint state among control hosts: changes are sent at once,
+ * heartbeats in batches, and recent changes repeatedly, so that a host that was
+ * unreachable gets them from any other.
  * @module */
 
 import type * as endpoints from "../endpoints/mod.ts";
@@ -9,102 +9,108 @@
 import type * as telemetry from "../telemetry/mod.ts";
 import * as rosterCodec from "./roster_codec.ts";
 
-/** Milliseconds in which another host notes a change. */
-const TIMEOUT = 600;
-/** Milliseconds for which changes are told again. */
-const AGAIN = 3000;
-/** Milliseconds between tellings of everything: repairs whatever was lost. */
-const ALL = 5000;
+/** Timeout for another host to acknowledge an update. */
+const ACK_TIMEOUT_MS = 600;
+/** How long a change is sent repeatedly. */
+const RESEND_WINDOW_MS = 3000;
+/** Interval of full state transfers, which repair lost updates. */
+const FULL_STATE_INTERVAL_MS = 5000;
 
-/** What spreading needs of its host. */
+/** Dependencies of a replicator. */
 export interface EndpointReplicatorOptions {
   clock: runtime.Clock;
   roster: endpoints.Roster;
-  /** Milliseconds between heartbeats of an endpoint, and between tellings of
-   * what was only heard again: silence is judged from several of them. */
+  /** Milliseconds between heartbeats of an endpoint, and between batches of
+   * endpoints that sent nothing but heartbeats: silence is detected only after
+   * several of them. */
   heartbeatInterval: number;
   calls: Pick<peers.Rpc, "ask">;
   logger: telemetry.Logger;
-  /** The other hosts with disks that are there. */
+  /** The other live control hosts. */
   peers(): readonly string[];
 }
 
-/** Spreads one host's roster. */
+/** Sends endpoint updates of one control host to the others. */
 export class EndpointReplicator {
   readonly #options: EndpointReplicatorOptions;
-  /** Endpoints heard here since the last tick. */
-  #heard = new Set<string>();
-  /** When endpoints last changed here. */
-  readonly #changed = new Map<string, number>();
-  #allAt: number;
-  #heardAt = -Infinity;
+  /** Endpoints whose heartbeats arrived here since the last batch. */
+  #heartbeats = new Set<string>();
+  /** When endpoints last changed here, for repeated updates. */
+  readonly #changedAt = new Map<string, number>();
+  #fullStateAt: number;
+  #batchAt = -Infinity;
 
   private constructor(options: EndpointReplicatorOptions) {
     this.#options = options;
-    this.#allAt = options.clock.now() + ALL;
+    this.#fullStateAt = options.clock.now() + FULL_STATE_INTERVAL_MS;
   }
 
   static create(options: EndpointReplicatorOptions): EndpointReplicator {
     return new EndpointReplicator(options);
   }
 
-  /** Notes that an endpoint was heard here. */
+  /** Records a heartbeat that arrived here. */
   recordHeartbeat(id: string): void {
-    this.#heard.add(id);
+    this.#heartbeats.add(id);
   }
 
-  /** Tells of one endpoint; resolves with the other hosts that know it then. */
+  /** Sends one endpoint to all others; resolves with the hosts that have
+   * acknowledged it. */
   async broadcast(id: string): Promise<string[]> {
-    const { clock, peers: others } = this.#options;
-    this.#changed.set(id, clock.now());
-    const hosts = others();
-    const isNoted = await Promise.all(
+    const { clock, peers } = this.#options;
+    this.#changedAt.set(id, clock.now());
+    const hosts = peers();
+    const isAcknowledged = await Promise.all(
       hosts.map((host) => this.#send(host, [id])),
     );
-    return hosts.filter((_, position) => isNoted[position]);
+    return hosts.filter((_, position) => isAcknowledged[position]);
   }
 
-  /** Tells one host of everything. */
+  /** Sends the full state to one host. */
   sendAll(host: string): void {
     const ids = [...this.#options.roster.entries].map(({ id }) => id);
     void this.#send(host, ids);
   }
 
-  /** Tells of what was heard, now and then, and again of what has changed. */
+  /** Sends the updates that are due. */
   tick(): void {
-    const { clock, peers: others, heartbeatInterval: heartbeat } =
-      this.#options;
+    const { clock, peers, heartbeatInterval } = this.#options;
     const now = clock.now();
-    if (now >= this.#allAt) {
-      this.#allAt = now + ALL;
-      others().forEach((host) => this.sendAll(host));
+    if (now >= this.#fullStateAt) {
+      this.#fullStateAt = now + FULL_STATE_INTERVAL_MS;
+      peers().forEach((host) => this.sendAll(host));
     }
-    for (const [id, at] of this.#changed) {
-      if (now - at > AGAIN) this.#changed.delete(id);
+    for (const [id, at] of this.#changedAt) {
+      if (now - at > RESEND_WINDOW_MS) this.#changedAt.delete(id);
     }
-    const ids = new Set(this.#changed.keys());
-    if (now - this.#heardAt >= heartbeat) {
-      this.#heardAt = now;
-      this.#heard.forEach((id) => ids.add(id));
-      this.#heard.clear();
+    const ids = new Set(this.#changedAt.keys());
+    if (now - this.#batchAt >= heartbeatInterval) {
+      this.#batchAt = now;
+      this.#heartbeats.forEach((id) => ids.add(id));
+      this.#heartbeats.clear();
     }
     if (ids.size === 0) return;
-    for (const host of others()) void this.#send(host, [...ids]);
+    for (const host of peers()) void this.#send(host, [...ids]);
   }
 
   async #send(host: string, ids: readonly string[]): Promise<boolean> {
     const { clock, roster, calls, logger } = this.#options;
     const now = clock.now();
-    const known = ids.map((id) => roster.get(id))
+    const sightings = ids.map((id) => roster.get(id))
       .filter((entry) => entry !== undefined)
       .map((entry) => rosterCodec.encode(entry, now));
-    if (known.length === 0) return true;
+    if (sightings.length === 0) return true;
     try {
-      const question = { type: "note" as const, sightings: known };
-      const reply = await calls.ask(host, question, { timeout: TIMEOUT });
+      const question = { type: "note" as const, sightings };
+      const reply = await calls.ask(host, question, {
+        timeout: ACK_TIMEOUT_MS,
+      });
       return reply.type === "noted";
     } catch (error) {
-      logger.debug({ host, endpoints: ids.length, err: error }, "Not noted");
+      logger.debug(
+        { host, endpoints: ids.length, err: error },
+        "Endpoint update not acknowledged",
+      );
       return false;
     }
   }
--- a/src/fleet/endpoint_replicator_test.ts
+++ b/src/fleet/endpoint_replicator_test.ts
@@ -6,14 +6,14 @@
 import * as runtime from "../runtime/mod.ts";
 import type * as schema from "../schema/fleet_types.ts";
 import * as telemetry from "../telemetry/mod.ts";
-import * as spreads from "./endpoint_replicator.ts";
+import * as endpointReplicator from "./endpoint_replicator.ts";
 
-/** Milliseconds between ticks, as the host has them. */
-const TICK = 400;
+/** Interval of ticks, as on a control host. */
+const TICK_MS = 400;
 
-/** A host that knows the endpoint `i-1` and tells the hosts given, of which
- * some may be silent. */
-function spreadOf(
+/** Creates a replicator that knows the endpoint `i-1` and sends to the hosts
+ * `others`, of which those in `silent` do not respond. */
+function createReplicator(
   others: readonly string[],
   { silent = [], heartbeat = 1200 }: {
     silent?: readonly string[];
@@ -25,9 +25,9 @@
     silenceTimeoutMs: 4200,
     retentionMs: 60_000,
   });
-  const told: { to: string; at: number; ids: string[] }[] = [];
+  const sent: { to: string; at: number; ids: string[] }[] = [];
   roster.merge({ status: fixture.endpointStatus(), heardAt: 0 });
-  const spread = spreads.EndpointReplicator.create({
+  const replicator = endpointReplicator.EndpointReplicator.create({
     clock,
     roster,
     heartbeatInterval: heartbeat,
@@ -36,7 +36,7 @@
     calls: {
       ask(to, question): Promise<schema.Reply> {
         const { sightings } = question as schema.NoteQuestion;
-        told.push({ to, at: clock.now(), ids: sightings.map(({ id }) => id) });
+        sent.push({ to, at: clock.now(), ids: sightings.map(({ id }) => id) });
         return silent.includes(to)
           ? Promise.reject(new Error("silent"))
           : Promise.resolve({ type: "noted" });
@@ -45,48 +45,52 @@
   });
   const tick = (count: number) => {
     for (let number = 0; number < count; number++) {
-      clock.advance(TICK);
-      spread.tick();
+      clock.advance(TICK_MS);
+      replicator.tick();
     }
   };
-  return { spread, told, tick };
+  return { replicator, sent, tick };
 }
 
-test("a change is told at once, and who knows it is said", async (t) => {
-  const { spread, told } = spreadOf(["a", "b", "c"], { silent: ["c"] });
-  t.deepEqual(await spread.broadcast("i-1"), ["a", "b"]);
-  t.is(told.length, 3);
+test("a change is sent at once, and the hosts that acknowledged it are returned", async (t) => {
+  const { replicator, sent } = createReplicator(["a", "b", "c"], {
+    silent: ["c"],
+  });
+  t.deepEqual(await replicator.broadcast("i-1"), ["a", "b"]);
+  t.is(sent.length, 3);
 });
 
-test("a change is told again for some seconds", async (t) => {
-  const { spread, told, tick } = spreadOf(["a"]);
-  await spread.broadcast("i-1");
+test("a change is sent repeatedly for some seconds", async (t) => {
+  const { replicator, sent, tick } = createReplicator(["a"]);
+  await replicator.broadcast("i-1");
   tick(7);
-  t.is(told.length, 8);
+  t.is(sent.length, 8);
   tick(4);
-  t.is(told.length, 8);
+  t.is(sent.length, 8);
 });
 
-test("what was only heard is told once in a heartbeat", (t) => {
-  const { spread, told, tick } = spreadOf(["a"]);
+test("plain heartbeats are sent once per heartbeat interval", (t) => {
+  const { replicator, sent, tick } = createReplicator(["a"]);
   for (let number = 0; number < 6; number++) {
-    spread.recordHeartbeat("i-1");
+    replicator.recordHeartbeat("i-1");
     tick(1);
   }
-  t.deepEqual(told.map(({ at }) => at), [400, 1600]);
+  t.deepEqual(sent.map(({ at }) => at), [400, 1600]);
 });
 
-test("shorter heartbeats are told as often as they come", (t) => {
-  const { spread, told, tick } = spreadOf(["a"], { heartbeat: 400 });
+test("more frequent heartbeats are sent more often", (t) => {
+  const { replicator, sent, tick } = createReplicator(["a"], {
+    heartbeat: 400,
+  });
   for (let number = 0; number < 3; number++) {
-    spread.recordHeartbeat("i-1");
+    replicator.recordHeartbeat("i-1");
     tick(1);
   }
-  t.deepEqual(told.map(({ at }) => at), [400, 800, 1200]);
+  t.deepEqual(sent.map(({ at }) => at), [400, 800, 1200]);
 });
 
-test("everything is told now and then", (t) => {
-  const { told, tick } = spreadOf(["a"]);
+test("the full state is sent periodically", (t) => {
+  const { sent, tick } = createReplicator(["a"]);
   tick(13);
-  t.deepEqual(told.map(({ ids }) => ids), [["i-1"]]);
+  t.deepEqual(sent.map(({ ids }) => ids), [["i-1"]]);
 });
--- a/src/fleet/entry_host.ts
+++ b/src/fleet/entry_host.ts
@@ -1,77 +1,84 @@
-/** A host that takes requests: it has no disk, follows the hosts that have one
- * and passes requests on to services.
+/** An entry host: it keeps nothing on disk, syncs configuration and endpoints
+ * from control hosts, and proxies client requests to endpoints.
  * @module */
 
-import * as orders from "../control/versions/evacuations.ts";
+import * as evacuations from "../control/versions/evacuations.ts";
 import * as configurations from "../configuration/mod.ts";
 import * as connections from "../endpoint_calls/connections.ts";
 import * as connector from "../endpoint_calls/connector.ts";
 import * as gateway from "../gateway/mod.ts";
-import * as pieces from "../batching/mod.ts";
+import * as batching from "../batching/mod.ts";
 import * as quarantine from "../quarantine/mod.ts";
 import * as rateLimits from "../rate_limits/mod.ts";
 import type * as schema from "../schema/fleet_types.ts";
-import * as bases from "./host_context.ts";
+import * as hostContext from "./host_context.ts";
 import * as errors from "./errors.ts";
-import * as followers from "./sync_client.ts";
+import * as syncClient from "./sync_client.ts";
 import type * as settings from "./settings.ts";
 
-/** Part of the time in which a key must stop to serve that a host may go
- * without hearing of changes: a poll, and a request's way to its endpoint, take
- * the rest; the users owe nothing above 0.6. */
-const FRESH = 0.55;
-/** Milliseconds of the stop's grace that are kept for the end itself. */
-const END_RESERVE = 700;
-/** Milliseconds for which a host that stops goes on taking requests: callers
- * are sent elsewhere after two looks at its readiness, a second apart. */
-const TAKING = 2600;
-/** Milliseconds in which a connection to an endpoint is made: a retry of the
- * opening packet takes a second, and another endpoint is better by then. */
-const CONNECT_TIMEOUT = 700;
-/** Milliseconds that an idle connection is kept when its endpoint names no
- * time, and the margin by which it is closed before a named time. */
-const KEEP_ALIVE = 2000;
-const KEEP_ALIVE_MARGIN = 400;
+/** Age up to which a host serves by its configuration, as a fraction of the
+ * time within which a revoked API key must be rejected. The rest is left for
+ * the sync interval and the transfer of a request to its endpoint. Above 0.6
+ * the platform does not require a host to serve. */
+const MAX_PROOF_AGE_RATIO = 0.55;
+/** Part of the shutdown grace period that is reserved for closing
+ * everything. */
+const CLOSE_RESERVE_MS = 700;
+/** How long a stopping host accepts new requests: the load balancer stops
+ * sending clients after two failed readiness checks, which are one second
+ * apart. */
+const DRAIN_DELAY_MS = 2600;
+/** TCP resends a lost SYN after one second; by then it is better to try another
+ * endpoint. */
+const CONNECT_TIMEOUT_MS = 700;
+/** How long an idle connection is kept when its endpoint announces no
+ * keep-alive timeout, and how long before an announced timeout it is closed. */
+const KEEP_ALIVE_MS = 2000;
+const KEEP_ALIVE_MARGIN_MS = 400;
 
-/** Milliseconds after the order that ends an evacuation in which endpoints there
- * may be cold: some times as long as they are, since clocks of hosts differ. */
-const RETURNED = 15_000;
+/** Time after the end of an evacuation in which the endpoints of the data
+ * centre may be cold: several times a cold start, since the clocks of hosts
+ * differ. */
+const RETURN_WINDOW_MS = 15_000;
 
-/** Decodes a configuration; throws `FleetError` when it cannot be read. */
+/** Decodes a configuration; throws when it is invalid. */
 export type DecodeConfiguration = (
   document: string,
 ) => configurations.Configuration;
 
-/** What a host that takes requests is made from. */
-export interface EntryHostOptions extends bases.HostContext {
+/** Dependencies of an entry host. */
+export interface EntryHostOptions extends hostContext.HostContext {
   protocol: gateway.GatewayProtocol;
   decodeConfiguration: DecodeConfiguration;
 }
 
-/** A running host that takes requests. */
+/** A running entry host. */
 export class EntryHost {
   readonly #options: EntryHostOptions;
-  readonly #network: bases.Network;
-  readonly #follower: followers.SyncClient;
+  readonly #network: hostContext.Network;
+  readonly #syncClient: syncClient.SyncClient;
   readonly #pool = gateway.EndpointPool.create();
-  readonly #batcher: pieces.Batcher;
-  readonly #maker: pieces.BatcherClient;
+  readonly #batcher: batching.Batcher;
+  readonly #batcherClient: batching.BatcherClient;
   readonly #placement: gateway.Placement;
   readonly #guard: quarantine.Guard;
-  readonly #quotas: rateLimits.QuotaClient;
+  readonly #quotaClient: rateLimits.QuotaClient;
   readonly #connections: connections.Connections;
-  readonly #budgets = new Map<string, gateway.RetryBudget>();
+  readonly #retryBudgets = new Map<string, gateway.RetryBudget>();
   #catalogue?: configurations.Catalogue;
-  /** Those that the pool follows. */
-  #evacuations = orders.Evacuations.NONE;
-  /** Those of the follower's hosts that are ready; the same list while that is
-   * the same. */
-  #ready: { of?: readonly schema.EntryHost[]; hosts: schema.EntryHost[] } = {
+  /** Evacuations that have been applied to the pool. */
+  #evacuations = evacuations.Evacuations.NONE;
+  /** Cached list of ready hosts; its identity changes only with the list of
+   * hosts that it is derived from. */
+  #readyCache: {
+    source?: readonly schema.EntryHost[];
+    hosts: schema.EntryHost[];
+  } = {
     hosts: [],
   };
   #server!: gateway.Server;
   #isDraining = false;
-  #isEnding = false;
+  #isStopping = false;
 
   private constructor(options: EntryHostOptions) {
     const { settings, clock, logger } = options;
@@ -79,65 +86,65 @@
     this.#options = options;
     this.#connections = connections.Connections.create({
       pipelining: 1,
-      connect: connector.create({ timeout: CONNECT_TIMEOUT }),
-      keepAliveTimeout: KEEP_ALIVE,
-      keepAliveTimeoutThreshold: KEEP_ALIVE_MARGIN,
+      connect: connector.create({ timeout: CONNECT_TIMEOUT_MS }),
+      keepAliveTimeout: KEEP_ALIVE_MS,
+      keepAliveTimeoutThreshold: KEEP_ALIVE_MARGIN_MS,
     });
-    this.#network = bases.createNetwork(options, {
+    this.#network = hostContext.createNetwork(options, {
       handlers: {
-        make: (question) => this.#make(question),
-        book: (question) => this.#book(question),
+        make: (question) => this.#handleMake(question),
+        book: (question) => this.#handleBook(question),
         place: (question, from) =>
           Promise.resolve(this.#placement.answer(question, from)),
       },
-      onNotice: (notice, from) => this.#hear(notice, from),
+      onNotice: (notice, from) => this.#handleNotice(notice, from),
     });
-    this.#follower = followers.SyncClient.create({
+    this.#syncClient = syncClient.SyncClient.create({
       ...options,
       self,
       dataCentre,
       seeds,
       calls: this.#network.calls,
       isReady: () => this.#isReady,
-      onVersion: (_, document) => this.#takeVersion(document),
-      onChange: () => this.#follow(),
-      onNewSource: (core) => void this.#guard.sendAll(core),
+      onVersion: (_, document) => this.#applyConfiguration(document),
+      onChange: () => this.#applyChanges(),
+      onNewSource: (controlHost) => void this.#guard.sendAll(controlHost),
       onSuspects: (suspects) => this.#guard.merge(suspects),
-      onLimits: (limits) => this.#quotas.mergeLimits(limits),
+      onLimits: (limits) => this.#quotaClient.mergeLimits(limits),
     });
     this.#guard = quarantine.Guard.create({
       ...options,
       calls: this.#network.calls,
-      cores: () => this.#follower.controlHosts,
+      cores: () => this.#syncClient.controlHosts,
     });
-    this.#quotas = rateLimits.QuotaClient.create({
+    this.#quotaClient = rateLimits.QuotaClient.create({
       ...options,
       calls: this.#network.calls,
-      cores: () => this.#follower.controlHosts,
-      entryHostCount: () => this.#follower.hosts.length,
+      cores: () => this.#syncClient.controlHosts,
+      entryHostCount: () => this.#syncClient.hosts.length,
       coldRate: (id) => this.#pool.get(id)?.coldRate(clock.now()),
     });
-    this.#batcher = pieces.Batcher.create({
+    this.#batcher = batching.Batcher.create({
       ...options,
-      quotas: this.#quotas,
+      quotas: this.#quotaClient,
       dispatcher: this.#connections,
       service: (name) => this.#catalogue?.service(name),
-      workers: (cell) => this.#workers(cell),
-      isEvacuated: (cell) => this.#isClosed(cell),
+      workers: (partition) => this.#usableWorkers(partition),
+      isEvacuated: (partition) => this.#isEvacuated(partition),
       acceptsCalls: (id) => this.#pool.get(id)?.isAccepting ?? false,
       recordResponse: (id) =>
         this.#pool.get(id)?.recordHealth("good", clock.now()),
     });
-    this.#maker = pieces.BatcherClient.create({
+    this.#batcherClient = batching.BatcherClient.create({
       self,
       clock,
       logger,
       calls: this.#network.calls,
       batcher: this.#batcher,
-      dependencies: () => this.#basis,
+      dependencies: () => this.#dependencies,
       entryHosts: () => this.#readyHosts,
       services: () => this.#catalogue?.batchServices ?? [],
-      workers: (service) => this.#known(service),
+      workers: (service) => this.#workersOf(service),
       isAvailable: ({ id }) =>
         this.#pool.get(id)?.isHealthy(clock.now()) ?? false,
     });
@@ -147,57 +154,60 @@
       dataCentre,
       calls: this.#network.calls,
       pool: this.#pool,
-      dependencies: () => this.#basis,
+      dependencies: () => this.#dependencies,
       hosts: () => this.#readyHosts,
-      busyHosts: (place) => this.#maker.partitionOwnersIn(place),
+      busyHosts: (dataCentre) =>
+        this.#batcherClient.partitionOwnersIn(dataCentre),
     });
   }
 
-  /** Listens and begins to follow; it is ready once it knows what is in
-   * force. */
+  /** Starts to listen and to sync. The host is ready once it has a confirmed
+   * configuration. */
   static async start(options: EntryHostOptions): Promise<EntryHost> {
     const host = new EntryHost(options);
     await host.#start();
     return host;
   }
 
-  /** Follows settings that have changed. */
+  /** Applies changed settings; only the seeds are reloaded. */
   reload({ seeds }: settings.HostSettings): void {
-    this.#follower.setSeeds(seeds);
-    this.#options.logger.info({ seeds }, "Settings read again");
+    this.#syncClient.setSeeds(seeds);
+    this.#options.logger.info({ seeds }, "Settings reloaded");
   }
 
-  /** Takes no new callers, finishes what is under way, and ends. */
+  /** Drains: fails readiness checks, finishes the requests in flight and
+   * stops. */
   async stop(): Promise<void> {
     const { clock, logger, settings: { bounds } } = this.#options;
     const started = clock.now();
     this.#isDraining = true;
     this.#server.drain();
-    logger.info({ inFlight: this.#server.inFlight }, "Host drains");
+    logger.info({ inFlight: this.#server.inFlight }, "Host draining");
     await new Promise<void>((resolve) =>
-      void clock.after(TAKING, () => resolve())
+      void clock.after(DRAIN_DELAY_MS, () => resolve())
     );
-    this.#isEnding = true;
-    const left = bounds.shutdownGrace - END_RESERVE - (clock.now() - started);
-    await this.#server.finish(left);
+    this.#isStopping = true;
+    const remaining = bounds.shutdownGrace - CLOSE_RESERVE_MS -
+      (clock.now() - started);
+    await this.#server.finish(remaining);
     await this.#server.stop();
-    this.#follower.stop();
+    this.#syncClient.stop();
     this.#network.calls.stop();
     await this.#network.transport.stop();
     await this.#connections.destroy();
     logger.info({ tookMs: Math.round(clock.now() - started) }, "Host stopped");
   }
 
-  /** State for people. */
+  /** Diagnostic state, for operators. */
   dump(): unknown {
     const now = this.#options.clock.now();
     return {
       ready: this.#isReady,
       inFlight: this.#server.inFlight,
-      follower: this.#follower.dump(),
+      follower: this.#syncClient.dump(),
       pool: this.#pool.dump(now),
       suspects: this.#guard.dump(),
-      limits: this.#quotas.dump(),
+      limits: this.#quotaClient.dump(),
       batcher: this.#batcher.dump(),
       peers: this.#network.transport.dump(),
     };
@@ -205,74 +215,76 @@
 
   async #start(): Promise<void> {
     const { settings, logger } = this.#options;
-    const { callerAddress: callers, readinessAddress: readiness } = settings;
-    if (callers === undefined) {
-      throw new errors.FleetError("The settings name no address for callers");
+    const { callerAddress, readinessAddress } = settings;
+    if (callerAddress === undefined) {
+      throw new errors.FleetError(
+        "settings of an entry host lack the listen address for callers",
+      );
     }
     await this.#network.transport.start();
     this.#server = await gateway.Server.start({
-      context: this.#context(),
-      callers,
-      readiness,
+      context: this.#createContext(),
+      callers: callerAddress,
+      readiness: readinessAddress,
       isReady: () => this.#isReady,
     });
-    this.#follower.start();
+    this.#syncClient.start();
     logger.info({ seeds: settings.seeds }, "Host started");
   }
 
-  get #greatestAge(): number {
-    return FRESH * this.#options.settings.bounds.keyRevocation;
+  get #maxProofAge(): number {
+    return MAX_PROOF_AGE_RATIO * this.#options.settings.bounds.keyRevocation;
   }
 
   get #isReady(): boolean {
     return !this.#isDraining && this.#catalogue !== undefined &&
-      this.#follower.proofAge <= this.#greatestAge;
+      this.#syncClient.proofAge <= this.#maxProofAge;
   }
 
-  #context(): gateway.Context {
+  #createContext(): gateway.Context {
     return {
       ...this.#options,
       dispatcher: this.#connections,
       dataCentre: this.#options.settings.dataCentre,
       pool: this.#pool,
-      maker: this.#maker,
+      maker: this.#batcherClient,
       placement: this.#placement,
       guard: this.#guard,
-      quotas: this.#quotas,
+      quotas: this.#quotaClient,
       startedAt: this.#options.clock.now(),
-      maxConfigurationAge: this.#greatestAge,
+      maxConfigurationAge: this.#maxProofAge,
       calibration: gateway.Calibration.create(),
       priorWait: gateway.PriorWait.create(),
       inputRetention: gateway.InputRetention.create(),
       loadUpdates: gateway.LoadUpdates.create({
         clock: this.#options.clock,
-        send: (uses) => this.#placement.sendLoad(uses),
+        send: (loads) => this.#placement.sendLoad(loads),
       }),
       fleetView: {
         catalogue: () => this.#catalogue,
-        configurationAge: () => this.#follower.proofAge,
-        hostCount: () => Math.max(1, this.#follower.hosts.length),
+        configurationAge: () => this.#syncClient.proofAge,
+        hostCount: () => Math.max(1, this.#syncClient.hosts.length),
       },
-      retryBudget: (service) => this.#budget(service),
+      retryBudget: (service) => this.#retryBudget(service),
       isDraining: () => this.#isDraining,
-      isStopping: () => this.#isEnding,
+      isStopping: () => this.#isStopping,
     };
   }
 
-  #budget(service: string): gateway.RetryBudget {
-    const known = this.#budgets.get(service);
-    if (known !== undefined) return known;
+  #retryBudget(service: string): gateway.RetryBudget {
+    const existing = this.#retryBudgets.get(service);
+    if (existing !== undefined) return existing;
     const { bounds } = this.#options.settings;
-    const made = gateway.RetryBudget.create({
+    const budget = gateway.RetryBudget.create({
       ratio: bounds.retryRatio,
       burst: bounds.retryBurst,
       window: bounds.retryWindow,
     });
-    this.#budgets.set(service, made);
-    return made;
+    this.#retryBudgets.set(service, budget);
+    return budget;
   }
 
-  #takeVersion(document: string): void {
+  #applyConfiguration(document: string): void {
     const text = configurations.decompress(document);
     const configuration = this.#options.decodeConfiguration(text);
     this.#catalogue = configurations.Catalogue.create(configuration);
@@ -280,23 +292,23 @@
     this.#options.metrics.gauge("config.version", configuration.version);
   }
 
-  #follow(): void {
+  #applyChanges(): void {
     const ended = this.#pool.update(
-      this.#follower.roster.entries,
+      this.#syncClient.roster.entries,
       (name) => this.#catalogue?.service(name),
     );
-    this.#followEvacuations();
-    ended.forEach((one) => void this.#end(one));
+    this.#applyEvacuations();
+    ended.forEach((endpoint) => void this.#closeConnections(endpoint));
     this.#batcher.update();
-    this.#options.metrics.gauge("config.proof_age", this.#follower.proofAge);
+    this.#options.metrics.gauge("config.proof_age", this.#syncClient.proofAge);
   }
 
-  #followEvacuations(): void {
+  #applyEvacuations(): void {
     const { clock } = this.#options;
-    const { evacuations } = this.#follower;
+    const { evacuations } = this.#syncClient;
     const returned = evacuations.newerThan(this.#evacuations)
       .filter(({ active, orderedAt }) =>
-        !active && clock.wall() - orderedAt < RETURNED
+        !active && clock.wall() - orderedAt < RETURN_WINDOW_MS
       );
     this.#evacuations = evacuations;
     this.#options.metrics.gauge(
@@ -312,70 +324,84 @@
     );
   }
 
-  /** Leaves the connections to an endpoint that has ended. */
-  async #end(
-    { identity, isRestarted: isReborn }: gateway.EndedEndpoint,
+  /** Closes the connections to an endpoint that has ended: at once where
+   * another incarnation has replaced it, otherwise when its calls are done. */
+  async #closeConnections(
+    { identity, isRestarted }: gateway.EndedEndpoint,
   ): Promise<void> {
     const { id, service, address } = identity;
     const { logger } = this.#options;
-    logger.info({ endpoint: id, service, address, isReborn }, "Endpoint ended");
+    logger.info(
+      { endpoint: id, service, address, isReborn: isRestarted },
+      "Endpoint ended",
+    );
     try {
-      if (isReborn) await this.#connections.abort(address);
+      if (isRestarted) await this.#connections.abort(address);
       else await this.#connections.retire(address);
     } catch (error) {
-      logger.warn({ err: error, endpoint: id }, "Connections were not closed");
+      logger.warn(
+        { err: error, endpoint: id },
+        "Connections to ended endpoint not closed",
+      );
     }
   }
 
-  /** What follows from hosts, endpoints and configuration is the same while
-   * these are. */
-  get #basis(): readonly unknown[] {
-    return [this.#follower.hosts, this.#pool.revision, this.#catalogue];
+  /** Inputs of values that other modules derive and cache; these remain valid
+   * as long as every element is identical. */
+  get #dependencies(): readonly unknown[] {
+    return [this.#syncClient.hosts, this.#pool.revision, this.#catalogue];
   }
 
   get #readyHosts(): readonly schema.EntryHost[] {
-    const { hosts } = this.#follower;
-    if (this.#ready.of !== hosts) {
-      this.#ready = { of: hosts, hosts: hosts.filter(({ ready }) => ready) };
+    const { hosts } = this.#syncClient;
+    if (this.#readyCache.source !== hosts) {
+      this.#readyCache = {
+        source: hosts,
+        hosts: hosts.filter(({ ready }) => ready),
+      };
     }
-    return this.#ready.hosts;
+    return this.#readyCache.hosts;
   }
 
-  #known(service: string): pieces.Worker[] {
+  #workersOf(service: string): batching.Worker[] {
     return this.#pool.endpointsOf(service).map(({ identity }) => identity);
   }
 
-  /** Endpoints of a cell that take calls. */
-  #workers(cell: pieces.partitions.PartitionName): pieces.Worker[] {
+  /** Endpoints of a partition that accept calls. */
+  #usableWorkers(
+    partition: batching.partitions.PartitionName,
+  ): batching.Worker[] {
     const now = this.#options.clock.now();
-    return gateway.usableOf(this.#members(cell), now)
+    return gateway.usableOf(this.#endpointsOf(partition), now)
       .map(({ identity }) => identity);
   }
 
-  #isClosed(cell: pieces.partitions.PartitionName): boolean {
-    const members = this.#members(cell);
-    return members.length > 0 &&
-      members.every(({ isEvacuated }) => isEvacuated);
+  #isEvacuated(partition: batching.partitions.PartitionName): boolean {
+    const endpoints = this.#endpointsOf(partition);
+    return endpoints.length > 0 &&
+      endpoints.every(({ isEvacuated }) => isEvacuated);
   }
 
-  #members({ service, cell }: pieces.partitions.PartitionName) {
-    return pieces.partitions.workersOf(cell, this.#known(service))
+  #endpointsOf(
+    { service, cell: partition }: batching.partitions.PartitionName,
+  ) {
+    return batching.partitions.workersOf(partition, this.#workersOf(service))
       .flatMap(({ id }) => this.#pool.get(id) ?? []);
   }
 
-  async #make(question: schema.MakeQuestion): Promise<schema.Reply> {
+  async #handleMake(question: schema.MakeQuestion): Promise<schema.Reply> {
     if (this.#isDraining) return { type: "failed", reason: "stopped" };
     return { type: "made", results: await this.#batcher.compute(question) };
   }
 
-  #book(question: schema.BookQuestion): Promise<schema.Reply> {
+  #handleBook(question: schema.BookQuestion): Promise<schema.Reply> {
     return Promise.resolve({
       type: "booked",
       ...this.#batcher.reserve(question),
     });
   }
 
-  #hear(notice: schema.Notice, from: string): void {
+  #handleNotice(notice: schema.Notice, from: string): void {
     const { type } = notice;
     if (type === "release") {
       this.#batcher.release(notice, notice.handles);
@@ -384,7 +410,7 @@
     } else if (type === "use") {
       this.#pool.recordRemoteLoad(from, notice.uses, this.#options.clock.now());
     } else if (type === "limits") {
-      this.#quotas.mergeLimits(notice.limits);
+      this.#quotaClient.mergeLimits(notice.limits);
     } else if (type === "suspects") {
       this.#guard.merge(notice.suspects);
     }
--- a/src/fleet/entry_members.ts
+++ b/src/fleet/entry_members.ts
@@ -1,48 +1,52 @@
-/** The hosts that take requests, as hosts with disks hear of them.
+/** Liveness of the entry hosts, as control hosts see it.
  * @module */
 
 import * as hash from "../routing/hash.ts";
 import type * as schema from "../schema/fleet_types.ts";
 
-/** Milliseconds after which a host that no longer asks counts as lost: some of
- * its questions, and the delay of a busy host. */
-const LOST = 1500;
+/** Time without a sync request after which an entry host counts as lost: some
+ * sync intervals and the delay of a busy host. */
+const LIVENESS_TIMEOUT_MS = 1500;
 
-/** Hosts that take requests; changed in place. */
+/** Entry hosts as a control host sees them; mutable. */
 export class EntryMembers {
-  readonly #heard = new Map<string, schema.EntryHost & { at: number }>();
+  readonly #hosts = new Map<string, schema.EntryHost & { at: number }>();
 
   static create(): EntryMembers {
     return new EntryMembers();
   }
 
-  /** Notes what a host says of itself, or what another has heard. */
+  /** Records what a host reports of itself, or what another control host has
+   * received from it; the newer report wins. */
   record(host: schema.EntryHost, now: number): void {
     const at = now - host.age;
-    const known = this.#heard.get(host.host);
+    const known = this.#hosts.get(host.host);
     if (known !== undefined && known.at >= at) return;
-    this.#heard.set(host.host, { ...host, at });
+    this.#hosts.set(host.host, { ...host, at });
   }
 
-  /** Hosts that are there. */
+  /** Live hosts. */
   live(now: number): schema.EntryHost[] {
     const live: schema.EntryHost[] = [];
-    for (const [id, { at, ...host }] of this.#heard) {
+    for (const [id, { at, ...host }] of this.#hosts) {
       const age = Math.max(0, now - at);
-      if (age > LOST) this.#heard.delete(id);
+      if (age > LIVENESS_TIMEOUT_MS) this.#hosts.delete(id);
       else live.push({ ...host, age: Math.round(age) });
     }
     return live;
   }
 }
 
-/** Short mark of some hosts and of which are ready: the same wherever the same
- * are known. */
+/** Digest of a list of hosts and their readiness; independent of order and age,
+ * so that equal lists have equal digests on all hosts. */
 export function digestOf(hosts: readonly schema.EntryHost[]): string {
-  const names = hosts.map(({ host, ready }) => `${host} ${ready}`).sort();
-  const text = names.join();
-  return `${names.length}.${hash.ofString(text)}.${hash.ofString(text, SEED)}`;
+  const keys = hosts.map(({ host, ready }) => `${host} ${ready}`).sort();
+  const text = keys.join();
+  return `${keys.length}.${hash.ofString(text)}.${
+    hash.ofString(text, SECOND_SEED)
+  }`;
 }
 
-/** Of the second hash of a mark: 64 bits in all, which no two lists share. */
-const SEED = 0x5bd1e995;
+/** Seed of the second 32-bit hash: with 64 bits in all, collisions are not to
+ * be expected. */
+const SECOND_SEED = 0x5bd1e995;
--- a/src/fleet/entry_members_test.ts
+++ b/src/fleet/entry_members_test.ts
@@ -7,14 +7,14 @@
   return { host: name, dataCentre: "town", ready, age };
 }
 
-test("a host that no longer asks is lost", (t) => {
+test("a host that stops sending sync requests is lost", (t) => {
   const members = entryMembers.EntryMembers.create();
   members.record(host("a"), 0);
   t.is(members.live(1500).length, 1);
   t.is(members.live(1501).length, 0);
 });
 
-test("what another host has heard later counts, what it heard before does not", (t) => {
+test("a report from another host counts only if it is newer", (t) => {
   const members = entryMembers.EntryMembers.create();
   members.record(host("a", true), 1000);
   members.record(host("a", false, 500), 1200);
@@ -23,7 +23,7 @@
   t.false(members.live(1200)[0].ready);
 });
 
-test("the mark of hosts tells who is there and who is ready, nothing else", (t) => {
+test("the digest depends on hosts and their readiness alone", (t) => {
   const mark = entryMembers.digestOf([host("a"), host("b")]);
   t.is(entryMembers.digestOf([host("b", true, 300), host("a")]), mark);
   t.not(entryMembers.digestOf([host("a"), host("b", false)]), mark);
--- a/src/fleet/errors.ts
+++ b/src/fleet/errors.ts
@@ -1,7 +1,7 @@
-/** Errors of hosts that find each other by seeds.
+/** Errors of hosts in a fleet that is discovered through seeds.
  * @module */
 
-/** A host could not start, or a message to it could not be read. */
+/** A host failed to start, or could not read a request body. */
 export class FleetError extends Error {
   override readonly name = "FleetError";
 }
--- a/src/fleet/host_context.ts
+++ b/src/fleet/host_context.ts
@@ -1,5 +1,5 @@
-/** What every host of such a fleet has: clock, log lines, counters, and the
- * way to the other hosts.
+/** Dependencies that control hosts and entry hosts share, and the transport and
+ * RPC layer between hosts.
  * @module */
 
 import * as peers from "../peers/mod.ts";
@@ -10,7 +10,7 @@
 import type * as telemetry from "../telemetry/mod.ts";
 import type * as settings from "./settings.ts";
 
-/** What a host stands on. */
+/** Settings and system services that a host is given. */
 export interface HostContext {
   settings: settings.HostSettings;
   clock: runtime.Clock;
@@ -19,20 +19,20 @@
   metrics: telemetry.Metrics;
 }
 
-/** Transport and questions of a host. */
+/** Transport of a host, and RPC over it. */
 export interface Network {
   transport: peers.Peers;
   calls: peers.Rpc;
 }
 
-/** Takes what comes from other hosts. */
+/** Handlers of messages from other hosts. */
 export interface MessageHandlers {
   handlers: peers.Handlers;
   onNotice(notice: schema.Notice, from: string): void;
   onLog?(envelope: runtime.Envelope): void;
 }
 
-/** The way to the other hosts; it does not listen yet. */
+/** Creates the transport and the RPC layer; neither listens yet. */
 export function createNetwork(
   { settings: { host, peerPort }, clock, logger, metrics }: HostContext,
   { handlers, onNotice, onLog }: MessageHandlers,
@@ -63,7 +63,10 @@
     handlers,
     onNotice,
     onHandlerError: (error, { type }) =>
-      logger.error({ err: error, type }, "Question not answered"),
+      logger.error(
+        { err: error, type },
+        "RPC handler failed; the caller gets no reply",
+      ),
   });
   return { transport, calls };
 }
--- a/src/fleet/http_listener.ts
+++ b/src/fleet/http_listener.ts
@@ -1,10 +1,10 @@
-/** HTTP servers of a host: they listen, and end with all their connections.
+/** Helpers for the HTTP servers of a host.
  * @module */
 
 import * as http from "node:http";
 import * as errors from "./errors.ts";
 
-/** Where a server listens. */
+/** Address and port to listen on. */
 export interface ListenAddress {
   readonly address: string;
   readonly port: number;
@@ -16,46 +16,47 @@
   response: http.ServerResponse,
 ) => void;
 
-/** Listens; resolves once connections are taken. */
+/** Starts a server; resolves once it accepts connections. */
 export async function listen(
-  place: ListenAddress,
+  listenAddress: ListenAddress,
   handle: RequestHandler,
   options: http.ServerOptions = {},
 ): Promise<http.Server> {
   const server = http.createServer(options, handle);
   await new Promise<void>((resolve, reject) => {
     server.once("error", (cause) => {
-      const message = `Cannot listen on ${place.address}:${place.port}`;
+      const message =
+        `Cannot listen on ${listenAddress.address}:${listenAddress.port}`;
       reject(new errors.FleetError(message, { cause }));
     });
-    server.listen(place.port, place.address, BACKLOG, resolve);
+    server.listen(listenAddress.port, listenAddress.address, BACKLOG, resolve);
   });
   return server;
 }
 
-/** Connections that may wait to be taken: as many as a burst after a pause of
- * this process brings. */
+/** Pending connections that the kernel queues: enough for the burst after a
+ * pause of this process. */
 const BACKLOG = 511;
 
-/** Reads a whole body. Rejects with `FleetError` past `most` bytes, or when
- * the connection breaks. */
+/** Reads a whole body. Rejects with `FleetError` when it exceeds `limit` bytes
+ * or the connection breaks. */
 export async function readBody(
   request: http.IncomingMessage,
-  most: number,
+  limit: number,
 ): Promise<Buffer> {
-  const parts: Buffer[] = [];
+  const chunks: Buffer[] = [];
   let length = 0;
   try {
-    for await (const part of request) {
-      length += part.length;
-      if (length > most) throw new errors.FleetError("The body is too large");
-      parts.push(part);
+    for await (const chunk of request) {
+      length += chunk.length;
+      if (length > limit) throw new errors.FleetError("The body is too large");
+      chunks.push(chunk);
     }
   } catch (cause) {
     if (cause instanceof errors.FleetError) throw cause;
     throw new errors.FleetError("The body did not arrive", { cause });
   }
-  return Buffer.concat(parts);
+  return Buffer.concat(chunks);
 }
 
 /** Stops listening and closes all connections. */
--- a/src/fleet/mod.ts
+++ b/src/fleet/mod.ts
@@ -1,5 +1,5 @@
-/** Hosts that find each other by seeds: those with disks keep the
- * configuration and hear endpoints, the others take requests.
+/** A fleet that is discovered through seed hosts: control hosts store the
+ * configuration and receive endpoint heartbeats, entry hosts serve clients.
  * @module */
 
 export * from "./host_context.ts";
--- a/src/fleet/operator_commands.ts
+++ b/src/fleet/operator_commands.ts
@@ -1,4 +1,4 @@
-/** What operators order at a host with a disk, and how they are answered.
+/** Handlers of operator commands on a control host.
  * @module */
 
 import * as configurations from "../configuration/mod.ts";
@@ -7,51 +7,55 @@
 import type * as controlServer from "./control_server.ts";
 import * as protocol from "./control_protocol.ts";
 
-/** Milliseconds in which an order is acknowledged: before an operator's call
- * ends after a second, so that it hears why not. */
-const ORDER_PATIENCE = 900;
-/** Milliseconds in which a majority confirms a read. */
-const READ_PATIENCE = 800;
+/** Shorter than the one-second timeout of operators' requests, so that they
+ * receive the reason of a failure. */
+const COMMAND_TIMEOUT_MS = 900;
+/** Timeout for a quorum to confirm a read. */
+const READ_TIMEOUT_MS = 800;
 
-/** What orders need of their host. */
+/** Dependencies of the handlers. */
 export interface OperatorCommandsOptions {
   readonly store: Pick<
     versions.ConfigurationStore,
     "replace" | "read" | "evacuate" | "status"
   >;
   readonly logger: telemetry.Logger;
-  /** Data centres that there are. */
+  /** Names of all data centres. */
   readonly dataCentres: readonly string[];
 }
 
-type Order<T> = Extract<protocol.ControlCommand, { type: T }>;
+type CommandOf<T> = Extract<protocol.ControlCommand, { type: T }>;
 
-/** Handlers of operators' calls. */
+/** Creates the handlers. */
 export function handlers(
   options: OperatorCommandsOptions,
 ): Pick<controlServer.CommandHandlers, "replace" | "read" | "evacuate"> {
   return {
-    replace: (order) => replace(order, options),
+    replace: (command) => replace(command, options),
     read: () => read(options),
-    evacuate: (order, caller) => evacuate(order, { ...options, caller }),
+    evacuate: (command, connection) =>
+      evacuate(command, { ...options, connection }),
   };
 }
 
 async function replace(
-  { document, configuration }: Order<"replace">,
+  { document, configuration }: CommandOf<"replace">,
   options: OperatorCommandsOptions,
 ): Promise<protocol.ControlResponse> {
   const { store, logger } = options;
   const { version } = configuration;
   const fault = configurations.findViolation(configuration);
   if (fault !== undefined) {
-    logger.info({ version, ...fault }, "Configuration refused as invalid");
+    logger.info({ version, ...fault }, "Configuration rejected as invalid");
     return protocol.problem(400, fault.detail);
   }
   try {
-    const order = versions.packVersion(version, document);
-    const reply = await store.replace(order, ORDER_PATIENCE);
-    logger.info({ asked: version, ...reply }, "Configuration ordered");
+    const configurationVersion = versions.packVersion(version, document);
+    const reply = await store.replace(configurationVersion, COMMAND_TIMEOUT_MS);
+    logger.info(
+      { asked: version, ...reply },
+      "Configuration command committed",
+    );
     return reply.verdict === "conflict"
       ? protocol.problem(
         409,
@@ -59,7 +63,7 @@
       )
       : { status: 200, body: JSON.stringify({ version: reply.version }) };
   } catch (error) {
-    return unanswered(error, { ...options, about: { version } });
+    return failureResponse(error, { ...options, logFields: { version } });
   }
 }
 
@@ -67,48 +71,57 @@
   options: OperatorCommandsOptions,
 ): Promise<protocol.ControlResponse> {
   try {
-    const edition = await options.store.read(READ_PATIENCE);
-    if (edition.version === 0) {
+    const current = await options.store.read(READ_TIMEOUT_MS);
+    if (current.version === 0) {
       return protocol.problem(503, "no configuration has been accepted yet");
     }
-    const body = configurations.decompress(edition.document);
+    const body = configurations.decompress(current.document);
     return { status: 200, body };
   } catch (error) {
-    return unanswered(error, { ...options, about: { read: true } });
+    return failureResponse(error, { ...options, logFields: { read: true } });
   }
 }
 
 async function evacuate(
-  { dataCentre, active }: Order<"evacuate">,
+  { dataCentre, active }: CommandOf<"evacuate">,
   options: OperatorCommandsOptions & {
-    readonly caller: protocol.ControlConnection;
+    readonly connection: protocol.ControlConnection;
   },
 ): Promise<protocol.ControlResponse> {
-  const { store, logger, dataCentres, caller } = options;
+  const { store, logger, dataCentres, connection } = options;
   if (!dataCentres.includes(dataCentre)) {
     return protocol.problem(404, `there is no data centre ${dataCentre}`);
   }
   try {
     const reply = await store.evacuate({ dataCentre, active }, {
-      timeout: ORDER_PATIENCE,
-      isAbandoned: () => caller.isClosed(),
+      timeout: COMMAND_TIMEOUT_MS,
+      isAbandoned: () => connection.isClosed(),
     });
-    logger.info({ dataCentre, active, ...reply }, "Evacuation ordered");
+    logger.info(
+      { dataCentre, active, ...reply },
+      "Evacuation command committed",
+    );
     const { revision } = reply;
     return { status: 200, body: JSON.stringify({ revision }) };
   } catch (error) {
-    return unanswered(error, { ...options, about: { dataCentre, active } });
+    return failureResponse(error, {
+      ...options,
+      logFields: { dataCentre, active },
+    });
   }
 }
 
-function unanswered(
+function failureResponse(
   error: unknown,
-  { store, logger, about }: OperatorCommandsOptions & {
-    readonly about: object;
+  { store, logger, logFields }: OperatorCommandsOptions & {
+    readonly logFields: object;
   },
 ): protocol.ControlResponse {
   if (!(error instanceof versions.StoreError)) throw error;
   const { kind, message } = error;
-  logger.info({ ...about, kind, ...store.status }, "Operator not answered");
+  logger.info(
+    { ...logFields, kind, ...store.status },
+    "Operator command not acknowledged",
+  );
   return protocol.problem(503, message);
 }
--- a/src/fleet/roster_codec.ts
+++ b/src/fleet/roster_codec.ts
@@ -1,16 +1,16 @@
-/** Entries of a roster on their way to another host.
+/** Conversion between endpoint entries and the messages that carry them.
  * @module */
 
 import type * as endpoints from "../endpoints/mod.ts";
 import type * as schema from "../schema/fleet_types.ts";
 
-/** An entry as a message carries it: times as ages, since clocks differ. */
+/** Encodes an entry. Times become ages, since the clocks of hosts differ. */
 export function encode(
   entry: endpoints.RosterEntry,
   now: number,
 ): schema.Sighting {
   const { id, born, service, address, dataCentre, version, slots } = entry;
-  const { state, sequence, heardAt: heard, coldUntil, isSilent } = entry;
+  const { state, sequence, heardAt, coldUntil, isSilent } = entry;
   const cold = Math.max(0, Math.round(coldUntil - now));
   return {
     id,
@@ -22,23 +22,23 @@
     slots,
     state,
     sequence,
-    age: Math.max(0, Math.round(now - heard)),
+    age: Math.max(0, Math.round(now - heardAt)),
     ...(cold > 0 && { cold }),
     ...(isSilent && { silent: true }),
   };
 }
 
-/** A report out of a message. Hosts that hear heartbeats judge silence by
- * themselves; others believe what they are told. */
+/** Decodes a report. Hosts that receive heartbeats (`judges`) detect silence by
+ * themselves; others adopt the sender's finding. */
 export function decode(
-  told: schema.Sighting,
+  message: schema.Sighting,
   { now, judges }: { now: number; judges: boolean },
 ): endpoints.StatusReport {
-  const { id, born, service, address, dataCentre, version, slots } = told;
-  const { state, sequence, age, cold = 0, silent } = told;
-  const place = { service, address, dataCentre };
+  const { id, born, service, address, dataCentre, version, slots } = message;
+  const { state, sequence, age, cold = 0, silent } = message;
+  const location = { service, address, dataCentre };
   return {
-    status: { id, born, ...place, version, slots, state, sequence },
+    status: { id, born, ...location, version, slots, state, sequence },
     heardAt: now - age,
     coldUntil: cold > 0 ? now + cold : 0,
     ...(judges ? {} : { isSilent: silent ?? false }),
--- a/src/fleet/settings.ts
+++ b/src/fleet/settings.ts
@@ -1,50 +1,50 @@
-/** Settings of a host that finds the others by seeds, as an adapter of its
- * platform decodes them. Times are in milliseconds.
+/** Settings of a control host or entry host, as the platform adapter decodes
+ * them. Times are in milliseconds.
  * @module */
 
 import type * as httpListener from "./http_listener.ts";
 
-/** Bounds that the platform holds hosts to. */
+/** Limits that the platform requires hosts to keep. */
 export interface Bounds {
-  /** Within which a drain that was acknowledged is known everywhere. */
+  /** Time from the acknowledgement of a drain until all hosts know of it. */
   readonly drainPropagation: number;
-  /** From the signal to stop until the process is ended. */
+  /** Time from the stop signal until the platform kills the process. */
   readonly shutdownGrace: number;
-  /** After which a key that was taken away must not serve any more. */
+  /** Time after which a revoked API key must no longer be accepted. */
   readonly keyRevocation: number;
-  /** Part of a service's requests that may be sent once more. */
+  /** Fraction of a service's requests that may be retried. */
   readonly retryRatio: number;
-  /** Number of requests that may be sent once more beyond that. */
+  /** Number of retries that are allowed beyond that fraction. */
   readonly retryBurst: number;
-  /** Over which both are counted. */
+  /** Sliding window over which both are counted. */
   readonly retryWindow: number;
 }
 
 /** Settings of a host. */
 export interface HostSettings {
-  /** Name for people. */
+  /** Display name, used in log lines. */
   readonly name: string;
-  /** IP number, which is also the id of the host. */
+  /** IP address, which is also the host's id. */
   readonly host: string;
   readonly dataCentre: string;
-  /** Region of each data centre. */
+  /** Region of each data centre, by the data centre's name. */
   readonly regions: Readonly<Record<string, string>>;
-  /** Port that all hosts listen on for each other. */
+  /** Port that every host listens on for connections from other hosts. */
   readonly peerPort: number;
-  /** Hosts with disks that are asked first. */
+  /** Control hosts to contact first. */
   readonly seeds: readonly string[];
-  /** Whether the whole system starts for the first time. */
+  /** Whether the fleet is started for the first time. */
   readonly isBootstrap: boolean;
-  /** Hosts with disks whose loss at once must be borne. */
+  /** Number of control hosts whose simultaneous loss must be tolerated. */
   readonly toleratedLosses: number;
-  /** Milliseconds between the heartbeats of an endpoint. */
+  /** Interval at which endpoints send heartbeats. */
   readonly heartbeatInterval: number;
   readonly bounds: Bounds;
   readonly callerAddress?: httpListener.ListenAddress;
   readonly readinessAddress?: httpListener.ListenAddress;
   readonly controlAddress?: httpListener.ListenAddress;
   readonly dataFolder?: string;
-  /** Where counters are served as text; the port among those free. */
+  /** Where metrics are served in the Prometheus text format. */
   readonly metrics?: {
     readonly listenAddress: httpListener.ListenAddress;
     readonly path: string;
--- a/src/fleet/sync_client.ts
+++ b/src/fleet/sync_client.ts
@@ -1,40 +1,40 @@
-/** What a host without a disk knows: it asks one host with a disk after the
- * other for what is new, and for the proof that nothing else is.
+/** Client of an entry host that polls the control hosts for changes of
+ * configuration, endpoints and hosts. A reply that a quorum has confirmed
+ * proves that the host's configuration is current.
  * @module */
 
-import * as orders from "../control/versions/evacuations.ts";
+import * as evacuations from "../control/versions/evacuations.ts";
 import * as endpoints from "../endpoints/mod.ts";
 import type * as peers from "../peers/mod.ts";
 import type * as runtime from "../runtime/mod.ts";
 import type * as schema from "../schema/fleet_types.ts";
 import type * as telemetry from "../telemetry/mod.ts";
-import * as controlHosts from "./control_host_directory.ts";
-import * as freshness from "./elapsed_time.ts";
+import * as controlHostDirectory from "./control_host_directory.ts";
+import * as elapsedTime from "./elapsed_time.ts";
 import * as rosterCodec from "./roster_codec.ts";
 
-/** Milliseconds between questions: a drain must be known everywhere within
- * two seconds, a version too, also where one control host does not answer. */
+/** Poll interval. Drains and new configurations must reach every host within
+ * two seconds, even when one control host does not respond. */
 export const SYNC_INTERVAL_MS = 600;
-/** Milliseconds between questions before the first answer with a proof: a host
- * that has just started refuses all requests until then. */
-const EAGER = 150;
-/** Milliseconds after which another host is asked beside the one that has not
- * answered: some times the usual answer, with its wait for a round of the
- * log. */
-const HEDGE = 300;
-/** Milliseconds after which an answer is of no use any more. */
-const TIMEOUT = 900;
-/** Milliseconds after which an endpoint that is silent or gone is forgotten:
- * longer than any late report of it. */
-const MEMORY = 60_000;
+/** Poll interval until the first confirmed reply; shorter, since a host rejects
+ * all requests until then. */
+const INITIAL_SYNC_INTERVAL_MS = 150;
+/** Delay after which the next control host is polled as well: several times the
+ * usual response time, which includes a quorum round trip. */
+const HEDGE_DELAY_MS = 300;
+/** Timeout of a sync request; later replies are too old to be of use. */
+const TIMEOUT_MS = 900;
+/** How long silent and removed endpoints are retained. Longer than any delayed
+ * report can take, so that such a report does not bring one back. */
+const RETENTION_MS = 60_000;
 
-/** Milliseconds between log lines of a host that gets no proof. */
-const LOGGED = 1000;
+/** Least interval between log lines about missing confirmation. */
+const LOG_INTERVAL_MS = 1000;
 
-/** Asks for everything. */
+/** Requests the full state. */
 const NO_REVISION = { epoch: "", revision: 0, suspectRevision: 0 };
 
-/** What a follower needs of its host. */
+/** Dependencies of a sync client. */
 export interface SyncClientOptions {
   self: string;
   dataCentre: string;
@@ -44,41 +44,42 @@
   calls: Pick<peers.Rpc, "ask">;
   logger: telemetry.Logger;
   isReady(): boolean;
-  /** A newer version than any before. */
+  /** A newer configuration than any before has arrived. */
   onVersion(version: number, document: string): void;
-  /** A host with a disk answers that knows nothing by this one. */
-  onNewSource(core: string): void;
-  /** Requests that may crash endpoints, as a host with a disk knows them. */
+  /** Replies come from another control host, or from a restarted one, which has
+   * no reports of this host yet. */
+  onNewSource(controlHost: string): void;
+  /** Suspects have arrived: requests that may crash endpoints. */
   onSuspects(suspects: readonly schema.Suspect[]): void;
-  /** Rate limits that endpoints name, as a host with a disk knows them. */
+  /** Rate limits that endpoints have announced have arrived. */
   onLimits(limits: readonly schema.EndpointLimit[]): void;
   /** Endpoints or hosts may have changed. */
   onChange(): void;
 }
 
-/** Follows the hosts with disks. */
+/** Syncs with the control hosts. */
 export class SyncClient {
   readonly roster = endpoints.Roster.create({
     silenceTimeoutMs: Infinity,
-    retentionMs: MEMORY,
+    retentionMs: RETENTION_MS,
   });
   readonly #options: SyncClientOptions;
   #revision = NO_REVISION;
-  readonly #controlHosts: controlHosts.ControlHostDirectory;
-  /** Why hosts did not prove anything in this round. */
+  readonly #directory: controlHostDirectory.ControlHostDirectory;
+  /** Why hosts gave no confirmed reply in this round. */
   #failures = new Map<string, string>();
   #loggedAt = -Infinity;
   #hosts: readonly schema.EntryHost[] = [];
-  #mark = "";
+  #hostsDigest = "";
   #version = 0;
-  #proof?: freshness.Instant;
+  #provedAt?: elapsedTime.Instant;
   #source?: string;
-  #evacuations = orders.Evacuations.NONE;
+  #evacuations = evacuations.Evacuations.NONE;
   #stopped = false;
 
   private constructor(options: SyncClientOptions) {
     this.#options = options;
-    this.#controlHosts = controlHosts.ControlHostDirectory.create(
+    this.#directory = controlHostDirectory.ControlHostDirectory.create(
       options.seeds,
     );
   }
@@ -87,212 +88,234 @@
     return new SyncClient(options);
   }
 
-  /** Begins to ask. */
+  /** Starts to poll. */
   start(): void {
-    void this.#round();
+    void this.#poll();
   }
 
   stop(): void {
     this.#stopped = true;
   }
 
-  /** Adds hosts that the settings name now. */
+  /** Replaces the seeds after a reload of the settings. */
   setSeeds(seeds: readonly string[]): void {
-    this.#controlHosts.setSeeds(seeds);
+    this.#directory.setSeeds(seeds);
   }
 
-  /** Milliseconds by which the version in force here may be too old; endless
-   * before the first proof. */
+  /** Milliseconds since the current configuration was last proved to be the
+   * newest; infinite before the first confirmed reply. */
   get proofAge(): number {
-    if (this.#proof === undefined) return Infinity;
-    return freshness.elapsedSince(this.#proof, this.#options.clock);
+    if (this.#provedAt === undefined) return Infinity;
+    return elapsedTime.elapsedSince(this.#provedAt, this.#options.clock);
   }
 
-  /** Data centres that are evacuated, as proved with the version in force. */
-  get evacuations(): orders.Evacuations {
+  /** Evacuations, confirmed together with the configuration. */
+  get evacuations(): evacuations.Evacuations {
     return this.#evacuations;
   }
 
-  /** Hosts that take requests, as last heard. */
+  /** Entry hosts in the last confirmed list. */
   get hosts(): readonly schema.EntryHost[] {
     return this.#hosts;
   }
 
-  /** Hosts with disks, the one that answers first. */
+  /** Present control hosts, starting with the one that is in use. */
   get controlHosts(): readonly string[] {
-    const { current } = this.#controlHosts;
-    const others = current.filter((core) => core !== this.#source);
+    const { current } = this.#directory;
+    const others = current.filter((host) => host !== this.#source);
     return this.#source === undefined ? others : [this.#source, ...others];
   }
 
-  /** State for people. */
+  /** Diagnostic state, for operators. */
   dump(): unknown {
     return {
       version: this.#version,
       proofAgeMs: Math.round(this.proofAge),
       source: this.#source,
-      cores: this.#controlHosts.all,
+      cores: this.#directory.all,
       evacuations: this.#evacuations.list,
       hosts: this.#hosts,
       endpoints: [...this.roster.entries],
     };
   }
 
-  async #round(): Promise<void> {
+  async #poll(): Promise<void> {
     const { clock } = this.#options;
     if (this.#stopped) return;
     const started = clock.now();
     this.#failures.clear();
-    const isProved = await this.#ask();
-    if (!isProved) this.#logFailures();
+    const isConfirmed = await this.#syncWithAny();
+    if (!isConfirmed) this.#logFailures();
     this.roster.expire(clock.now());
-    const spent = clock.now() - started;
-    const interval = this.#proof === undefined ? EAGER : SYNC_INTERVAL_MS;
-    clock.after(Math.max(20, interval - spent), () => void this.#round());
+    const elapsed = clock.now() - started;
+    const interval = this.#provedAt === undefined
+      ? INITIAL_SYNC_INTERVAL_MS
+      : SYNC_INTERVAL_MS;
+    clock.after(Math.max(20, interval - elapsed), () => void this.#poll());
   }
 
-  /** Asks hosts in turn, another one beside each that is slow, and those that
-   * answers name; resolves with true at the first confirmed answer, with false
-   * when all have failed. */
-  #ask(): Promise<boolean> {
+  /** Polls control hosts one after the other, hedging to the next when one is
+   * slow, including hosts that replies list. Resolves with true at the first
+   * confirmed reply, and with false when all hosts have failed. */
+  #syncWithAny(): Promise<boolean> {
     const { clock, random } = this.#options;
-    const asked = new Set<string>();
+    const tried = new Set<string>();
     return new Promise((resolve) => {
-      let open = 0;
+      let pending = 0;
       let isDone = false;
-      let cancel: runtime.Cancel = () => {};
-      const next = () => {
-        cancel();
+      let cancelHedge: runtime.Cancel = () => {};
+      const tryNext = () => {
+        cancelHedge();
         if (isDone) return;
-        const core = this.#controlHosts.inOrderOfPreference(
+        const controlHost = this.#directory.inOrderOfPreference(
           this.#source,
           random,
         )
-          .find((each) => !asked.has(each));
-        if (core === undefined) {
-          if (open === 0) resolve(false);
+          .find((each) => !tried.has(each));
+        if (controlHost === undefined) {
+          if (pending === 0) resolve(false);
           return;
         }
-        asked.add(core);
-        open++;
-        cancel = clock.after(HEDGE, next);
-        void this.#sync(core).then((isConfirmed) => {
-          open--;
-          if (!isConfirmed) return next();
+        tried.add(controlHost);
+        pending++;
+        cancelHedge = clock.after(HEDGE_DELAY_MS, tryNext);
+        void this.#sync(controlHost).then((isConfirmed) => {
+          pending--;
+          if (!isConfirmed) return tryNext();
           isDone = true;
-          cancel();
+          cancelHedge();
           resolve(true);
         });
       };
-      next();
+      tryNext();
     });
   }
 
-  async #sync(core: string): Promise<boolean> {
+  async #sync(controlHost: string): Promise<boolean> {
     const { clock, calls, self, dataCentre, isReady } = this.#options;
-    const sent = freshness.instant(clock);
-    // Another host's changes say nothing of what this one has told before.
-    const known = core === this.#source ? this.#revision : NO_REVISION;
+    const sentAt = elapsedTime.instant(clock);
+    // Revisions of one control host mean nothing to another.
+    const revision = controlHost === this.#source
+      ? this.#revision
+      : NO_REVISION;
     const host = { host: self, dataCentre, ready: isReady(), age: 0 };
     const question: schema.SyncQuestion = {
       type: "sync",
       version: this.#version,
-      ...known,
-      mark: this.#mark,
+      ...revision,
+      mark: this.#hostsDigest,
       host,
       evacuationOrders: this.#evacuations.totalRevision,
     };
     try {
-      const reply = await calls.ask(core, question, { timeout: TIMEOUT });
-      if (reply.type !== "synced") throw new Error(`answered ${reply.type}`);
-      this.#take(core, reply, sent);
-      if (!reply.confirmed) this.#noteFailure(core, "no quorum");
+      const reply = await calls.ask(controlHost, question, {
+        timeout: TIMEOUT_MS,
+      });
+      if (reply.type !== "synced") throw new Error(`not synced: ${reply.type}`);
+      this.#applyReply(controlHost, reply, sentAt);
+      if (!reply.confirmed) this.#recordFailure(controlHost, "no quorum");
       return reply.confirmed;
     } catch (error) {
-      this.#noteFailure(core, error);
+      this.#recordFailure(controlHost, error);
       return false;
     }
   }
 
-  #noteFailure(core: string, reason: unknown): void {
+  #recordFailure(controlHost: string, reason: unknown): void {
     const { clock, logger } = this.#options;
-    this.#controlHosts.recordFailure(core, clock.now());
-    this.#failures.set(core, `${reason}`);
-    if (this.#source !== core) return;
+    this.#directory.recordFailure(controlHost, clock.now());
+    this.#failures.set(controlHost, `${reason}`);
+    if (this.#source !== controlHost) return;
     this.#source = undefined;
-    logger.info({ core, reason: `${reason}` }, "Control host lost");
+    logger.info(
+      { core: controlHost, reason: `${reason}` },
+      "Control host gave no confirmed reply; trying others",
+    );
   }
 
   #logFailures(): void {
     const { clock, logger } = this.#options;
     const now = clock.now();
-    if (now - this.#loggedAt < LOGGED) return;
+    if (now - this.#loggedAt < LOG_INTERVAL_MS) return;
     this.#loggedAt = now;
     const asked = Object.fromEntries(this.#failures);
     const age = this.proofAge;
     const proofAgeMs = age === Infinity ? undefined : Math.round(age);
     const version = this.#version;
-    logger.info({ asked, proofAgeMs, version }, "No control host proves");
+    logger.info(
+      { asked, proofAgeMs, version },
+      "No control host gave a confirmed reply",
+    );
   }
 
-  #take(
-    core: string,
+  #applyReply(
+    controlHost: string,
     reply: schema.SyncedReply,
-    sent: freshness.Instant,
+    sentAt: elapsedTime.Instant,
   ): void {
     const { clock, onChange, onSuspects, onLimits } = this.#options;
     const now = clock.now();
     if (reply.suspects !== undefined) onSuspects(reply.suspects);
     onLimits(reply.limits ?? []);
-    // A host that is cut off from the others hears few endpoints: what it
-    // holds for silent may not be.
+    // A partitioned control host receives few heartbeats, so endpoints that it
+    // reports as silent may be live.
     const judges = !reply.confirmed;
     for (const sighting of reply.sightings) {
       this.roster.merge(rosterCodec.decode(sighting, { now, judges }));
     }
-    if (reply.confirmed) this.#takeProof(core, reply, sent);
-    else this.#controlHosts.addReported(reply.cores, now);
+    if (reply.confirmed) this.#applyConfirmed(controlHost, reply, sentAt);
+    else this.#directory.addReported(reply.cores, now);
     onChange();
   }
 
-  #takeProof(
-    core: string,
+  #applyConfirmed(
+    controlHost: string,
     reply: schema.SyncedReply,
-    sent: freshness.Instant,
+    sentAt: elapsedTime.Instant,
   ): void {
-    const { clock, logger, onVersion, onNewSource: onSource } = this.#options;
+    const { clock, logger, onVersion, onNewSource } = this.#options;
     if (reply.hosts !== undefined) {
       this.#hosts = reply.hosts;
-      this.#mark = reply.mark;
+      this.#hostsDigest = reply.mark;
     }
-    this.#controlHosts.setConfirmed(reply.cores, clock.now());
+    this.#directory.setConfirmed(reply.cores, clock.now());
     if (reply.version > this.#version && reply.document !== undefined) {
       onVersion(reply.version, reply.document);
       this.#version = reply.version;
       const { version } = reply;
-      logger.info({ version, core }, "Configuration in force");
+      logger.info({ version, core: controlHost }, "Configuration applied");
     }
-    this.#takeEvacuations(core, reply.evacuations);
+    this.#applyEvacuations(controlHost, reply.evacuations);
     if (reply.version > this.#version) return;
-    if (this.#proof === undefined || sent.now > this.#proof.now) {
-      this.#proof = sent;
+    if (this.#provedAt === undefined || sentAt.now > this.#provedAt.now) {
+      this.#provedAt = sentAt;
     }
-    this.#controlHosts.recordSuccess(core);
+    this.#directory.recordSuccess(controlHost);
     const { epoch, revision, suspectRevision = 0 } = reply;
-    const isNew = this.#source !== core || this.#revision.epoch !== epoch;
+    const isNewSource = this.#source !== controlHost ||
+      this.#revision.epoch !== epoch;
     this.#revision = { epoch, revision, suspectRevision };
-    if (isNew) onSource(core);
-    if (this.#source === core) return;
-    this.#source = core;
-    logger.info({ core, version: this.#version }, "Control host found");
+    if (isNewSource) onNewSource(controlHost);
+    if (this.#source === controlHost) return;
+    this.#source = controlHost;
+    logger.info(
+      { core: controlHost, version: this.#version },
+      "Syncing with control host",
+    );
   }
 
-  #takeEvacuations(core: string, told: schema.Evacuation[] = []): void {
+  #applyEvacuations(
+    controlHost: string,
+    received: schema.Evacuation[] = [],
+  ): void {
     const { logger } = this.#options;
     const known = this.#evacuations;
-    this.#evacuations = known.merge(told);
-    for (const each of this.#evacuations.newerThan(known)) {
-      logger.info({ ...each, core }, "Evacuation in force");
+    this.#evacuations = known.merge(received);
+    for (const evacuation of this.#evacuations.newerThan(known)) {
+      logger.info(
+        { ...evacuation, core: controlHost },
+        "Evacuation state applied",
+      );
     }
   }
 }
--- a/src/fleet/sync_client_fixture.ts
+++ b/src/fleet/sync_client_fixture.ts
@@ -1,19 +1,19 @@
-/** A follower whose control hosts are made up, for tests.
+/** A sync client with fake control hosts, for tests.
  * @module */
 
 import * as fixture from "../endpoints/fixture.ts";
 import * as runtime from "../runtime/mod.ts";
 import type * as schema from "../schema/fleet_types.ts";
 import * as telemetry from "../telemetry/mod.ts";
-import * as followers from "./sync_client.ts";
+import * as syncClient from "./sync_client.ts";
 
-/** Answers of control hosts by name; a host without one does not answer. */
+/** Replies of control hosts by name. A host without one does not respond. */
 export type Replies = Record<string, Partial<schema.SyncedReply> | undefined>;
 
-/** Milliseconds of one step of the clock. */
+/** Step of the fake clock. */
 export const STEP_MS = 50;
 
-const BASE: schema.SyncedReply = {
+const DEFAULT_REPLY: schema.SyncedReply = {
   type: "synced",
   confirmed: true,
   version: 3,
@@ -26,29 +26,29 @@
   cores: ["a", "b"],
 };
 
-/** A sighting as another host tells it. */
+/** Creates a sighting as it arrives in a reply. */
 export function sighting(
   change: Partial<schema.Sighting> = {},
 ): schema.Sighting {
   return { ...fixture.endpointStatus(), age: 0, ...change };
 }
 
-/** What a follower is made with. */
+/** Options of `createSyncClient`. */
 export interface FixtureOptions {
   readonly seeds?: readonly string[];
   readonly logger?: telemetry.Logger;
 }
 
-/** A follower of the hosts `a` and `b`, or of other seeds, whose answers may be
- * changed. */
+/** Creates a started sync client with the seeds `a` and `b`, or others. Changes
+ * of `replies` take effect on later polls. */
 export function createSyncClient(
-  answers: Replies,
+  replies: Replies,
   { seeds = ["a", "b"], logger = telemetry.noLogger }: FixtureOptions = {},
 ) {
   const clock = new runtime.FakeClock();
-  const asked: { core: string; question: schema.SyncQuestion }[] = [];
+  const requests: { core: string; question: schema.SyncQuestion }[] = [];
   const versions: string[] = [];
-  const follower = followers.SyncClient.create({
+  const client = syncClient.SyncClient.create({
     self: "me",
     dataCentre: "town",
     seeds,
@@ -63,20 +63,20 @@
     onLimits() {},
     calls: {
       ask(core, question) {
-        asked.push({ core, question: question as schema.SyncQuestion });
-        const answer = answers[core];
-        return answer === undefined
+        requests.push({ core, question: question as schema.SyncQuestion });
+        const reply = replies[core];
+        return reply === undefined
           ? Promise.reject(new Error("silent"))
-          : Promise.resolve({ ...BASE, ...answer });
+          : Promise.resolve({ ...DEFAULT_REPLY, ...reply });
       },
     },
   });
   const run = async (ms: number) => {
-    for (let passed = 0; passed < ms; passed += STEP_MS) {
+    for (let elapsed = 0; elapsed < ms; elapsed += STEP_MS) {
       clock.advance(STEP_MS);
       await new Promise(setImmediate);
     }
   };
-  follower.start();
-  return { follower, clock, asked, versions, run };
+  client.start();
+  return { client, clock, requests, versions, run };
 }
--- a/src/fleet/sync_client_seeds_test.ts
+++ b/src/fleet/sync_client_seeds_test.ts
@@ -1,63 +1,60 @@
-/** What was seen: an entry host whose seeds proved nothing refused everything,
- * for as long as it lived, though other control hosts held the configuration.
- *
- * How it came about: an answer names the control hosts that are there, but they
- * were noted only where it was confirmed. So an entry host asked its seeds alone
- * until one of them proved something; and once an answer named few hosts, such
- * as that of a control host which had just started, it forgot the others. What
- * proved it: asking whom any answer names ended it, with the same answers.
+/** Guards against an entry host that rejects all requests for good because its
+ * seeds give no confirmed reply, though other control hosts would. The control
+ * hosts in a reply were noted only when the reply was confirmed, so the entry
+ * host polled nothing but its seeds; and a confirmed reply that listed few
+ * hosts, such as that of a control host after its start, replaced all others.
  * @module */
 
 import test from "ava";
-import * as followers from "./sync_client.ts";
+import * as syncClient from "./sync_client.ts";
 import * as fixture from "./sync_client_fixture.ts";
 
-/** Milliseconds in which a host finds a control host that proves. */
-const FOUND = 1500;
+/** Time in which an entry host finds a control host that confirms. */
+const DISCOVERY_MS = 1500;
 
-test("control hosts that an unconfirmed answer names are asked", async (t) => {
+test("control hosts that an unconfirmed reply lists are polled", async (t) => {
   const cores = ["a", "b", "c"];
   const behind = { confirmed: false, version: 0, document: undefined, cores };
-  const { follower, run } = fixture.createSyncClient({
+  const { client, run } = fixture.createSyncClient({
     a: behind,
     b: behind,
     c: {},
   });
-  await run(FOUND);
-  t.true(follower.proofAge <= followers.SYNC_INTERVAL_MS + fixture.STEP_MS);
+  await run(DISCOVERY_MS);
+  t.true(client.proofAge <= syncClient.SYNC_INTERVAL_MS + fixture.STEP_MS);
 });
 
-test("control hosts that were named once are asked when all others are gone", async (t) => {
-  const answers: fixture.Replies = { a: { cores: ["a", "b", "c"] } };
-  const { follower, run } = fixture.createSyncClient(answers, { seeds: ["a"] });
-  await run(FOUND);
-  answers.a = { cores: ["a"] };
-  await run(FOUND);
-  answers.a = undefined;
-  answers.c = { epoch: "c", cores: ["c"] };
-  await run(FOUND);
-  t.true(follower.proofAge <= followers.SYNC_INTERVAL_MS + fixture.STEP_MS);
+test("control hosts that were listed earlier are polled when all others are gone", async (t) => {
+  const replies: fixture.Replies = { a: { cores: ["a", "b", "c"] } };
+  const { client, run } = fixture.createSyncClient(replies, { seeds: ["a"] });
+  await run(DISCOVERY_MS);
+  replies.a = { cores: ["a"] };
+  await run(DISCOVERY_MS);
+  replies.a = undefined;
+  replies.c = { epoch: "c", cores: ["c"] };
+  await run(DISCOVERY_MS);
+  t.true(client.proofAge <= syncClient.SYNC_INTERVAL_MS + fixture.STEP_MS);
 });
 
-test("seeds that are read anew are asked beside those known", async (t) => {
-  const answers: fixture.Replies = { a: {} };
-  const { follower, run } = fixture.createSyncClient(answers, { seeds: ["a"] });
-  await run(FOUND);
-  answers.a = undefined;
-  answers.z = { epoch: "z", cores: ["z"] };
-  follower.setSeeds(["z"]);
-  await run(FOUND);
-  t.true(follower.proofAge <= followers.SYNC_INTERVAL_MS + fixture.STEP_MS);
+test("reloaded seeds are polled in addition to known hosts", async (t) => {
+  const replies: fixture.Replies = { a: {} };
+  const { client, run } = fixture.createSyncClient(replies, { seeds: ["a"] });
+  await run(DISCOVERY_MS);
+  replies.a = undefined;
+  replies.z = { epoch: "z", cores: ["z"] };
+  client.setSeeds(["z"]);
+  await run(DISCOVERY_MS);
+  t.true(client.proofAge <= syncClient.SYNC_INTERVAL_MS + fixture.STEP_MS);
 });
 
-test("seeds that are read anew are kept when others were named since", async (t) => {
-  const answers: fixture.Replies = { a: { cores: ["a"] } };
-  const { follower, run } = fixture.createSyncClient(answers, { seeds: ["a"] });
-  await run(FOUND);
-  follower.setSeeds(["z"]);
-  await run(FOUND);
-  answers.a = undefined;
-  answers.z = { epoch: "z", cores: ["z"] };
-  await run(FOUND);
-  t.true(follower.proofAge <= followers.SYNC_INTERVAL_MS + fixture.STEP_MS);
+test("reloaded seeds are kept when replies list other hosts afterwards", async (t) => {
+  const replies: fixture.Replies = { a: { cores: ["a"] } };
+  const { client, run } = fixture.createSyncClient(replies, { seeds: ["a"] });
+  await run(DISCOVERY_MS);
+  client.setSeeds(["z"]);
+  await run(DISCOVERY_MS);
+  replies.a = undefined;
+  replies.z = { epoch: "z", cores: ["z"] };
+  await run(DISCOVERY_MS);
+  t.true(client.proofAge <= syncClient.SYNC_INTERVAL_MS + fixture.STEP_MS);
 });
--- a/src/fleet/sync_sessions.ts
+++ b/src/fleet/sync_sessions.ts
@@ -1,40 +1,45 @@
-/** The entry hosts that follow a host with a disk: those that ask it for what is
- * new, and are told of changes at once.
+/** The entry hosts that sync with a control host, which pushes urgent changes
+ * to them.
  * @module */
 
-/** Milliseconds after which a host that has not asked follows another one: some
- * of its questions. */
-const FOLLOWED = 3000;
+/** Time without a sync request after which an entry host is assumed to sync
+ * with another control host: several sync intervals. */
+const SESSION_TIMEOUT_MS = 3000;
 
-/** Followers of one host; changed in place. */
+/** Sync sessions of one control host; mutable. */
 export class SyncSessions {
-  readonly #askedAt = new Map<string, number>();
-  /** Orders of evacuations that each held when it asked last. */
-  readonly #orders = new Map<string, number>();
+  readonly #lastSyncAt = new Map<string, number>();
+  /** Total revision of evacuations that each host had at its last sync. */
+  readonly #totalRevisions = new Map<string, number>();
 
   static create(): SyncSessions {
     return new SyncSessions();
   }
 
-  /** Notes that a host has asked, and how many orders of evacuations it
-   * holds. */
-  record(host: string, { now, orders }: { now: number; orders: number }): void {
-    this.#askedAt.set(host, now);
-    this.#orders.set(host, orders);
+  /** Records a sync request and the total revision of evacuations in it. */
+  record(
+    host: string,
+    { now, totalRevision }: { now: number; totalRevision: number },
+  ): void {
+    this.#lastSyncAt.set(host, now);
+    this.#totalRevisions.set(host, totalRevision);
   }
 
-  /** Hosts that follow now and held fewer orders of evacuations. */
-  behind(orders: number, now: number): string[] {
-    return this.live(now).filter((host) => this.#orders.get(host)! < orders);
+  /** Live hosts whose total revision of evacuations is lower than
+   * `totalRevision`. */
+  behind(totalRevision: number, now: number): string[] {
+    return this.live(now).filter((host) =>
+      this.#totalRevisions.get(host)! < totalRevision
+    );
   }
 
-  /** Hosts that follow now. */
+  /** Entry hosts that sync with this control host at present. */
   live(now: number): string[] {
-    for (const [host, at] of this.#askedAt) {
-      if (now - at <= FOLLOWED) continue;
-      this.#askedAt.delete(host);
-      this.#orders.delete(host);
+    for (const [host, at] of this.#lastSyncAt) {
+      if (now - at <= SESSION_TIMEOUT_MS) continue;
+      this.#lastSyncAt.delete(host);
+      this.#totalRevisions.delete(host);
     }
-    return [...this.#askedAt.keys()];
+    return [...this.#lastSyncAt.keys()];
   }
 }
--- a/src/fleet/sync_sessions_test.ts
+++ b/src/fleet/sync_sessions_test.ts
@@ -1,23 +1,23 @@
 /** @module */
 
 import test from "ava";
-import * as followers from "./sync_sessions.ts";
+import * as syncSessions from "./sync_sessions.ts";
 
-test("a host follows for as long as it asks", (t) => {
-  const list = followers.SyncSessions.create();
-  list.record("a", { now: 0, orders: 0 });
-  list.record("b", { now: 2000, orders: 0 });
-  t.deepEqual(list.live(3000), ["a", "b"]);
-  list.record("a", { now: 3000, orders: 0 });
-  t.deepEqual(list.live(5500), ["a"]);
-  t.deepEqual(list.live(6001), []);
+test("a session lasts as long as the host sends sync requests", (t) => {
+  const sessions = syncSessions.SyncSessions.create();
+  sessions.record("a", { now: 0, totalRevision: 0 });
+  sessions.record("b", { now: 2000, totalRevision: 0 });
+  t.deepEqual(sessions.live(3000), ["a", "b"]);
+  sessions.record("a", { now: 3000, totalRevision: 0 });
+  t.deepEqual(sessions.live(5500), ["a"]);
+  t.deepEqual(sessions.live(6001), []);
 });
 
-test("a host is behind until it holds the last order", (t) => {
-  const list = followers.SyncSessions.create();
-  list.record("a", { now: 0, orders: 1 });
-  list.record("b", { now: 0, orders: 2 });
-  t.deepEqual(list.behind(2, 100), ["a"]);
-  list.record("a", { now: 600, orders: 2 });
-  t.deepEqual(list.behind(2, 700), []);
+test("a host is behind until it has the latest command", (t) => {
+  const sessions = syncSessions.SyncSessions.create();
+  sessions.record("a", { now: 0, totalRevision: 1 });
+  sessions.record("b", { now: 0, totalRevision: 2 });
+  t.deepEqual(sessions.behind(2, 100), ["a"]);
+  sessions.record("a", { now: 600, totalRevision: 2 });
+  t.deepEqual(sessions.behind(2, 700), []);
 });
