--- a/src/control/versions/configuration_store.ts
+++ b/src/control/versions/configuration_store.ts
@@ -1,117 +1,119 @@
-/** Replicated store of the configuration on a host with a disk: a replica of the
- * log where the host votes, and the way to the leader, wherever that is.
+/** Replicated store of configuration and evacuations on a control host: a
+ * replica of the log, and a client of its leader on whichever host that is.
  * @module */
 
 import * as runtime from "../../runtime/mod.ts";
 import type * as schema from "../../schema/fleet_types.ts";
 import type * as telemetry from "../../telemetry/mod.ts";
 import * as log from "../log/mod.ts";
-import * as editions from "./configuration_version.ts";
+import * as configurationVersions from "./configuration_version.ts";
 import * as errors from "./errors.ts";
 import * as evacuations from "./evacuations.ts";
-import * as leaderCalls from "./leader_client.ts";
-import * as leaderBeliefs from "./leader_hint.ts";
-import * as machines from "./state_machine.ts";
-import * as replicaStatuses from "./replica_status.ts";
-
-/** Milliseconds after which a replica whose disk failed is started anew. */
-const RESTART = 500;
-/** Milliseconds between looks for a log without a leader: longer than one
- * election takes, so that a line says that it did not succeed. */
-const WATCH = 1000;
-
-/** Sizes of the log for commands that hold whole documents, of which a hundred
- * kilobytes each are expected: snapshots come often enough for a small disk. */
-const SIZES = {
+import * as leaderClient from "./leader_client.ts";
+import * as leaderHint from "./leader_hint.ts";
+import * as stateMachine from "./state_machine.ts";
+import * as replicaStatus from "./replica_status.ts";
+
+/** Delay before a failed replica is restarted from disk. */
+const RESTART_DELAY_MS = 500;
+/** Interval of the check for a missing leader: longer than an election, so that
+ * a log line means that one has failed. */
+const LEADER_CHECK_INTERVAL_MS = 1000;
+
+/** Log sizes for commands that contain whole documents of about 100 kB each:
+ * frequent snapshots keep disk usage small. */
+const LOG_SIZES = {
   snapshotInterval: 64,
   charactersPerEntry: 50_000,
   trailingEntries: 16,
 };
-/** Milliseconds of silence after which a voter is exchanged for a live host:
- * the exchange must end before a second loss is to be borne. */
-const TIMING = { inactivityTimeout: 1500 };
+/** Silence after which a voter is replaced by a live host. The replacement must
+ * be complete before the next loss that has to be tolerated. */
+const LOG_TIMING = { inactivityTimeout: 1500 };
 
-/** Opens the disk. It is opened again after a failure. */
+/** Opens the disk; called again after each failure. */
 export type OpenStorage = () => Promise<Storage>;
 
-/** A disk that can be closed. */
+/** Storage that can be closed. */
 export interface Storage extends runtime.Storage {
   close?(): Promise<void>;
 }
 
-/** What a store needs of its host. */
+/** Dependencies of a store. */
 export interface ConfigurationStoreOptions {
   self: string;
-  /** Hosts that may found the log. */
+  /** Hosts that are the first voters of a new log. */
   initialVoters: readonly string[];
-  /** Whether this host may found it. */
+  /** Whether this host may create a new log. */
   isBootstrap: boolean;
   clock: runtime.Clock;
   random: runtime.Random;
   transport: runtime.Transport;
   openStorage: OpenStorage;
-  callHost: leaderCalls.HostCall;
+  callHost: leaderClient.HostCall;
   logger: telemetry.Logger;
-  /** This host has come to lead. */
+  /** This host has been elected leader. */
   onElected?(): void;
 }
 
-/** Questions that a host sends to the one that leads. */
+/** RPC requests to the leader. */
 export type LeaderQuestion =
   | schema.ConfirmQuestion
   | schema.ReplaceQuestion
   | schema.EvacuateQuestion;
 
-/** How an evacuation is ordered. */
+/** Options of `ConfigurationStore.evacuate`. */
 export interface EvacuateOptions {
-  /** Milliseconds in which it should be acknowledged. */
+  /** Milliseconds within which the command must be acknowledged. */
   readonly timeout: number;
-  /** Whether nobody waits for the acknowledgement any more. */
+  /** Whether the client no longer waits for the acknowledgement. */
   isAbandoned(): boolean;
 }
 
-type Runner = log.Runner<machines.ControlState, machines.CommandReply>;
+type Runner = log.Runner<stateMachine.ControlState, stateMachine.CommandReply>;
 
-/** The replica of this host, and the way to its leader. */
+/** The replica of this host, and a client of the leader. */
 export class ConfigurationStore {
   readonly #options: ConfigurationStoreOptions;
-  readonly #calls: leaderCalls.LeaderClient;
+  readonly #leaderClient: leaderClient.LeaderClient;
   #runner?: Runner;
-  #hosts: readonly string[];
-  #contacts: readonly string[] = [];
-  #orders = 0;
+  #desiredVoters: readonly string[];
+  #knownHosts: readonly string[] = [];
+  #commandCount = 0;
   #stopped = false;
-  #waiting: { index: number; resolve(): void }[] = [];
-  #members?: unknown;
-  #told = leaderBeliefs.LeaderHint.NONE;
-  /** Newest version that a leader elsewhere has told. */
-  #fetched: editions.ConfigurationVersion = editions.NO_VERSION;
-  /** Orders of evacuations that leaders elsewhere have told. */
+  #indexWaiters: { index: number; resolve(): void }[] = [];
+  #loggedMembers?: unknown;
+  #leaderHint = leaderHint.LeaderHint.NONE;
+  /** Newest version received from a leader on another host. */
+  #fetchedConfiguration: configurationVersions.ConfigurationVersion =
+    configurationVersions.NO_VERSION;
+  /** Evacuations received from leaders on other hosts. */
   #fetchedEvacuations = evacuations.Evacuations.NONE;
-  /** When a replica of each host was heard last. */
-  readonly #heard = new Map<string, number>();
+  /** When the last log message of each host arrived. */
+  readonly #lastHeardAt = new Map<string, number>();
 
   private constructor(options: ConfigurationStoreOptions) {
     this.#options = options;
-    this.#hosts = options.initialVoters;
-    this.#calls = leaderCalls.LeaderClient.create({
+    this.#desiredVoters = options.initialVoters;
+    this.#leaderClient = leaderClient.LeaderClient.create({
       ...options,
       leader: () => this.leader,
-      onNotLeader: (leader) => this.#told = this.#told.invalidate(leader),
+      onNotLeader: (leader) =>
+        this.#leaderHint = this.#leaderHint.invalidate(leader),
     });
   }
 
-  /** Reads the disk and takes part from then on. */
+  /** Recovers from disk and joins the log. */
   static async start(
     options: ConfigurationStoreOptions,
   ): Promise<ConfigurationStore> {
     const store = new ConfigurationStore(options);
     await store.#start();
-    store.#watch();
+    store.#watchLeader();
     return store;
   }
 
-  /** Who leads, as the replica of this host knows: other hosts may be told. */
+  /** Leader as known to the replica of this host, to be sent to other hosts. */
   get leadership(): schema.Leadership | undefined {
     const runner = this.#runner;
     if (runner?.leader === undefined) return undefined;
@@ -119,15 +121,18 @@
     return { term, leader, voters: this.#ownVoters };
   }
 
-  /** Notes who leads, as a member tells. */
-  updateLeaderHint(told: schema.Leadership): void {
-    this.#told = this.#told.update(told, this.#options.clock.now());
-    this.#calls.handleLeaderChange();
+  /** Updates the leader hint from a message of another host. */
+  updateLeaderHint(leadership: schema.Leadership): void {
+    this.#leaderHint = this.#leaderHint.update(
+      leadership,
+      this.#options.clock.now(),
+    );
+    this.#leaderClient.handleLeaderChange();
   }
 
-  /** Hosts of the voters as this host knows them. */
+  /** Hosts of the voters, as far as this host knows. */
   get voters(): readonly string[] {
-    const newest = this.#newestLeadership?.voters ?? this.#told.voters;
+    const newest = this.#newestLeadership?.voters ?? this.#leaderHint.voters;
     return newest.length > 0 ? newest : this.#ownVoters;
   }
 
@@ -139,126 +144,138 @@
     return this.#runner?.replica.state.role === "leader";
   }
 
-  /** The newest version known here, which may not be the newest of all. */
-  get configuration(): editions.ConfigurationVersion {
-    const applied = this.#runner?.state.configuration ?? editions.NO_VERSION;
-    return applied.version >= this.#fetched.version ? applied : this.#fetched;
+  /** Newest version known to this host; others may have a newer one. */
+  get configuration(): configurationVersions.ConfigurationVersion {
+    const applied = this.#runner?.state.configuration ??
+      configurationVersions.NO_VERSION;
+    return applied.version >= this.#fetchedConfiguration.version
+      ? applied
+      : this.#fetchedConfiguration;
   }
 
-  /** Evacuations known here, of which some may be newer elsewhere. */
+  /** Evacuations known to this host; others may have newer ones. */
   get evacuations(): evacuations.Evacuations {
     const applied = this.#runner?.state.evacuations;
     return this.#fetchedEvacuations.merge(applied?.list);
   }
 
-  /** Names the hosts that should be voters. */
+  /** Sets the hosts that should be voters. */
   setDesiredVoters(hosts: readonly string[]): void {
-    if (hosts.join() !== this.#hosts.join()) {
-      this.#hosts = hosts;
+    if (hosts.join() !== this.#desiredVoters.join()) {
+      this.#desiredVoters = hosts;
       this.#runner?.setDesiredVoters(hosts);
     }
-    this.#dropSurplus();
+    this.#removeSurplusVoter();
   }
 
-  /** Names the hosts with disks that are known, whoever named them. */
+  /** Sets the control hosts that are known from any source. */
   setKnownHosts(hosts: readonly string[]): void {
-    if (hosts.join() === this.#contacts.join()) return;
-    this.#contacts = hosts;
+    if (hosts.join() === this.#knownHosts.join()) return;
+    this.#knownHosts = hosts;
     this.#runner?.setKnownHosts(hosts);
   }
 
-  /** Takes a message of another replica. */
+  /** Handles a message from another replica. */
   receive(envelope: runtime.Envelope): void {
-    this.#heard.set(envelope.from, this.#options.clock.now());
+    this.#lastHeardAt.set(envelope.from, this.#options.clock.now());
     this.#runner?.receive(envelope);
   }
 
-  /** Orders a version; resolves once a majority has it on disk. Rejects with
-   * `VersionError` when that is not known after `patience` milliseconds. */
+  /** Replaces the configuration; resolves once a majority has the command on
+   * disk. Rejects with `StoreError` when that is not known after `timeout`
+   * milliseconds. */
   async replace(
-    order: editions.ConfigurationVersion,
-    patience: number,
+    version: configurationVersions.ConfigurationVersion,
+    timeout: number,
   ): Promise<schema.ReplacedReply> {
-    const reply = await this.#calls.call(patience, {
-      question: { type: "replace", ...order },
-      handleLocally: () => this.#replaceHere(order),
+    const reply = await this.#leaderClient.call(timeout, {
+      question: { type: "replace", ...version },
+      handleLocally: () => this.#handleReplace(version),
     });
     return reply as schema.ReplacedReply;
   }
 
-  /** Begins or ends an evacuation; resolves once a majority has that on disk.
-   * Nothing in such an order says which one is newer, so it follows the last one
-   * that a majority knows, and is given up where nobody waits for it any more: a
-   * host that was frozen may take it long after another one was
-   * acknowledged. Rejects with `VersionError`. */
+  /** Begins or ends an evacuation; resolves once a majority has the command on
+   * disk. Rejects with `StoreError`.
+   *
+   * Operators send no version number with this command, so it is conditional on
+   * the last committed revision. It is dropped when the client has
+   * disconnected: a host that was frozen may handle it long after a later
+   * command of the client was acknowledged by another host. */
   async evacuate(
-    wanted: Pick<evacuations.EvacuationCommand, "dataCentre" | "active">,
-    { timeout: patience, isAbandoned }: EvacuateOptions,
+    target: Pick<evacuations.EvacuationCommand, "dataCentre" | "active">,
+    { timeout, isAbandoned }: EvacuateOptions,
   ): Promise<schema.EvacuatedReply> {
     const { clock } = this.#options;
-    const until = clock.now() + patience;
+    const deadline = clock.now() + timeout;
     for (;;) {
-      await this.read(until - clock.now());
+      await this.read(deadline - clock.now());
       if (isAbandoned()) throw new errors.StoreError("abandoned");
-      const after = this.evacuations.revisionOf(wanted.dataCentre);
-      const order = { ...wanted, after, orderedAt: clock.wall() };
-      const reply = await this.#calls.call(until - clock.now(), {
-        question: { type: "evacuate", ...order },
-        handleLocally: () => this.#evacuateHere(order),
+      const after = this.evacuations.revisionOf(target.dataCentre);
+      const command = { ...target, after, orderedAt: clock.wall() };
+      const reply = await this.#leaderClient.call(deadline - clock.now(), {
+        question: { type: "evacuate", ...command },
+        handleLocally: () => this.#handleEvacuate(command),
       }) as schema.EvacuatedReply;
       if (reply.verdict !== "outdated") return reply;
     }
   }
 
-  /** The newest version of all at some moment after the call, confirmed by a
-   * majority, and the evacuations of that moment are known then. Rejects with
-   * `VersionError`. */
-  async read(patience: number): Promise<editions.ConfigurationVersion> {
+  /** Linearizable read: returns the newest version as of some moment after the
+   * call, confirmed by a majority, and updates the evacuations to that moment.
+   * Rejects with `StoreError`. */
+  async read(
+    timeout: number,
+  ): Promise<configurationVersions.ConfigurationVersion> {
     const { version } = this.configuration;
-    const reply = await this.#calls.call(patience, {
+    const reply = await this.#leaderClient.call(timeout, {
       question: { type: "confirm", version },
-      handleLocally: () => this.#confirmHere(version),
+      handleLocally: () => this.#handleConfirm(version),
     });
-    await this.#take(reply as schema.ConfirmedReply, patience);
+    await this.#applyConfirmation(reply as schema.ConfirmedReply, timeout);
     return this.configuration;
   }
 
-  /** Answers a question that another host has sent to the leader. */
+  /** Handles an RPC request that another host has sent to the leader. */
   handle(
     question: LeaderQuestion,
   ): Promise<schema.Reply> {
     switch (question.type) {
       case "confirm":
-        return this.#confirmHere(question.version);
+        return this.#handleConfirm(question.version);
       case "replace":
-        return this.#replaceHere(question);
+        return this.#handleReplace(question);
       case "evacuate":
-        return this.#evacuateHere(question);
+        return this.#handleEvacuate(question);
     }
   }
 
-  /** Hands leadership over, before a stop. */
+  /** Transfers leadership to another voter before a stop. */
   transferLeadership(): void {
     this.#runner?.transferLeadership();
   }
 
   stop(): void {
     this.#stopped = true;
-    this.#calls.stop();
+    this.#leaderClient.stop();
     this.#runner?.stop();
   }
 
-  /** What this host knows of leader and majority; undefined while the replica
-   * does not run. */
-  get status(): replicaStatuses.ReplicaStatus | undefined {
+  /** This host's view of leader and members; undefined while the replica does
+   * not run. */
+  get status(): replicaStatus.ReplicaStatus | undefined {
     const replica = this.#runner?.replica;
     if (replica === undefined) return undefined;
     const now = this.#options.clock.now();
-    const told = this.#told.at(now);
-    return replicaStatuses.statusOf(replica, { heard: this.#heard, told, now });
+    const leadership = this.#leaderHint.at(now);
+    return replicaStatus.statusOf(replica, {
+      heard: this.#lastHeardAt,
+      told: leadership,
+      now,
+    });
   }
 
-  /** State for people. */
+  /** Diagnostic state, for operators. */
   dump(): unknown {
     if (this.#runner === undefined) return { runs: false };
     const { index, counters, replica, state } = this.#runner;
@@ -275,32 +292,32 @@
   }
 
   async #start(): Promise<void> {
-    const { self, isBootstrap: founds, clock, random, transport, logger } =
+    const { self, isBootstrap, clock, random, transport, logger } =
       this.#options;
     let storage: Storage | undefined;
     try {
       storage = await this.#options.openStorage();
       const opened = storage;
       this.#runner = await log.Runner.start<
-        machines.ControlState,
-        machines.CommandReply
+        stateMachine.ControlState,
+        stateMachine.CommandReply
       >({
         host: self,
-        hosts: this.#hosts,
-        isBootstrap: founds,
-        machine: machines.stateMachine,
+        hosts: this.#desiredVoters,
+        isBootstrap,
+        machine: stateMachine.stateMachine,
         clock,
         random,
         transport,
         storage,
-        sizes: SIZES,
-        timing: TIMING,
-        onChange: (_, index) => this.#noteApplied(index),
+        sizes: LOG_SIZES,
+        timing: LOG_TIMING,
+        onChange: (_, index) => this.#handleApplied(index),
         onRole: (role, term, { leader }) => {
           logger.info({ role, term, leader }, "Role in the log changed");
-          // The step that has led to it is not over yet.
-          queueMicrotask(() => this.#calls.handleLeaderChange());
-          if (role === "leader") queueMicrotask(() => this.#lead());
+          // The replica is still in the step that changed the role.
+          queueMicrotask(() => this.#leaderClient.handleLeaderChange());
+          if (role === "leader") queueMicrotask(() => this.#handleElected());
         },
         onFailure: (failure) => void this.#restart(failure, opened),
       });
@@ -308,59 +325,64 @@
       void this.#restart(error, storage);
       return;
     }
-    this.#runner.setKnownHosts(this.#contacts);
+    this.#runner.setKnownHosts(this.#knownHosts);
     const { id, term, index, state } = this.#runner;
     const { version } = state.configuration;
     logger.info({ id, term, index, version }, "Replica of the log started");
   }
 
-  /** Takes out a voter that is not named once all that are vote: each voter more
-   * is one more that changes and elections may have to wait for. */
-  #dropSurplus(): void {
+  /** Removes one surplus voter once all desired hosts are voters: each
+   * additional voter is one more that commits and elections may have to wait
+   * for. */
+  #removeSurplusVoter(): void {
     const runner = this.#runner;
     if (runner === undefined || !this.isLeader) return;
     const { voters } = runner.replica.members;
     const voting = this.#ownVoters;
-    if (!this.#hosts.every((host) => voting.includes(host))) return;
+    if (!this.#desiredVoters.every((host) => voting.includes(host))) return;
     const surplus = voters.find((id) =>
-      id !== runner.id && !this.#hosts.includes(log.replicaId.host(id))
+      id !== runner.id && !this.#desiredVoters.includes(log.replicaId.host(id))
     );
     if (surplus !== undefined) runner.remove(surplus);
   }
 
-  /** Begins to lead, with the voters that there are: those that it knew of as
-   * wanted may be of the time when its settings were written. */
-  #lead(): void {
+  /** Keeps the present voters as the desired ones after an election, since
+   * those that this host knew before may date from when its settings were
+   * written. */
+  #handleElected(): void {
     if (!this.isLeader) return;
     const voters = this.#ownVoters;
     if (voters.length > 0) this.setDesiredVoters(voters);
     this.#options.onElected?.();
   }
 
-  /** Starts the replica anew from what its disk holds. */
+  /** Restarts the replica from disk after a failure. */
   async #restart(error: unknown, storage?: Storage): Promise<void> {
     const { clock, logger } = this.#options;
     this.#runner = undefined;
-    logger.error({ err: error, retryMs: RESTART }, "Replica of the log failed");
+    logger.error(
+      { err: error, retryMs: RESTART_DELAY_MS },
+      "Replica of the log failed; restarting it from disk",
+    );
     try {
       await storage?.close?.();
     } catch (cause) {
-      logger.warn({ err: cause }, "Disk was not closed");
+      logger.warn({ err: cause }, "Storage of the failed replica not closed");
     }
-    clock.after(RESTART, () => {
+    clock.after(RESTART_DELAY_MS, () => {
       if (!this.#stopped) void this.#start();
     });
   }
 
-  /** Says so, time and again, while this host knows of no leader. */
-  #watch(): void {
+  /** Logs periodically while this host knows of no leader. */
+  #watchLeader(): void {
     const { clock, logger } = this.#options;
-    clock.after(WATCH, () => {
+    clock.after(LEADER_CHECK_INTERVAL_MS, () => {
       if (this.#stopped) return;
       if (this.leader === undefined) {
-        logger.info({ ...this.status }, "Log without a leader");
+        logger.info({ ...this.status }, "No leader of the log known");
       }
-      this.#watch();
+      this.#watchLeader();
     });
   }
 
@@ -369,26 +391,29 @@
     return voters.map((id) => log.replicaId.host(id));
   }
 
-  /** Leaders talk to members only: what a host without a vote hears itself, if
-   * anything, is of the time when it had one. */
+  /** Newest leadership from the own replica and the leader hint. Leaders send
+   * heartbeats to members only, so what the replica of a non-voter knows dates
+   * from when it was a voter. */
   get #newestLeadership(): schema.Leadership | undefined {
     const own = this.leadership;
-    const told = this.#told.at(this.#options.clock.now());
-    if (own === undefined || told === undefined) return own ?? told;
-    return told.term > own.term ? told : own;
+    const hinted = this.#leaderHint.at(this.#options.clock.now());
+    if (own === undefined || hinted === undefined) return own ?? hinted;
+    return hinted.term > own.term ? hinted : own;
   }
 
-  #noteApplied(index: number): void {
-    const ready = this.#waiting.filter((each) => each.index <= index);
-    this.#waiting = this.#waiting.filter((each) => each.index > index);
+  #handleApplied(index: number): void {
+    const ready = this.#indexWaiters.filter((each) => each.index <= index);
+    this.#indexWaiters = this.#indexWaiters.filter((each) =>
+      each.index > index
+    );
     ready.forEach(({ resolve }) => resolve());
-    this.#noteMembers();
+    this.#logMembers();
   }
 
-  #noteMembers(): void {
+  #logMembers(): void {
     const members = this.#runner?.replica.members;
-    if (members === undefined || members === this.#members) return;
-    this.#members = members;
+    if (members === undefined || members === this.#loggedMembers) return;
+    this.#loggedMembers = members;
     const { leader } = this;
     this.#options.logger.info(
       { ...members, leader },
@@ -396,47 +421,50 @@
     );
   }
 
-  /** Waits until this host has applied an index. */
-  #reach(index: number, patience: number): Promise<void> {
+  /** Waits until the replica of this host has applied an index. */
+  #waitForIndex(index: number, timeout: number): Promise<void> {
     const applied = this.#runner?.index ?? -1;
     if (applied >= index) return Promise.resolve();
     return new Promise((resolve, reject) => {
-      const cancel = this.#options.clock.after(patience, () => {
-        this.#waiting = this.#waiting.filter((each) => each !== entry);
+      const cancel = this.#options.clock.after(timeout, () => {
+        this.#indexWaiters = this.#indexWaiters.filter((each) =>
+          each !== waiter
+        );
         reject(new errors.StoreError("no-leader"));
       });
-      const entry = {
+      const waiter = {
         index,
         resolve() {
           cancel();
           resolve();
         },
       };
-      this.#waiting.push(entry);
+      this.#indexWaiters.push(waiter);
     });
   }
 
-  /** Takes what a leader has confirmed. One of the release before tells no
-   * version: the own replica has it soon. */
-  async #take(
+  /** Applies a leader's confirmation. Leaders of the previous release send no
+   * version; the replica of this host then catches up to the index. */
+  async #applyConfirmation(
     { index, version, document, digest, evacuations }: schema.ConfirmedReply,
-    patience: number,
+    timeout: number,
   ): Promise<void> {
     this.#fetchedEvacuations = this.#fetchedEvacuations.merge(evacuations);
-    if (version === undefined) return await this.#reach(index, patience);
+    if (version === undefined) return await this.#waitForIndex(index, timeout);
     if (document === undefined || digest === undefined) return;
     if (version <= this.configuration.version) return;
-    this.#fetched = { version, document, digest };
+    this.#fetchedConfiguration = { version, document, digest };
   }
 
-  /** Confirms what is in force; tells it an asker that holds an older one. */
-  async #confirmHere(known?: number): Promise<schema.Reply> {
+  /** Confirms the current state with a quorum. The reply includes the
+   * configuration when it is newer than version `known`. */
+  async #handleConfirm(known?: number): Promise<schema.Reply> {
     const runner = this.#runner;
     if (runner === undefined) return { type: "failed", reason: "stopped" };
     try {
       const index = await runner.readIndex();
-      const { configuration: edition, evacuations: { list } } = runner.state;
-      const { version } = edition;
+      const { configuration, evacuations: { list } } = runner.state;
+      const { version } = configuration;
       const confirmed = {
         type: "confirmed" as const,
         index,
@@ -444,43 +472,45 @@
       };
       if (known === undefined) return confirmed;
       return version > known
-        ? { ...confirmed, ...edition }
+        ? { ...confirmed, ...configuration }
         : { ...confirmed, version };
     } catch (error) {
-      return failure(error);
+      return failedReply(error);
     }
   }
 
-  #replaceHere(
-    { version, document, digest }: editions.ConfigurationVersion,
+  #handleReplace(
+    { version, document, digest }: configurationVersions.ConfigurationVersion,
   ): Promise<schema.Reply> {
-    const edition = { version, document, digest };
-    return this.#propose((id) => machines.replaceCommand(id, edition));
+    const configuration = { version, document, digest };
+    return this.#propose((id) =>
+      stateMachine.replaceCommand(id, configuration)
+    );
   }
 
-  #evacuateHere(
+  #handleEvacuate(
     { dataCentre, active, after, orderedAt }: evacuations.EvacuationCommand,
   ): Promise<schema.Reply> {
-    const order = { dataCentre, active, after, orderedAt };
-    return this.#propose((id) => machines.evacuateCommand(id, order));
+    const command = { dataCentre, active, after, orderedAt };
+    return this.#propose((id) => stateMachine.evacuateCommand(id, command));
   }
 
   async #propose(
-    command: (id: string) => log.Command,
+    createCommand: (id: string) => log.Command,
   ): Promise<schema.Reply> {
     const runner = this.#runner;
     if (runner === undefined) return { type: "failed", reason: "stopped" };
     const { self, clock } = this.#options;
-    const id = `${self}/${Math.floor(clock.wall())}/${++this.#orders}`;
+    const id = `${self}/${Math.floor(clock.wall())}/${++this.#commandCount}`;
     try {
-      return await runner.propose(command(id));
+      return await runner.propose(createCommand(id));
     } catch (error) {
-      return failure(error);
+      return failedReply(error);
     }
   }
 }
 
-function failure(error: unknown): schema.FailedReply {
+function failedReply(error: unknown): schema.FailedReply {
   if (!(error instanceof log.LogError)) throw error;
   const reasons: Partial<Record<log.LogFault, schema.FailedReply["reason"]>> = {
     "not-leader": "not-leader",
--- a/src/control/versions/configuration_version.ts
+++ b/src/control/versions/configuration_version.ts
@@ -1,31 +1,32 @@
-/** One version of the configuration, packed from the text that operators sent.
+/** Versions of the configuration, compressed from the text that operators sent.
  * @module */
 
 import * as crypto from "node:crypto";
 import * as configurations from "../../configuration/mod.ts";
 
-/** One version; `version` is 0 before the first. */
+/** A version of the configuration; `version` is 0 before the first. */
 export interface ConfigurationVersion {
   readonly version: number;
-  /** The whole configuration as it was sent, packed. */
+  /** The whole configuration as it was sent, compressed. */
   readonly document: string;
-  /** Short mark of the text. */
+  /** Truncated SHA-256 hash of the text. */
   readonly digest: string;
 }
 
-/** What became of an order: a version is accepted, or the same content was
- * there already, or a later one is in force; or other content holds the same
- * version, which is a conflict. */
+/** Outcome of a replace command: the version is accepted; or it is known
+ * already, with the same content; or it is older than the current one; or the
+ * current version has the same number with other content, which is a
+ * conflict. */
 export type ReplaceVerdict = "accepted" | "known" | "older" | "conflict";
 
-/** Before the first order. */
+/** State before the first replace command. */
 export const NO_VERSION: ConfigurationVersion = {
   version: 0,
   document: "",
   digest: "",
 };
 
-/** A version out of the text that an operator sent. */
+/** Creates a version from the text that an operator sent. */
 export function packVersion(
   version: number,
   text: string,
@@ -36,15 +37,16 @@
   return { version, document, digest };
 }
 
-/** Characters of a mark: 132 bits, which no two documents share. */
+/** Base64 characters of a digest: 132 bits, so that collisions are not to be
+ * expected. */
 const DIGEST_LENGTH = 22;
 
-/** What an order would lead to. */
+/** Returns the outcome of replacing the `current` version. */
 export function replaceVerdict(
-  state: ConfigurationVersion,
+  current: ConfigurationVersion,
   { version, digest }: Pick<ConfigurationVersion, "version" | "digest">,
 ): ReplaceVerdict {
-  if (version > state.version) return "accepted";
-  if (version < state.version) return "older";
-  return digest === state.digest ? "known" : "conflict";
+  if (version > current.version) return "accepted";
+  if (version < current.version) return "older";
+  return digest === current.digest ? "known" : "conflict";
 }
--- a/src/control/versions/errors.ts
+++ b/src/control/versions/errors.ts
@@ -1,12 +1,13 @@
-/** Errors of the store of versions.
+/** Errors of the configuration store.
  * @module */
 
-/** Why there is no answer. Only `unknown` may have taken effect. */
+/** Why a call failed. A command may have taken effect only when the fault is
+ * `unknown`. */
 export type StoreFault = "no-leader" | "unknown" | "stopped" | "abandoned";
 
-/** An order or a read of the configuration was not answered. */
+/** A command or a read was not acknowledged. */
 export class StoreError extends Error {
-  override readonly name = "VersionError";
+  override readonly name = "StoreError";
   readonly kind: StoreFault;
 
   constructor(kind: StoreFault, options: { cause?: unknown } = {}) {
--- a/src/control/versions/evacuations.ts
+++ b/src/control/versions/evacuations.ts
@@ -1,51 +1,51 @@
-/** Data centres that operators have evacuated: to their endpoints nothing new
- * goes. Independent of the configuration, whose versions neither begin nor end
- * an evacuation.
+/** Data centres that operators have evacuated, whose endpoints receive no new
+ * requests. Independent of the configuration: replacing it neither begins nor
+ * ends an evacuation.
  * @module */
 
 import type * as schema from "../../schema/fleet_types.ts";
 
-/** What an order comes to: it has effect, or asks for what is so already, or
- * another order came before it. */
+/** Outcome of a command: it takes effect; or the state is as requested already;
+ * or another command came first. */
 export type EvacuationVerdict = schema.EvacuatedReply["verdict"];
 
-/** An order to begin or to end an evacuation. */
+/** Begins or ends an evacuation, on condition that the revision is `after`. */
 export type EvacuationCommand = Omit<schema.EvacuateQuestion, "type">;
 
-/** The last order about each data centre; immutable. What two hosts know is
- * merged in any order to the same. */
+/** The latest command for each data centre; immutable. Merging is commutative
+ * and idempotent, so that hosts converge in whatever order updates arrive. */
 export class Evacuations {
-  readonly #byPlace: ReadonlyMap<string, schema.Evacuation>;
+  readonly #byDataCentre: ReadonlyMap<string, schema.Evacuation>;
 
-  private constructor(byPlace: ReadonlyMap<string, schema.Evacuation>) {
-    this.#byPlace = byPlace;
+  private constructor(byDataCentre: ReadonlyMap<string, schema.Evacuation>) {
+    this.#byDataCentre = byDataCentre;
   }
 
-  /** Before the first order. */
+  /** State before the first command. */
   static readonly NONE = new Evacuations(new Map());
 
-  /** Out of a message or a snapshot. */
+  /** Creates the state from a message or a snapshot. */
   static of(list: readonly schema.Evacuation[] = []): Evacuations {
     return Evacuations.NONE.merge(list);
   }
 
-  /** As messages and snapshots carry them. */
+  /** The state as messages and snapshots contain it. */
   get list(): schema.Evacuation[] {
-    return [...this.#byPlace.values()];
+    return [...this.#byDataCentre.values()];
   }
 
-  /** Orders that had effect, in all: of two hosts the one with more knows
-   * more. */
+  /** Number of commands that have taken effect; the higher it is, the newer the
+   * state. */
   get totalRevision(): number {
     return this.list.reduce((sum, { revision }) => sum + revision, 0);
   }
 
-  /** Data centres that are evacuated now. */
+  /** Evacuations that are active at present. */
   get active(): schema.Evacuation[] {
     return this.list.filter(({ active }) => active);
   }
 
-  /** Orders that `earlier` doesn't hold. */
+  /** Latest commands that `earlier` lacks. */
   newerThan(earlier: Evacuations): schema.Evacuation[] {
     return this.list.filter(({ dataCentre, revision }) =>
       revision > earlier.revisionOf(dataCentre)
@@ -53,15 +53,15 @@
   }
 
   isActive(dataCentre: string): boolean {
-    return this.#byPlace.get(dataCentre)?.active ?? false;
+    return this.#byDataCentre.get(dataCentre)?.active ?? false;
   }
 
-  /** Orders about a data centre that had effect. */
+  /** Number of commands for a data centre that have taken effect. */
   revisionOf(dataCentre: string): number {
-    return this.#byPlace.get(dataCentre)?.revision ?? 0;
+    return this.#byDataCentre.get(dataCentre)?.revision ?? 0;
   }
 
-  /** Applies an order. */
+  /** Applies a command. */
   apply(
     { dataCentre, active, after, orderedAt }: EvacuationCommand,
   ): { verdict: EvacuationVerdict; next: Evacuations } {
@@ -70,18 +70,18 @@
       return { verdict: "known", next: this };
     }
     if (after !== revision) return { verdict: "outdated", next: this };
-    const ordered = { dataCentre, active, orderedAt, revision: revision + 1 };
-    return { verdict: "accepted", next: this.merge([ordered]) };
+    const applied = { dataCentre, active, orderedAt, revision: revision + 1 };
+    return { verdict: "accepted", next: this.merge([applied]) };
   }
 
-  /** The newer of what is known here and of what is told; this same value where
-   * nothing is newer. */
-  merge(told: readonly schema.Evacuation[] = []): Evacuations {
-    const newer = told.filter(({ dataCentre, revision }) =>
+  /** Merges commands from another host by their revisions; returns this same
+   * value when none is newer. */
+  merge(received: readonly schema.Evacuation[] = []): Evacuations {
+    const newer = received.filter(({ dataCentre, revision }) =>
       revision > this.revisionOf(dataCentre)
     );
     if (newer.length === 0) return this;
-    const merged = new Map(this.#byPlace);
+    const merged = new Map(this.#byDataCentre);
     newer.forEach((each) => merged.set(each.dataCentre, each));
     return new Evacuations(merged);
   }
--- a/src/control/versions/fake_cluster.ts
+++ b/src/control/versions/fake_cluster.ts
@@ -1,83 +1,90 @@
-/** Stores on a fake clock, with disks and links in memory, for tests.
+/** Configuration stores with a fake clock and in-memory disks and links, for
+ * tests.
  * @module */
 
 import * as runtime from "../../runtime/mod.ts";
 import * as storage from "../../storage/mod.ts";
 import * as telemetry from "../../telemetry/mod.ts";
-import * as configurationStores from "./configuration_store.ts";
-import type * as leaderCalls from "./leader_client.ts";
-import * as editions from "./configuration_version.ts";
-
-/** Milliseconds that one step of a run lasts. */
-const STEP = 1;
-/** Milliseconds between looks at who runs, as greetings tell hosts. */
-const GREETING = 400;
-
-/** A version with some content. */
-export function versionOf(version: number): editions.ConfigurationVersion {
-  return editions.packVersion(version, JSON.stringify({ version }));
+import * as configurationStore from "./configuration_store.ts";
+import type * as leaderClient from "./leader_client.ts";
+import * as configurationVersions from "./configuration_version.ts";
+
+/** Step of the fake clock. */
+const STEP_MS = 1;
+/** Interval of hello messages between hosts. */
+const HELLO_INTERVAL_MS = 400;
+
+/** Creates a version with minimal content. */
+export function versionOf(
+  version: number,
+): configurationVersions.ConfigurationVersion {
+  return configurationVersions.packVersion(
+    version,
+    JSON.stringify({ version }),
+  );
 }
 
-/** A host of a fake fleet. */
+/** A host of a fake cluster. */
 interface Host {
   readonly name: string;
-  /** Hosts that its settings name. */
+  /** Seeds in its settings. */
   seeds: readonly string[];
   disk: storage.MemoryStorage;
-  store?: configurationStores.ConfigurationStore;
-  /** Changes at each start and stop, so that what was under way is lost. */
-  life: number;
+  store?: configurationStore.ConfigurationStore;
+  /** Incremented at each start and stop, so that pending timers and messages
+   * are discarded. */
+  incarnation: number;
 }
 
-/** Deliberate faults, to show that checks notice them: nobody tells who leads;
- * hosts that ask are told that what they hold is in force. */
+/** Faults to inject, to prove that checks detect them: `untold` sends no leader
+ * hints; `unconfirmed` confirms to each host the version that it has. */
 export type InjectedFault = "untold" | "unconfirmed";
 
-/** What a fake fleet is made of. */
+/** Options of a fake cluster. */
 export interface FakeClusterOptions {
-  /** Most voters; all hosts when absent. */
+  /** Maximum number of voters; all hosts by default. */
   readonly voters?: number;
   readonly seed?: number;
-  /** Milliseconds from host to host; 1 when absent. */
+  /** Network latency in milliseconds; 1 by default. */
   readonly delay?: number;
   readonly fault?: InjectedFault;
 }
 
-/** Hosts that keep the configuration together. */
+/** A cluster of hosts with a configuration store each. */
 export class FakeCluster {
   readonly clock = new runtime.FakeClock();
   readonly #hosts: readonly Host[];
   readonly #random: runtime.Random;
-  readonly #mostVoters: number;
+  readonly #maxVoters: number;
   readonly #delay: number;
-  readonly #breakage?: InjectedFault;
-  /** Hosts that leaders want as voters, where a test says so; none for no
-   * word of theirs. */
-  #chosen?: readonly string[];
-  /** Links that carry nothing, as `FROM>TO`. */
+  readonly #fault?: InjectedFault;
+  /** Voters that leaders should set, when a test overrides the default; an
+   * empty list for setting none. */
+  #desiredVoters?: readonly string[];
+  /** Links that drop all messages, as `FROM>TO`. */
   readonly #cutLinks = new Set<string>();
 
-  /** Hosts `names`, whose settings name `seeds`. */
+  /** Creates the stopped hosts `names` with the seeds `seeds`. */
   constructor(
     names: readonly string[],
     seeds: readonly string[],
-    { voters = names.length, seed = 5, delay = 1, fault: breakage }:
-      FakeClusterOptions = {},
+    { voters = names.length, seed = 5, delay = 1, fault }: FakeClusterOptions =
+      {},
   ) {
-    this.#breakage = breakage;
-    this.#mostVoters = voters;
+    this.#fault = fault;
+    this.#maxVoters = voters;
     this.#delay = delay;
     this.#random = runtime.createRandom(seed);
     this.#hosts = names.map((name) => ({
       name,
       seeds,
       disk: storage.MemoryStorage.create(),
-      life: 0,
+      incarnation: 0,
     }));
   }
 
-  /** The store of a host that runs. */
-  storeOf(name: string): configurationStores.ConfigurationStore {
+  /** The store of a running host. */
+  storeOf(name: string): configurationStore.ConfigurationStore {
     return this.#host(name).store!;
   }
 
@@ -85,19 +92,19 @@
     return this.#hosts.map((host) => host.name);
   }
 
-  /** Hosts that run. */
+  /** Running hosts. */
   get running(): string[] {
     return this.#hosts.filter(({ store }) => store !== undefined)
       .map((host) => host.name);
   }
 
-  /** Host that leads, if any does. */
+  /** The leader, if there is one. */
   get leader(): string | undefined {
     return this.running.find((name) => this.storeOf(name).isLeader);
   }
 
-  /** Starts hosts; `founds` at the very first start of all, `seeds` where their
-   * settings have come to name others. */
+  /** Starts hosts: with `founds` at the first start of the cluster, with
+   * `seeds` when their settings have changed. */
   async start(
     names: readonly string[],
     { founds = false, seeds, logger }: {
@@ -109,9 +116,9 @@
     for (const name of names) {
       const host = this.#host(name);
       host.seeds = seeds ?? host.seeds;
-      const life = ++host.life;
-      const runs = () => host.life === life;
-      host.store = await configurationStores.ConfigurationStore.start({
+      const incarnation = ++host.incarnation;
+      const isCurrent = () => host.incarnation === incarnation;
+      host.store = await configurationStore.ConfigurationStore.start({
         self: name,
         initialVoters: host.seeds,
         isBootstrap: founds && host.seeds.includes(name),
@@ -120,40 +127,40 @@
           wall: () => this.clock.now(),
           after: (delay, callback) =>
             this.clock.after(delay, () => {
-              if (runs()) callback();
+              if (isCurrent()) callback();
             }),
         },
         random: this.#random,
         transport: {
           send: (envelope) => {
-            if (runs()) this.#send(envelope);
+            if (isCurrent()) this.#send(envelope);
           },
         },
         openStorage: () => Promise.resolve(host.disk),
         callHost: (to, question, { timeout }) =>
-          this.#ask({ from: name, to, timeout }, question),
+          this.#call({ from: name, to, timeout }, question),
         logger: logger ?? telemetry.noLogger,
       });
     }
   }
 
-  /** Takes hosts' power; their disks keep what was synced. */
+  /** Simulates a power loss of hosts; their disks keep synced writes only. */
   crash(names: readonly string[]): void {
     for (const name of names) {
       const host = this.#host(name);
-      host.life++;
+      host.incarnation++;
       host.store?.stop();
       host.store = undefined;
       host.disk = host.disk.crash();
     }
   }
 
-  /** Gives a host that is down an empty disk. */
+  /** Replaces the disk of a stopped host by an empty one. */
   wipeDisk(name: string): void {
     this.#host(name).disk = storage.MemoryStorage.create();
   }
 
-  /** Cuts hosts off from all others, in both directions. */
+  /** Partitions hosts from all others, in both directions. */
   isolate(names: readonly string[]): void {
     for (const inside of names) {
       for (const outside of this.names) {
@@ -164,34 +171,36 @@
     }
   }
 
-  /** Has leaders want these hosts as voters; with none they name nobody. */
+  /** Overrides the voters that leaders set; with an empty list they set
+   * none. */
   setDesiredVoters(names: readonly string[]): void {
-    this.#chosen = names;
+    this.#desiredVoters = names;
   }
 
-  /** Makes all links whole. */
+  /** Restores all links. */
   heal(): void {
     this.#cutLinks.clear();
   }
 
-  /** Lets time pass. Who leads wants all hosts as voters, or as many as there
-   * may be. */
+  /** Advances the clock and handles what happens meanwhile. By default leaders
+   * set as many voters as are allowed. */
   async run(ms: number): Promise<void> {
-    for (let count = 0; count < ms; count += STEP) {
-      this.clock.advance(STEP);
-      if (this.clock.now() % GREETING === 0) this.#greet();
+    for (let count = 0; count < ms; count += STEP_MS) {
+      this.clock.advance(STEP_MS);
+      if (this.clock.now() % HELLO_INTERVAL_MS === 0) this.#exchangeHellos();
       for (let turn = 0; turn < 4; turn++) await new Promise(setImmediate);
     }
   }
 
-  /** Orders a version at a host; undefined when it is not answered. */
+  /** Sends a replace command to a host; returns the verdict, or undefined when
+   * it fails. */
   async replace(name: string, version: number): Promise<string | undefined> {
-    const answer = this.storeOf(name).replace(versionOf(version), PATIENCE);
-    return await this.#settled(answer.then(({ verdict }) => verdict));
+    const reply = this.storeOf(name).replace(versionOf(version), TIMEOUT_MS);
+    return await this.#settle(reply.then(({ verdict }) => verdict));
   }
 
-  /** Orders an evacuation at a host, or its end; undefined when it is not
-   * answered. */
+  /** Begins or ends an evacuation through a host; returns the verdict, or
+   * undefined when it fails. */
   async evacuate(
     name: string,
     dataCentre: string,
@@ -200,83 +209,83 @@
       isAbandoned?: () => boolean;
     } = {},
   ): Promise<string | undefined> {
-    const options = { timeout: PATIENCE, isAbandoned };
-    const answer = this.storeOf(name).evacuate({ dataCentre, active }, options);
-    return await this.#settled(answer.then(({ verdict }) => verdict));
+    const options = { timeout: TIMEOUT_MS, isAbandoned };
+    const reply = this.storeOf(name).evacuate({ dataCentre, active }, options);
+    return await this.#settle(reply.then(({ verdict }) => verdict));
   }
 
-  /** Data centres that are evacuated as a host reads it; undefined when it is
-   * not answered. */
+  /** Reads the evacuated data centres through a host; undefined when the read
+   * fails. */
   async readEvacuated(name: string): Promise<string[] | undefined> {
     const store = this.storeOf(name);
-    const answer = store.read(PATIENCE).then(() => store.evacuations.active);
-    return (await this.#settled(answer))?.map(({ dataCentre }) => dataCentre);
+    const reply = store.read(TIMEOUT_MS).then(() => store.evacuations.active);
+    return (await this.#settle(reply))?.map(({ dataCentre }) => dataCentre);
   }
 
-  /** Version that a host reads; undefined when it is not answered. */
+  /** Reads the version through a host; undefined when the read fails. */
   async read(name: string): Promise<number | undefined> {
-    const answer = this.storeOf(name).read(PATIENCE);
-    return await this.#settled(answer.then(({ version }) => version));
+    const reply = this.storeOf(name).read(TIMEOUT_MS);
+    return await this.#settle(reply.then(({ version }) => version));
   }
 
-  /** Moves leadership to one of `names` by taking power from leaders. */
+  /** Moves leadership to one of `names` by restarting leaders. */
   async moveLeader(names: readonly string[]): Promise<void> {
-    for (let tries = 0; tries < MOST_MOVES; tries++) {
+    for (let tries = 0; tries < MAX_MOVE_COUNT; tries++) {
       const { leader } = this;
       if (leader !== undefined && names.includes(leader)) return;
       if (leader !== undefined) {
         this.crash([leader]);
-        await this.run(ELECTED);
+        await this.run(ELECTION_MS);
         await this.start([leader]);
       }
-      await this.run(ELECTED);
+      await this.run(ELECTION_MS);
     }
-    throw new Error(`none of ${names.join(", ")} came to lead`);
+    throw new Error(`none of ${names.join(", ")} became the leader`);
   }
 
-  #greet(): void {
+  #exchangeHellos(): void {
     for (const name of this.running) {
       const store = this.storeOf(name);
       store.setKnownHosts(this.names);
-      const wanted = this.#chosen ?? this.#wanted(name);
-      if (store.isLeader && wanted.length > 0) store.setDesiredVoters(wanted);
-      this.#tellLeadership(name);
+      const voters = this.#desiredVoters ?? this.#defaultVoters(name);
+      if (store.isLeader && voters.length > 0) store.setDesiredVoters(voters);
+      this.#sendLeaderHint(name);
     }
   }
 
-  #tellLeadership(from: string): void {
+  #sendLeaderHint(from: string): void {
     const { leadership } = this.storeOf(from);
-    if (leadership === undefined || this.#breakage === "untold") return;
+    if (leadership === undefined || this.#fault === "untold") return;
     for (const to of this.running) {
-      if (to !== from && this.#carries(from, to)) {
+      if (to !== from && this.#isConnected(from, to)) {
         this.storeOf(to).updateLeaderHint(leadership);
       }
     }
   }
 
-  /** Hosts that should be voters: who leads, those that are and run, then others
-   * that run, those that don't last. */
-  #wanted(leader: string): string[] {
+  /** Hosts that should be voters: the leader, then reachable voters, then other
+   * reachable hosts, then the rest. */
+  #defaultVoters(leader: string): string[] {
     const { voters } = this.storeOf(leader);
     const rank = (name: string) => {
       if (name === leader) return -1;
-      const isReached = this.running.includes(name) &&
-        this.#carries(name, leader);
-      return (isReached ? 0 : 2) + (voters.includes(name) ? 0 : 1);
+      const isReachable = this.running.includes(name) &&
+        this.#isConnected(name, leader);
+      return (isReachable ? 0 : 2) + (voters.includes(name) ? 0 : 1);
     };
     const ranked = [...this.names].sort((a, b) => rank(a) - rank(b));
-    return ranked.slice(0, this.#mostVoters).sort();
+    return ranked.slice(0, this.#maxVoters).sort();
   }
 
-  #carries(from: string, to: string): boolean {
+  #isConnected(from: string, to: string): boolean {
     return !this.#cutLinks.has(`${from}>${to}`);
   }
 
-  async #settled<T>(promise: Promise<T>): Promise<T | undefined> {
-    let answer: T | undefined;
-    promise.then((value) => answer = value, () => {});
-    await this.run(PATIENCE + 100);
-    return answer;
+  async #settle<T>(promise: Promise<T>): Promise<T | undefined> {
+    let result: T | undefined;
+    promise.then((value) => result = value, () => {});
+    await this.run(TIMEOUT_MS + 100);
+    return result;
   }
 
   #host(name: string): Host {
@@ -284,41 +293,41 @@
   }
 
   #send(envelope: runtime.Envelope): void {
-    if (!this.#carries(envelope.from, envelope.to)) return;
+    if (!this.#isConnected(envelope.from, envelope.to)) return;
     this.clock.after(
       this.#delay,
       () => this.#host(envelope.to).store?.receive(envelope),
     );
   }
 
-  async #ask(
+  async #call(
     { from, to, timeout }: { from: string; to: string; timeout: number },
-    question: Parameters<leaderCalls.HostCall>[1],
-  ): ReturnType<leaderCalls.HostCall> {
-    await this.#pass(this.#delay);
-    if (this.#breakage === "unconfirmed" && question.type === "confirm") {
+    question: Parameters<leaderClient.HostCall>[1],
+  ): ReturnType<leaderClient.HostCall> {
+    await this.#sleep(this.#delay);
+    if (this.#fault === "unconfirmed" && question.type === "confirm") {
       return { type: "confirmed", index: 0, version: question.version };
     }
     const { store } = this.#host(to);
-    if (store === undefined || !this.#carries(from, to)) {
-      await this.#pass(timeout);
+    if (store === undefined || !this.#isConnected(from, to)) {
+      await this.#sleep(timeout);
       throw new Error(`${to} is silent`);
     }
     const reply = await store.handle(
       question as Parameters<typeof store.handle>[0],
     );
-    if (this.#carries(to, from)) return reply;
-    await this.#pass(timeout);
+    if (this.#isConnected(to, from)) return reply;
+    await this.#sleep(timeout);
     throw new Error(`${to} is silent`);
   }
 
-  #pass(ms: number): Promise<void> {
+  #sleep(ms: number): Promise<void> {
     return new Promise((resolve) => void this.clock.after(ms, () => resolve()));
   }
 }
 
-/** Milliseconds in which a leader is elected. */
-const ELECTED = 2500;
-const MOST_MOVES = 20;
-/** Milliseconds in which orders and reads are answered. */
-const PATIENCE = 900;
+/** Time within which a leader is elected. */
+const ELECTION_MS = 2500;
+const MAX_MOVE_COUNT = 20;
+/** Timeout of commands and reads. */
+const TIMEOUT_MS = 900;
--- a/src/control/versions/leader_client.ts
+++ b/src/control/versions/leader_client.ts
@@ -1,5 +1,5 @@
-/** Questions to the leader of the log, whichever host that is: tried again until
- * it answers.
+/** RPC client of the log's leader, which retries until the leader, on whichever
+ * host that is, replies.
  * @module */
 
 import type * as runtime from "../../runtime/mod.ts";
@@ -7,42 +7,42 @@
 import type * as telemetry from "../../telemetry/mod.ts";
 import * as errors from "./errors.ts";
 
-/** Milliseconds between tries while no leader answers: an election takes some
- * hundreds. */
-const RETRY = 60;
-/** Milliseconds in which a leader answers a question of another host. */
-const ANSWER = 1000;
+/** Delay between attempts while there is no leader: an election takes some
+ * hundred milliseconds. */
+const RETRY_DELAY_MS = 60;
+/** Timeout of one attempt. */
+const ATTEMPT_TIMEOUT_MS = 1000;
 
-/** Asks another host. */
+/** Sends an RPC request to another host. */
 export type HostCall = (
   to: string,
   question: schema.Question,
   options: { timeout: number },
 ) => Promise<schema.Reply>;
 
-/** What calls need of their host. */
+/** Dependencies of the client. */
 export interface LeaderClientOptions {
   readonly self: string;
   readonly clock: runtime.Clock;
   readonly logger: telemetry.Logger;
   readonly callHost: HostCall;
-  /** Host that leads, as far as this one knows. */
+  /** The leader, as far as this host knows. */
   leader(): string | undefined;
-  /** A host says that it does not lead. */
+  /** A host has replied that it is not the leader. */
   onNotLeader(leader: string): void;
 }
 
-/** A question, and how this host answers it where it leads itself. */
+/** A request, and its handler for when this host is the leader itself. */
 export interface LeaderCall {
   readonly question: schema.Question;
   handleLocally(): Promise<schema.Reply>;
 }
 
-/** Calls of one host to leaders; changed in place. */
+/** Client of the leader; mutable. */
 export class LeaderClient {
   readonly #options: LeaderClientOptions;
-  /** Questions to leaders that are not answered yet. */
-  #tries: { leader: string; end(): void }[] = [];
+  /** Attempts that wait for a reply. */
+  #attempts: { leader: string; end(): void }[] = [];
   #isStopped = false;
 
   private constructor(options: LeaderClientOptions) {
@@ -57,83 +57,86 @@
     this.#isStopped = true;
   }
 
-  /** Ends tries that wait for a host which leads no more: while others still tell
-   * of it, it may be believed for longer than an election takes. */
+  /** Cancels attempts that wait for a former leader. The leader hint may name a
+   * lost leader for longer than an election takes, as long as other hosts still
+   * report it. */
   handleLeaderChange(): void {
     const leader = this.#options.leader();
     if (leader === undefined) return;
-    const over = this.#tries.filter((each) => each.leader !== leader);
-    this.#tries = this.#tries.filter((each) => each.leader === leader);
-    over.forEach(({ end }) => end());
+    const obsolete = this.#attempts.filter((each) => each.leader !== leader);
+    this.#attempts = this.#attempts.filter((each) => each.leader === leader);
+    obsolete.forEach(({ end }) => end());
   }
 
-  /** Asks the leader, here or elsewhere, until it answers. Rejects with
-   * `VersionError` after `patience` milliseconds. */
+  /** Calls the leader, which may be this host, until it replies. Rejects with
+   * `StoreError` after `timeout` milliseconds. */
   async call(
-    patience: number,
-    asked: LeaderCall,
+    timeout: number,
+    request: LeaderCall,
   ): Promise<schema.Reply> {
     const { clock } = this.#options;
-    const until = clock.now() + patience;
-    let isOpen = false;
+    const deadline = clock.now() + timeout;
+    let mayHaveTakenEffect = false;
     for (;;) {
-      const left = until - clock.now();
+      const remaining = deadline - clock.now();
       if (this.#isStopped) throw new errors.StoreError("stopped");
-      if (left <= 0) throw givenUp(isOpen);
+      if (remaining <= 0) throw timeoutError(mayHaveTakenEffect);
       const leader = this.#options.leader();
-      const reply = await this.#once(asked, left);
+      const reply = await this.#attempt(request, remaining);
       if (reply?.type !== "failed" && reply !== undefined) return reply;
-      // Questions are idempotent: one that has taken effect may be sent again.
-      isOpen ||= reply === undefined || reply.reason === "unknown";
-      const now = this.#options.leader();
-      if (now !== undefined && now !== leader) continue;
+      // Requests are idempotent: one that has taken effect may be sent again.
+      mayHaveTakenEffect ||= reply === undefined || reply.reason === "unknown";
+      const newLeader = this.#options.leader();
+      if (newLeader !== undefined && newLeader !== leader) continue;
       await new Promise<void>((resolve) =>
-        void clock.after(RETRY, () => resolve())
+        void clock.after(RETRY_DELAY_MS, () => resolve())
       );
     }
   }
 
-  /** One try; undefined when the leader did not answer. */
-  async #once(
-    { question, handleLocally: here }: LeaderCall,
-    left: number,
+  /** One attempt; undefined when the leader did not reply. */
+  async #attempt(
+    { question, handleLocally }: LeaderCall,
+    remaining: number,
   ): Promise<schema.Reply | undefined> {
-    const { self, callHost: ask, logger, onNotLeader: refute } = this.#options;
+    const { self, callHost, logger, onNotLeader } = this.#options;
     const leader = this.#options.leader();
     if (leader === undefined) return { type: "failed", reason: "not-leader" };
-    if (leader === self) return here();
-    const { ended, forget } = this.#leaderOtherThan(leader);
+    if (leader === self) return handleLocally();
+    const { leaderChanged, stopWaiting } = this.#leaderOtherThan(leader);
     try {
-      const timeout = Math.min(left, ANSWER);
-      const asked = ask(leader, question, { timeout });
-      const reply = await Promise.race([asked, ended]);
-      const isRefuted = reply?.type === "failed" &&
+      const timeout = Math.min(remaining, ATTEMPT_TIMEOUT_MS);
+      const response = callHost(leader, question, { timeout });
+      const reply = await Promise.race([response, leaderChanged]);
+      const isNotLeader = reply?.type === "failed" &&
         reply.reason === "not-leader";
-      if (isRefuted) refute(leader);
+      if (isNotLeader) onNotLeader(leader);
       return reply ?? undefined;
     } catch (error) {
       const { type } = question;
-      logger.debug({ err: error, leader, type }, "Leader did not answer");
+      logger.debug({ err: error, leader, type }, "Leader did not reply");
       return undefined;
     } finally {
-      forget();
+      stopWaiting();
     }
   }
 
-  /** Resolves once another host than `leader` leads; `forget` when that is no
-   * longer waited for. */
-  #leaderOtherThan(leader: string): { ended: Promise<void>; forget(): void } {
+  /** Returns a promise that resolves when a host other than `leader` becomes
+   * the leader, and a function that stops waiting for it. */
+  #leaderOtherThan(
+    leader: string,
+  ): { leaderChanged: Promise<void>; stopWaiting(): void } {
     let end = () => {};
-    const ended = new Promise<void>((resolve) => end = resolve);
+    const leaderChanged = new Promise<void>((resolve) => end = resolve);
     const attempt = { leader, end };
-    this.#tries.push(attempt);
-    const forget = () => {
-      this.#tries = this.#tries.filter((each) => each !== attempt);
+    this.#attempts.push(attempt);
+    const stopWaiting = () => {
+      this.#attempts = this.#attempts.filter((each) => each !== attempt);
     };
-    return { ended, forget };
+    return { leaderChanged, stopWaiting };
   }
 }
 
-function givenUp(isOpen: boolean): errors.StoreError {
-  return new errors.StoreError(isOpen ? "unknown" : "no-leader");
+function timeoutError(mayHaveTakenEffect: boolean): errors.StoreError {
+  return new errors.StoreError(mayHaveTakenEffect ? "unknown" : "no-leader");
 }
--- a/src/control/versions/leader_hint.ts
+++ b/src/control/versions/leader_hint.ts
@@ -1,46 +1,46 @@
-/** Who leads the log, as other hosts tell: a host whose replica is no member
- * hears no leader itself.
+/** Leader hint: the leader of the log as other hosts report it, for hosts whose
+ * replica is no member and receives no heartbeats of the leader.
  * @module */
 
 import type * as schema from "../../schema/fleet_types.ts";
 
-/** Milliseconds after which what was told no longer counts: some greetings. */
-const BELIEVED = 1500;
+/** Time after which a hint expires: several hello intervals. */
+const VALIDITY_MS = 1500;
 
-/** What a host was told of the leader; immutable. */
+/** The last report of the leader; immutable. */
 export class LeaderHint {
-  /** Nothing was told. */
+  /** State before the first report. */
   static readonly NONE = new LeaderHint();
 
-  readonly #told?: schema.Leadership;
-  readonly #heard: number;
+  readonly #leadership?: schema.Leadership;
+  readonly #updatedAt: number;
 
-  private constructor(told?: schema.Leadership, heard = -Infinity) {
-    this.#told = told;
-    this.#heard = heard;
+  private constructor(leadership?: schema.Leadership, updatedAt = -Infinity) {
+    this.#leadership = leadership;
+    this.#updatedAt = updatedAt;
   }
 
-  /** Takes what a member says; the highest term wins. */
-  update(told: schema.Leadership, now: number): LeaderHint {
+  /** Applies a report; among valid hints the highest term wins. */
+  update(leadership: schema.Leadership, now: number): LeaderHint {
     const known = this.at(now);
-    if (known !== undefined && told.term < known.term) return this;
-    return new LeaderHint(told, now);
+    if (known !== undefined && leadership.term < known.term) return this;
+    return new LeaderHint(leadership, now);
   }
 
-  /** Notes that a host says that it does not lead. */
+  /** Discards the hint when the host that it names denies being the leader. */
   invalidate(leader: string): LeaderHint {
-    const isTold = this.#told?.leader === leader;
-    return isTold ? new LeaderHint(this.#told) : this;
+    const isNamed = this.#leadership?.leader === leader;
+    return isNamed ? new LeaderHint(this.#leadership) : this;
   }
 
-  /** Voters as they were told last: they seldom change, and a majority of them
-   * must be asked also while nobody leads. */
+  /** Voters in the last report. They do not expire: they rarely change, and are
+   * needed to determine a majority also while there is no leader. */
   get voters(): readonly string[] {
-    return this.#told?.voters ?? [];
+    return this.#leadership?.voters ?? [];
   }
 
-  /** What counts now. */
+  /** The hint, unless it has expired. */
   at(now: number): schema.Leadership | undefined {
-    return now - this.#heard <= BELIEVED ? this.#told : undefined;
+    return now - this.#updatedAt <= VALIDITY_MS ? this.#leadership : undefined;
   }
 }
--- a/src/control/versions/mod.ts
+++ b/src/control/versions/mod.ts
@@ -1,5 +1,5 @@
-/** What operators order as a whole, in the replicated log: versions of the
- * configuration, and evacuations.
+/** Replicated store of fleet-wide operator commands: versions of the
+ * configuration, and evacuations of data centres.
  * @module */
 
 export * from "./errors.ts";
--- a/src/control/versions/nonvoter_test.ts
+++ b/src/control/versions/nonvoter_test.ts
@@ -1,117 +1,117 @@
-/** What was seen: on fleets with more control hosts than voters, reads and
- * changes were refused by some hosts for as long as they lived.
- *
- * How it came about: only members of the log hear who leads it. A host that
- * never had a vote, or lost it while it was away, knew of no leader, and asked
- * nobody. What proved it: the same hosts, each asked by itself, answered as
- * soon as they were told who leads.
+/** Guards against non-voters that refuse all reads and commands when there are
+ * more control hosts than voters. Only members of the log receive the leader's
+ * heartbeats, so a host that was never a voter, or lost its vote while it was
+ * down, knew of no leader and asked no host.
  * @module */
 
 import test from "ava";
-import * as fakes from "./fake_cluster.ts";
+import * as fakeCluster from "./fake_cluster.ts";
 
 const NAMES = ["a", "b", "c", "d", "e", "f", "g", "h", "i"];
 const SEEDS = ["a", "b", "c"];
 const VOTERS = 5;
-const FIRST = 7;
-const LATER = 8;
+const FIRST_VERSION = 7;
+const LATER_VERSION = 8;
 
-/** Nine hosts, five of them voters, that hold a version. */
-async function createFleet() {
-  const fleet = new fakes.FakeCluster(NAMES, SEEDS, { voters: VOTERS });
-  await fleet.start(NAMES, { founds: true });
-  await fleet.run(8000);
-  await fleet.replace(fleet.leader!, FIRST);
-  return fleet;
+/** Creates nine hosts, five of them voters, with a committed version. */
+async function createCluster() {
+  const cluster = new fakeCluster.FakeCluster(NAMES, SEEDS, { voters: VOTERS });
+  await cluster.start(NAMES, { founds: true });
+  await cluster.run(8000);
+  await cluster.replace(cluster.leader!, FIRST_VERSION);
+  return cluster;
 }
 
-function votersOf(fleet: fakes.FakeCluster) {
-  return fleet.storeOf(fleet.leader!).voters;
+function votersOf(cluster: fakeCluster.FakeCluster) {
+  return cluster.storeOf(cluster.leader!).voters;
 }
 
-function voteless(fleet: fakes.FakeCluster) {
-  const voters = votersOf(fleet);
+function nonVotersOf(cluster: fakeCluster.FakeCluster) {
+  const voters = votersOf(cluster);
   return NAMES.filter((name) => !voters.includes(name));
 }
 
-/** What each of some hosts reads. */
-async function readAll(fleet: fakes.FakeCluster, names: readonly string[]) {
+/** Returns the version that each host reads. */
+async function readAll(
+  cluster: fakeCluster.FakeCluster,
+  names: readonly string[],
+) {
   const read = [];
-  for (const name of names) read.push(await fleet.read(name));
+  for (const name of names) read.push(await cluster.read(name));
   return read;
 }
 
-test("hosts without a vote read what is in force", async (t) => {
-  const fleet = await createFleet();
-  t.is(votersOf(fleet).length, VOTERS);
-  t.deepEqual(await readAll(fleet, NAMES), NAMES.map(() => FIRST));
+test("non-voters read the current version", async (t) => {
+  const cluster = await createCluster();
+  t.is(votersOf(cluster).length, VOTERS);
+  t.deepEqual(await readAll(cluster, NAMES), NAMES.map(() => FIRST_VERSION));
 });
 
-test("hosts without a vote take changes", async (t) => {
-  const fleet = await createFleet();
-  for (const [number, name] of voteless(fleet).entries()) {
-    t.is(await fleet.replace(name, LATER + number), "accepted");
-    t.is(await fleet.read(fleet.leader!), LATER + number);
+test("non-voters accept commands", async (t) => {
+  const cluster = await createCluster();
+  for (const [number, name] of nonVotersOf(cluster).entries()) {
+    t.is(await cluster.replace(name, LATER_VERSION + number), "accepted");
+    t.is(await cluster.read(cluster.leader!), LATER_VERSION + number);
   }
 });
 
-test("hosts without a vote follow another leader", async (t) => {
-  const fleet = await createFleet();
-  const former = fleet.leader!;
-  fleet.crash([former]);
-  await fleet.run(4000);
-  await fleet.replace(fleet.leader!, LATER);
+test("non-voters switch to a new leader", async (t) => {
+  const cluster = await createCluster();
+  const former = cluster.leader!;
+  cluster.crash([former]);
+  await cluster.run(4000);
+  await cluster.replace(cluster.leader!, LATER_VERSION);
   const others = NAMES.filter((name) => name !== former);
-  t.deepEqual(await readAll(fleet, others), others.map(() => LATER));
+  t.deepEqual(await readAll(cluster, others), others.map(() => LATER_VERSION));
 });
 
-test("a host that lost its vote while it was down reads and takes changes", async (t) => {
-  const fleet = await createFleet();
-  const away = votersOf(fleet).find((name) => name !== fleet.leader)!;
-  fleet.crash([away]);
-  await fleet.run(6000);
-  t.false(votersOf(fleet).includes(away));
-  await fleet.start([away]);
-  await fleet.run(4000);
-  t.false(votersOf(fleet).includes(away));
-  t.is(await fleet.replace(away, LATER), "accepted");
-  t.is(await fleet.read(away), LATER);
+test("a host that lost its vote while it was down reads and accepts commands", async (t) => {
+  const cluster = await createCluster();
+  const removed = votersOf(cluster).find((name) => name !== cluster.leader)!;
+  cluster.crash([removed]);
+  await cluster.run(6000);
+  t.false(votersOf(cluster).includes(removed));
+  await cluster.start([removed]);
+  await cluster.run(4000);
+  t.false(votersOf(cluster).includes(removed));
+  t.is(await cluster.replace(removed, LATER_VERSION), "accepted");
+  t.is(await cluster.read(removed), LATER_VERSION);
 });
 
-test("a host without a vote that is cut off reads nothing, and all once it is back", async (t) => {
-  const fleet = await createFleet();
-  const [off] = voteless(fleet);
-  t.is(await fleet.read(off), FIRST);
-  fleet.isolate([off]);
-  await fleet.replace(fleet.leader!, LATER);
-  t.is(await fleet.read(off), undefined);
-  fleet.heal();
-  await fleet.run(1000);
-  t.is(await fleet.read(off), LATER);
+test("a partitioned non-voter reads nothing until the partition heals", async (t) => {
+  const cluster = await createCluster();
+  const [isolated] = nonVotersOf(cluster);
+  t.is(await cluster.read(isolated), FIRST_VERSION);
+  cluster.isolate([isolated]);
+  await cluster.replace(cluster.leader!, LATER_VERSION);
+  t.is(await cluster.read(isolated), undefined);
+  cluster.heal();
+  await cluster.run(1000);
+  t.is(await cluster.read(isolated), LATER_VERSION);
 });
 
-test("hosts without a vote beside a leader that is cut off read nothing old", async (t) => {
-  const fleet = await createFleet();
-  const former = fleet.leader!;
-  const beside = voteless(fleet).slice(0, 2);
-  fleet.isolate([former, ...beside]);
-  await fleet.run(4000);
-  const now = fleet.running.find((name) =>
-    name !== former && fleet.storeOf(name).isLeader
+test("non-voters in a partition with a former leader read nothing outdated", async (t) => {
+  const cluster = await createCluster();
+  const former = cluster.leader!;
+  const minority = nonVotersOf(cluster).slice(0, 2);
+  cluster.isolate([former, ...minority]);
+  await cluster.run(4000);
+  const newLeader = cluster.running.find((name) =>
+    name !== former && cluster.storeOf(name).isLeader
   )!;
-  t.is(await fleet.replace(now, LATER), "accepted");
-  t.deepEqual(await readAll(fleet, beside), [undefined, undefined]);
-  fleet.heal();
-  await fleet.run(3000);
-  t.deepEqual(await readAll(fleet, NAMES), NAMES.map(() => LATER));
+  t.is(await cluster.replace(newLeader, LATER_VERSION), "accepted");
+  t.deepEqual(await readAll(cluster, minority), [undefined, undefined]);
+  cluster.heal();
+  await cluster.run(3000);
+  t.deepEqual(await readAll(cluster, NAMES), NAMES.map(() => LATER_VERSION));
 });
 
-test("a host that lost its disk reads as soon as it hears of the leader", async (t) => {
-  const fleet = await createFleet();
-  const [lost] = voteless(fleet);
-  fleet.crash([lost]);
-  fleet.wipeDisk(lost);
-  await fleet.start([lost]);
-  await fleet.run(500);
-  t.is(await fleet.read(lost), FIRST);
+test("a host that lost its disk reads as soon as it receives a leader hint", async (t) => {
+  const cluster = await createCluster();
+  const [lost] = nonVotersOf(cluster);
+  cluster.crash([lost]);
+  cluster.wipeDisk(lost);
+  await cluster.start([lost]);
+  await cluster.run(500);
+  t.is(await cluster.read(lost), FIRST_VERSION);
 });
--- a/src/control/versions/replica_status.ts
+++ b/src/control/versions/replica_status.ts
@@ -1,41 +1,41 @@
-/** What a host knows of the log's leader and majority, in one line: enough to
- * tell, from this host alone, a replica that is no member from an election
- * that takes long, a leader that is gone and a majority that is lost.
+/** A host's view of the log's leader and members, for one log line: from it
+ * operators can tell apart a replica that is no member, a long election, a lost
+ * leader and a lost majority.
  * @module */
 
 import type * as schema from "../../schema/fleet_types.ts";
 import * as log from "../log/mod.ts";
 
-/** A replica as its host sees it. */
-export interface ReplicaStatus extends Part {
+/** Status of a replica as its host sees it. */
+export interface ReplicaStatus extends DumpFields {
   readonly isMember: boolean;
   readonly voters: readonly string[];
   readonly learners: readonly string[];
-  /** Leader that members tell of. */
+  /** Leader that other hosts report. */
   readonly toldLeader?: string;
-  /** Hosts that a replica which is no member asks to be taken in. */
+  /** Hosts that a replica which is no member asks to add it. */
   readonly asks: readonly string[];
-  /** Milliseconds since a replica of each host was heard. */
+  /** Milliseconds since the last log message of each host. */
   readonly heardMs: Readonly<Record<string, number>>;
-  /** Characters of a snapshot under way that are here. */
+  /** Received characters of a snapshot that is being transferred. */
   readonly arrived?: number;
 }
 
-/** What a dump of a replica says that is told here too. */
-type Part = Pick<
+/** Fields taken over from the replica's dump. */
+type DumpFields = Pick<
   log.Dump,
   "id" | "role" | "term" | "leader" | "commit" | "last"
 >;
 
-/** What its host knows beside a replica. */
+/** What the host knows beyond its replica. */
 export interface HostView {
-  /** When each host was heard. */
+  /** When the last log message of each host arrived. */
   readonly heard: ReadonlyMap<string, number>;
   readonly told?: schema.Leadership;
   readonly now: number;
 }
 
-/** Describes a replica. */
+/** Returns the status of a replica. */
 export function statusOf(
   replica: log.Replica,
   { heard, told, now }: HostView,
--- a/src/control/versions/state_machine.ts
+++ b/src/control/versions/state_machine.ts
@@ -1,19 +1,20 @@
-/** State machine of the log: what operators have ordered. Of the configuration
- * the highest version wins; evacuations stand beside it.
+/** State machine of the log: applies the commands of operators to configuration
+ * and evacuations, which are independent. The highest configuration version
+ * wins.
  * @module */
 
 import type * as schema from "../../schema/fleet_types.ts";
 import type * as log from "../log/mod.ts";
-import * as editions from "./configuration_version.ts";
+import * as configurationVersions from "./configuration_version.ts";
 import * as evacuations from "./evacuations.ts";
 
-/** What is in force. */
+/** Replicated state. */
 export interface ControlState {
-  readonly configuration: editions.ConfigurationVersion;
+  readonly configuration: configurationVersions.ConfigurationVersion;
   readonly evacuations: evacuations.Evacuations;
 }
 
-/** Answer of the machine: what became of an order. */
+/** Outcome of a command. */
 export type CommandReply =
   | schema.ReplacedReply
   | schema.EvacuatedReply
@@ -21,20 +22,20 @@
 
 type Outcome = log.Outcome<ControlState, CommandReply>;
 
-/** The command that orders a version. */
+/** Creates a command that replaces the configuration. */
 export function replaceCommand(
   id: string,
-  edition: editions.ConfigurationVersion,
+  configuration: configurationVersions.ConfigurationVersion,
 ): log.Command {
-  return { id, type: "replace", ...edition };
+  return { id, type: "replace", ...configuration };
 }
 
-/** The command that begins or ends an evacuation. */
+/** Creates a command that begins or ends an evacuation. */
 export function evacuateCommand(
   id: string,
-  order: evacuations.EvacuationCommand,
+  command: evacuations.EvacuationCommand,
 ): log.Command {
-  return { id, type: "evacuate", ...order };
+  return { id, type: "evacuate", ...command };
 }
 
 type Handler = (state: ControlState, command: log.Command) => Outcome;
@@ -44,64 +45,67 @@
   evacuate,
 };
 
-/** The machine of the log. Its snapshots are those of a machine that knew
- * editions alone, with evacuations added where there are any: such a machine's
- * are read. */
+/** The state machine. Its snapshots consist of the configuration, with a list
+ * of evacuations only if there are any, so that it also reads snapshots of the
+ * earlier format, which had the configuration alone. */
 export const stateMachine: log.StateMachine<ControlState, CommandReply> = {
   empty: {
-    configuration: editions.NO_VERSION,
+    configuration: configurationVersions.NO_VERSION,
     evacuations: evacuations.Evacuations.NONE,
   },
   apply(state, command) {
     const handler = HANDLERS[command.type];
     if (handler !== undefined) return handler(state, command);
-    // Of a later release, which this one may run beside for a while.
+    // A command of a later release, during a rolling upgrade.
     return { state, reply: { type: "failed", reason: "unknown" } };
   },
-  toJSON({ configuration: edition, evacuations: { list } }) {
-    return { ...edition, ...(list.length > 0 && { evacuations: list }) };
+  toJSON({ configuration, evacuations: { list } }) {
+    return { ...configuration, ...(list.length > 0 && { evacuations: list }) };
   },
   fromJSON(json) {
-    const { evacuations: list, ...edition } = json as Snapshot;
+    const { evacuations: list, ...configuration } = json as Snapshot;
     return {
-      configuration: edition,
+      configuration,
       evacuations: evacuations.Evacuations.of(list),
     };
   },
 };
 
-type Snapshot = editions.ConfigurationVersion & {
+type Snapshot = configurationVersions.ConfigurationVersion & {
   readonly evacuations?: schema.Evacuation[];
 };
 
 function replace(state: ControlState, command: log.Command): Outcome {
-  const edition = editionIn(command);
-  const verdict = editions.replaceVerdict(state.configuration, edition);
-  const next = verdict === "accepted"
-    ? { ...state, configuration: edition }
-    : state;
+  const configuration = configurationOf(command);
+  const verdict = configurationVersions.replaceVerdict(
+    state.configuration,
+    configuration,
+  );
+  const next = verdict === "accepted" ? { ...state, configuration } : state;
   const { version } = next.configuration;
   return { state: next, reply: { type: "replaced", verdict, version } };
 }
 
 function evacuate(state: ControlState, command: log.Command): Outcome {
-  const order = orderIn(command);
-  const { verdict, next } = state.evacuations.apply(order);
-  const revision = next.revisionOf(order.dataCentre);
+  const evacuationCommand = evacuationOf(command);
+  const { verdict, next } = state.evacuations.apply(evacuationCommand);
+  const revision = next.revisionOf(evacuationCommand.dataCentre);
   return {
     state: next === state.evacuations ? state : { ...state, evacuations: next },
     reply: { type: "evacuated", verdict, revision },
   };
 }
 
-function editionIn(command: log.Command): editions.ConfigurationVersion {
+function configurationOf(
+  command: log.Command,
+): configurationVersions.ConfigurationVersion {
   const version = command.version as number;
   const document = command.document as string;
   const digest = command.digest as string;
   return { version, document, digest };
 }
 
-function orderIn(command: log.Command): evacuations.EvacuationCommand {
+function evacuationOf(command: log.Command): evacuations.EvacuationCommand {
   return {
     dataCentre: command.dataCentre as string,
     active: command.active as boolean,
--- a/src/control/versions/voters_test.ts
+++ b/src/control/versions/voters_test.ts
@@ -1,49 +1,47 @@
-/** What was seen: on fleets with more control hosts than voters, six hosts voted
- * where five should, for good, after all had been killed once.
- *
- * How it came about: whoever had come to lead took voters for lost that it had
- * had no time to hear since its own start, and gave another host a vote. As the
- * voter was back a moment later, both kept theirs: one that lives was never put
- * out. What proved it: the members of the log, 100 ms after a leader was elected.
+/** Guards against six voters in place of five, for good, after all of more
+ * control hosts than voters were killed at once. A new leader took voters for
+ * lost whose messages could not have arrived since its start, and added another
+ * voter. When the lost voter was back a moment later, both remained, since a
+ * live voter was never removed.
  * @module */
 
 import test from "ava";
-import * as fakes from "./fake_cluster.ts";
+import * as fakeCluster from "./fake_cluster.ts";
 
 const NAMES = ["a", "b", "c", "d", "e", "f", "g"];
 const SEEDS = ["a", "b", "c"];
 const VOTERS = 5;
 
-async function createFleet() {
-  const fleet = new fakes.FakeCluster(NAMES, SEEDS, { voters: VOTERS });
-  await fleet.start(NAMES, { founds: true });
-  await fleet.run(8000);
-  return fleet;
+async function createCluster() {
+  const cluster = new fakeCluster.FakeCluster(NAMES, SEEDS, { voters: VOTERS });
+  await cluster.start(NAMES, { founds: true });
+  await cluster.run(8000);
+  return cluster;
 }
 
-function votersOf(fleet: fakes.FakeCluster) {
-  return [...fleet.storeOf(fleet.leader!).voters].sort();
+function votersOf(cluster: fakeCluster.FakeCluster) {
+  return [...cluster.storeOf(cluster.leader!).voters].sort();
 }
 
-test("a voter too many loses its vote once all others vote", async (t) => {
-  const fleet = await createFleet();
-  const before = votersOf(fleet);
-  const { leader } = fleet;
+test("a surplus voter is removed once all desired hosts are voters", async (t) => {
+  const cluster = await createCluster();
+  const before = votersOf(cluster);
+  const { leader } = cluster;
   const added = NAMES.find((name) => !before.includes(name))!;
   const kept = before.filter((name) => name !== leader).slice(1);
-  fleet.setDesiredVoters([leader!, ...kept, added]);
-  await fleet.run(4000);
-  t.deepEqual(votersOf(fleet), [leader!, ...kept, added].sort());
+  cluster.setDesiredVoters([leader!, ...kept, added]);
+  await cluster.run(4000);
+  t.deepEqual(votersOf(cluster), [leader!, ...kept, added].sort());
 });
 
-test("a new leader keeps the voters that it finds, whatever its settings name", async (t) => {
-  const fleet = await createFleet();
-  const before = votersOf(fleet);
+test("a new leader keeps the present voters, whatever its seeds are", async (t) => {
+  const cluster = await createCluster();
+  const before = votersOf(cluster);
   const seeds = NAMES.filter((name) => !before.includes(name));
-  fleet.setDesiredVoters([]);
-  fleet.crash(NAMES);
-  await fleet.run(500);
-  await fleet.start(NAMES, { seeds });
-  await fleet.run(4000);
-  t.deepEqual(votersOf(fleet), before);
+  cluster.setDesiredVoters([]);
+  cluster.crash(NAMES);
+  await cluster.run(500);
+  await cluster.start(NAMES, { seeds });
+  await cluster.run(4000);
+  t.deepEqual(votersOf(cluster), before);
 });
