--- a/bench/decisions/host.ts
+++ b/bench/decisions/host.ts
@@ -85,7 +85,7 @@
     this.#context = {
       ...common,
       pool: this.#pool,
-      maker,
+      batcherClient: maker,
       placement: this.#placement,
       quotas: rateLimitFixture.unlimitedQuotas(),
       guard: quarantineFixture.permissiveGuard(),
@@ -180,7 +180,7 @@
     from: string,
   ): Promise<schema.Reply> {
     if (question.type === "place") {
-      return this.#placement.answer(question, from);
+      return this.#placement.answerQuery(question, from);
     }
     if (question.type === "make") {
       return { type: "made", results: await this.#batcher.compute(question) };
--- a/bench/quarantine_fuzz/world.ts
+++ b/bench/quarantine_fuzz/world.ts
@@ -169,10 +169,10 @@
       metrics: telemetry.noMetrics,
       calls: this.#network.callsOf(core.name),
       heartbeat: HEARTBEAT,
-      cores: () =>
+      controlHosts: () =>
         this.#cores.filter((each) => each !== core && each.coordinator)
           .map(({ name }) => name),
-      followers: () => [...core.followers.keys()],
+      entryHosts: () => [...core.followers.keys()],
       lastHeartbeatAt: (key) =>
         this.#options.breakage === "believes-breaks"
           ? undefined
@@ -235,7 +235,7 @@
       logger: telemetry.noLogger,
       metrics: telemetry.noMetrics,
       calls: this.#network.callsOf(entry.name),
-      cores: () => {
+      controlHosts: () => {
         const running = this.#cores.filter((core) => core.coordinator)
           .map(({ name }) => name);
         const first = entry.source?.name;
--- a/bench/rate_limit_fuzz/cold.ts
+++ b/bench/rate_limit_fuzz/cold.ts
@@ -146,7 +146,7 @@
     entry.knownAt = this.#clock.now();
     entry.client = rateLimits.QuotaClient.create({
       ...this.#common(entry.name),
-      cores: () => this.#cores,
+      controlHosts: () => this.#cores,
       entryHostCount: () => this.#entries.length,
       coldRate: (id) => this.#coldRate(entry, id),
     });
--- a/bench/rate_limit_fuzz/mod.ts
+++ b/bench/rate_limit_fuzz/mod.ts
@@ -192,7 +192,7 @@
     entry.heard.clear();
     entry.client = rateLimits.QuotaClient.create({
       ...this.#common(entry.name),
-      cores: () => this.#cores.map(({ name }) => name),
+      controlHosts: () => this.#cores.map(({ name }) => name),
       entryHostCount: () => this.#entries.length,
       coldRate: () => undefined,
     });
--- a/src/admission/controller.ts
+++ b/src/admission/controller.ts
@@ -168,7 +168,7 @@
 
   finished(
     ended: request.Request,
-    ending: policySet.Ending,
+    ending: policySet.FinalState,
     now: number,
   ): void {
     const admitted = this.#admitted.get(ended.id);
@@ -178,7 +178,7 @@
     this.#deadlineAdmission.finish(ended.id, now, ending === "completed");
   }
 
-  ended(report: policySet.Report, now: number): void {
+  ended(report: policySet.AttemptReport, now: number): void {
     const { attempt, work, result, elapsed, usage } = report;
     const { account, kind, stages, size } = work.request;
     const { name, service } = stages[attempt.stage];
@@ -273,7 +273,7 @@
 }
 
 function categoryOf(
-  { result, attempt, work }: policySet.Report,
+  { result, attempt, work }: policySet.AttemptReport,
   now: number,
 ): costLedger.Category {
   const late = now >= work.request.deadline;
--- a/src/batching/arrivals.ts
+++ b/src/batching/arrivals.ts
@@ -12,7 +12,7 @@
   readonly count: number;
   /** Milliseconds from the reservation to the virtual deadline. */
   readonly leadTime: number;
-  readonly bookedAt: number;
+  readonly reservedAt: number;
 }
 
 /** Recent reservations of one partition. Mutable. */
@@ -47,7 +47,7 @@
 
   /** Removes reservations that are older than the window. */
   expire(now: number): void {
-    const first = this.#recent.findIndex(({ bookedAt }) =>
+    const first = this.#recent.findIndex(({ reservedAt: bookedAt }) =>
       bookedAt > now - WINDOW_MS
     );
     this.#recent = first < 0 ? [] : this.#recent.slice(first);
--- a/src/batching/arrivals_test.ts
+++ b/src/batching/arrivals_test.ts
@@ -6,7 +6,7 @@
 /** Reservations of `count` items at time 0, all with the same lead time. */
 function reservedAtOnce(count: number, leadTime: number) {
   const recent = arrivals.Arrivals.create();
-  recent.record({ request: "r", count, leadTime, bookedAt: 0 });
+  recent.record({ request: "r", count, leadTime, reservedAt: 0 });
   return recent;
 }
 
--- a/src/batching/batch_call.ts
+++ b/src/batching/batch_call.ts
@@ -97,7 +97,7 @@
 /** Sends a call and buffers the complete response. */
 function exchange(
   address: string,
-  outgoing: protocols.OutgoingCall,
+  outgoing: protocols.EncodedCall,
   options: CallOptions & { timeout: number },
 ): Promise<CallResponse> {
   const { dispatcher, clock, protocol, timeout } = options;
--- a/src/batching/mod.ts
+++ b/src/batching/mod.ts
@@ -3,7 +3,7 @@
  * @module */
 
 export * from "./batcher.ts";
-export type { ReservationEstimate as Turn } from "./partition_batcher.ts";
+export type { ReservationEstimate } from "./partition_batcher.ts";
 export * as partitions from "./partitions.ts";
 export * as forecast from "./forecast.ts";
 export * from "./batcher_client.ts";
--- a/src/batching/reservations.ts
+++ b/src/batching/reservations.ts
@@ -32,7 +32,7 @@
     const { request, count } = reservation;
     const leadTime = tasks.virtualDeadline(reservation) - now;
     this.#reservations.set(tasks.stageKey(reservation), reservation);
-    this.#arrivals.record({ request, count, leadTime, bookedAt: now });
+    this.#arrivals.record({ request, count, leadTime, reservedAt: now });
   }
 
   /** Removes the reservation of a stage, whose items have been submitted. */
--- a/src/control/log/pending_reads.ts
+++ b/src/control/log/pending_reads.ts
@@ -42,7 +42,7 @@
   }
 
   /** Resolves the reads that are confirmed. */
-  settle(leader: LeaderState): void {
+  resolveConfirmed(leader: LeaderState): void {
     const done = this.#take((read) => leader.isConfirmed(read.time));
     const { termStart } = leader.state;
     done.forEach((read) => read.resolve(Math.max(read.index, termStart)));
--- a/src/control/log/runner.ts
+++ b/src/control/log/runner.ts
@@ -230,7 +230,7 @@
   #settleReads(): void {
     if (this.#reads.size === 0) return;
     if (this.#replica.state.role === "leader") {
-      this.#reads.settle(this.#replica);
+      this.#reads.resolveConfirmed(this.#replica);
     } else this.#reads.reject(this.#errorOf("not-leader"));
   }
 
--- a/src/control/orders/engine_client.ts
+++ b/src/control/orders/engine_client.ts
@@ -92,7 +92,7 @@
       method,
       headers,
       body: body as unknown as undici.Dispatcher.RequestOptions["body"],
-      signal: AbortSignal.timeout(states.CALL_TIMEOUT),
+      signal: AbortSignal.timeout(states.CALL_TIMEOUT_MS),
     });
   }
 }
--- a/src/control/orders/reconciler_state.ts
+++ b/src/control/orders/reconciler_state.ts
@@ -11,7 +11,7 @@
 import * as plans from "./plan.ts";
 
 /** Timeout of a call to an engine. */
-export const CALL_TIMEOUT = 2000;
+export const CALL_TIMEOUT_MS = 2000;
 /** Minimum time between reads of an engine without a change under way. */
 const READ_INTERVAL_MS = 10_000;
 /** Minimum mean time between reads over all engines. */
@@ -20,7 +20,7 @@
  * a load in progress. */
 const REREAD_DELAY_MS = 1000;
 /** Time after which an order whose answer was lost has arrived, if at all. */
-const LOST_ORDER_DELAY_MS = 2 * CALL_TIMEOUT;
+const LOST_ORDER_DELAY_MS = 2 * CALL_TIMEOUT_MS;
 /** Maximum number of concurrent reads and orders. */
 const MAX_CONCURRENT_CALLS = 64;
 
@@ -276,7 +276,7 @@
   { since }: events.Lease,
   { leaseMs: lease }: events.Limits,
 ): number {
-  return fencing === "checks" ? since : since + lease + CALL_TIMEOUT;
+  return fencing === "checks" ? since : since + lease + CALL_TIMEOUT_MS;
 }
 
 function wakeTime(state: State, lease: events.Lease, now: number): number {
@@ -284,7 +284,7 @@
   for (const [, { readAt, call }] of state.entries.entries()) {
     if (call === undefined) at = Math.min(at, readAt);
   }
-  const waited = lease.since + state.limits.leaseMs + CALL_TIMEOUT;
+  const waited = lease.since + state.limits.leaseMs + CALL_TIMEOUT_MS;
   const ready = state.bucket?.readyAt() ?? Infinity;
   for (const other of [waited, ready]) {
     if (other > now) at = Math.min(at, other);
--- a/src/control/orders/reconciler_state_test.ts
+++ b/src/control/orders/reconciler_state_test.ts
@@ -140,7 +140,7 @@
   /** Loses the answer to an order. The order itself is lost too or arrives
    * later, possibly after the call has ended. */
   #lose(arrive: () => void): orders.Answer {
-    const due = this.now + this.random.below(2 * orders.CALL_TIMEOUT - 200);
+    const due = this.now + this.random.below(2 * orders.CALL_TIMEOUT_MS - 200);
     if (this.random.next() < 0.5) this.#delayedOrders.push({ due, arrive });
     return { type: this.repeatsLost ? "refused" : "lost" };
   }
@@ -200,7 +200,7 @@
   const first = (engine: string) =>
     simulation.sent.find((order) => order.engine === engine)!.at;
   t.true(first("e0") < LIMITS.leaseMs);
-  t.true(first("e1") >= LIMITS.leaseMs + orders.CALL_TIMEOUT);
+  t.true(first("e1") >= LIMITS.leaseMs + orders.CALL_TIMEOUT_MS);
 });
 
 // A leader that was paused may resume after its lease has ended.
--- a/src/control/versions/configuration_store.ts
+++ b/src/control/versions/configuration_store.ts
@@ -269,8 +269,8 @@
     const now = this.#options.clock.now();
     const leadership = this.#leaderHint.at(now);
     return replicaStatus.statusOf(replica, {
-      heard: this.#lastHeardAt,
-      told: leadership,
+      lastHeardAt: this.#lastHeardAt,
+      leaderHint: leadership,
       now,
     });
   }
--- a/src/control/versions/replica_status.ts
+++ b/src/control/versions/replica_status.ts
@@ -30,15 +30,15 @@
 /** What the host knows beyond its replica. */
 export interface HostView {
   /** When the last log message of each host arrived. */
-  readonly heard: ReadonlyMap<string, number>;
-  readonly told?: schema.Leadership;
+  readonly lastHeardAt: ReadonlyMap<string, number>;
+  readonly leaderHint?: schema.Leadership;
   readonly now: number;
 }
 
 /** Returns the status of a replica. */
 export function statusOf(
   replica: log.Replica,
-  { heard, told, now }: HostView,
+  { lastHeardAt: heard, leaderHint: told, now }: HostView,
 ): ReplicaStatus {
   const { members, ...dump } = log.dump(replica, now);
   const { id, role, term, leader, commit, last } = dump;
--- a/src/endpoints/gossip.ts
+++ b/src/endpoints/gossip.ts
@@ -8,7 +8,7 @@
 import * as merges from "./merge.ts";
 import * as states from "./state.ts";
 
-const SYNC_OPTIONS: membership.exchange.SyncOptions<entries.Entry> = {
+const SYNC_OPTIONS: membership.antiEntropy.SyncOptions<entries.Entry> = {
   compare: entries.compare,
   isLive: entries.isServing,
   maxEntries: states.MAX_UPDATES_PER_MESSAGE,
@@ -19,7 +19,7 @@
 const EXPIRY_BYTES = 40;
 
 const SEND_OPTIONS: Omit<
-  membership.outbox.SendOptions<states.Update>,
+  membership.gossipQueue.SendOptions<states.Update>,
   "neighbours"
 > = {
   sizeOf: ({ entry }) => isExpiry(entry) ? EXPIRY_BYTES : ENTRY_BYTES,
@@ -33,7 +33,7 @@
   const { state, now } = step;
   const { neighbours } = state;
   const options = { ...SEND_OPTIONS, neighbours };
-  const { queue: gossipQueue, batches } = membership.outbox.dequeue(
+  const { queue: gossipQueue, batches } = membership.gossipQueue.dequeue(
     state.gossipQueue,
     now,
     options,
@@ -85,7 +85,7 @@
   const isOverdue = now >= state.nextSync + states.SYNC_INTERVAL_MS;
   if (now < state.nextSync || (!isSettled && !isOverdue)) return;
   step.state = { ...state, nextSync: now + states.SETTLE_TIME_MS };
-  const body = membership.exchange.firstMessage(state.entries);
+  const body = membership.antiEntropy.firstMessage(state.entries);
   step.effects.push({ type: "send", to: from, body });
 }
 
@@ -96,7 +96,7 @@
   from: string,
   message: schema.RegistryCompare,
 ): void {
-  const { exchange } = membership;
+  const { antiEntropy: exchange } = membership;
   for (
     const body of exchange.answer(step.state.entries, message, SYNC_OPTIONS)
   ) {
@@ -111,7 +111,7 @@
   from: string,
   message: schema.RegistryEntries,
 ): void {
-  const { exchange } = membership;
+  const { antiEntropy: exchange } = membership;
   const newer = exchange.newerEntries(
     step.state.entries,
     message,
--- a/src/endpoints/merge.ts
+++ b/src/endpoints/merge.ts
@@ -40,7 +40,7 @@
 }
 
 function markKnown(step: states.Step, id: string, from: string): void {
-  const gossipQueue = membership.outbox.markKnown(
+  const gossipQueue = membership.gossipQueue.markKnown(
     step.state.gossipQueue,
     id,
     from,
@@ -116,7 +116,7 @@
     notReadySince.set(entry.id, now - (age ?? 0));
   }
   const update = { id: entry.id, entry: stored };
-  const gossipQueue = membership.outbox.enqueue(
+  const gossipQueue = membership.gossipQueue.enqueue(
     state.gossipQueue,
     update,
     from,
--- a/src/endpoints/mod.ts
+++ b/src/endpoints/mod.ts
@@ -2,7 +2,7 @@
  * announce themselves and hold leases; `Roster` merges endpoint heartbeats.
  * @module */
 
-export type { Entry, ServingEntry as Serving } from "./entry.ts";
+export type { Entry, ServingEntry } from "./entry.ts";
 export * from "./lease_holder.ts";
 export * as incarnations from "./incarnation.ts";
 export * from "./registry.ts";
--- a/src/endpoints/registry.ts
+++ b/src/endpoints/registry.ts
@@ -49,7 +49,7 @@
       notReadySince: new Map(),
       renewals: new Map(),
       nextRenewal: Infinity,
-      gossipQueue: membership.outbox.create(),
+      gossipQueue: membership.gossipQueue.create(),
       nextGossip: Infinity,
       nextRootHash: 0,
       nextSync: 0,
--- a/src/endpoints/state.ts
+++ b/src/endpoints/state.ts
@@ -111,7 +111,7 @@
    * holder, then by endpoint. */
   readonly renewals: ReadonlyMap<string, ReadonlyMap<string, number>>;
   readonly nextRenewal: number;
-  readonly gossipQueue: membership.outbox.GossipQueue<Update>;
+  readonly gossipQueue: membership.gossipQueue.GossipQueue<Update>;
   readonly nextGossip: number;
   readonly nextRootHash: number;
   readonly nextSync: number;
--- a/src/fleet/control_host.ts
+++ b/src/fleet/control_host.ts
@@ -131,8 +131,8 @@
       ...options,
       calls: this.#network.calls,
       heartbeat: heartbeatInterval,
-      cores: () => this.#peers(),
-      followers: () => this.#syncSessions.live(clock.now()),
+      controlHosts: () => this.#peers(),
+      entryHosts: () => this.#syncSessions.live(clock.now()),
       lastHeartbeatAt: (endpoint) => this.#lastHeartbeatAt(endpoint),
     });
   }
--- a/src/fleet/entry_host.ts
+++ b/src/fleet/entry_host.ts
@@ -95,7 +95,7 @@
         make: (question) => this.#handleMake(question),
         book: (question) => this.#handleBook(question),
         place: (question, from) =>
-          Promise.resolve(this.#placement.answer(question, from)),
+          Promise.resolve(this.#placement.answerQuery(question, from)),
       },
       onNotice: (notice, from) => this.#handleNotice(notice, from),
     });
@@ -115,12 +115,12 @@
     this.#guard = quarantine.Guard.create({
       ...options,
       calls: this.#network.calls,
-      cores: () => this.#syncClient.controlHosts,
+      controlHosts: () => this.#syncClient.controlHosts,
     });
     this.#quotaClient = rateLimits.QuotaClient.create({
       ...options,
       calls: this.#network.calls,
-      cores: () => this.#syncClient.controlHosts,
+      controlHosts: () => this.#syncClient.controlHosts,
       entryHostCount: () => this.#syncClient.hosts.length,
       coldRate: (id) => this.#pool.get(id)?.coldRate(clock.now()),
     });
@@ -247,7 +247,7 @@
       dispatcher: this.#connections,
       dataCentre: this.#options.settings.dataCentre,
       pool: this.#pool,
-      maker: this.#batcherClient,
+      batcherClient: this.#batcherClient,
       placement: this.#placement,
       guard: this.#guard,
       quotas: this.#quotaClient,
--- a/src/gateway/active_request.ts
+++ b/src/gateway/active_request.ts
@@ -265,7 +265,7 @@
       prompt: this.#incoming!.prompt,
       objective: this.#route!.objective,
       deadline: this.#deadline,
-      admission: this.#endpointAdmission!,
+      endpointAdmission: this.#endpointAdmission!,
     });
   }
 
@@ -284,7 +284,7 @@
     if (this.#calls.length > 1) {
       metrics.count("gateway.repeated", 1, { service });
     }
-    const callLoad = callLoads.CallLoad.begin(target, {
+    const callLoad = callLoads.CallLoad.start(target, {
       ...this.#context,
       prompt: this.#incoming!.prompt,
       prefillTokens: placement?.cacheMiss.prefillTokens ?? 0,
@@ -444,8 +444,8 @@
     service: string,
   ): boolean {
     const { head } = outcome;
-    const sends = this.#calls.length;
-    const history = { runs: this.#runs, sends };
+    const calls = this.#calls.length;
+    const history = { runs: this.#runs, calls };
     if (!retries.shouldRetryAnswer(this.#route!, head, history)) return false;
     this.#errorAnswer = outcome;
     return this.#withdrawRetry(service);
@@ -455,7 +455,7 @@
     outcome: Extract<attempts.Outcome, { type: "failed" }>,
     service: string,
   ): boolean {
-    const history = { runs: this.#runs, sends: this.#calls.length };
+    const history = { runs: this.#runs, calls: this.#calls.length };
     const decision = retries.afterFailure(this.#route!, outcome, history);
     if (decision === "retry-free") return true;
     return decision === "retry" && this.#withdrawRetry(service);
--- a/src/gateway/active_request_test.ts
+++ b/src/gateway/active_request_test.ts
@@ -73,7 +73,8 @@
   t: ava.ExecutionContext,
   route: Partial<configurations.Route>,
   endpoint: http.RequestListener,
-  compute: gateway.Context["maker"]["compute"] = () => Promise.resolve([]),
+  compute: gateway.Context["batcherClient"]["compute"] = () =>
+    Promise.resolve([]),
 ) {
   const resolvers: (() => void)[] = [];
   const sent = new Promise<void>((resolve) => resolvers.push(resolve));
@@ -106,7 +107,7 @@
     dispatcher,
     dataCentre: "town",
     pool,
-    maker: {
+    batcherClient: {
       compute: compute,
       reserve: () => Promise.resolve({ wait: 0, work: 0 }),
       selectPartition: () => "all",
--- a/src/gateway/call_load.ts
+++ b/src/gateway/call_load.ts
@@ -54,7 +54,7 @@
   }
 
   /** Starts to count a call that is sent now. */
-  static begin(
+  static start(
     endpoint: endpoints.Endpoint,
     options: CallLoadOptions,
   ): CallLoad {
--- a/src/gateway/context.ts
+++ b/src/gateway/context.ts
@@ -37,7 +37,7 @@
   readonly dispatcher: undici.Dispatcher;
   readonly dataCentre: string;
   readonly pool: endpointPools.EndpointPool;
-  readonly maker: Pick<
+  readonly batcherClient: Pick<
     batching.BatcherClient,
     "selectPartition" | "compute" | "reserve" | "release" | "cancel"
   >;
--- a/src/gateway/pipeline_run.ts
+++ b/src/gateway/pipeline_run.ts
@@ -63,7 +63,7 @@
   isLate?: boolean;
   tookMs?: number;
   /** Item requests with their durations. */
-  rounds?: readonly stageExecutions.RoundRecord[];
+  rounds?: readonly stageExecutions.StageRequestRecord[];
 }
 
 /** The stages of one request. */
@@ -142,11 +142,11 @@
    * the stages. */
   async run(): Promise<PipelineRunResult> {
     if (this.#isAlreadyLate) this.#setLate();
-    let forecast = await this.#execution.book();
+    let forecast = await this.#execution.reserve();
     let refusal = this.#refuseLate(forecast);
     if (refusal !== undefined && this.#options.priorWait > 0 && !this.#isLate) {
       this.#setLate();
-      forecast = await this.#execution.book();
+      forecast = await this.#execution.reserve();
       refusal = this.#refuseLate(forecast);
     }
     if (refusal !== undefined) return refusal;
@@ -229,7 +229,7 @@
     const result = await this.#execution.run();
     const tookMs = Math.round(clock.now() - this.#startedAt);
     this.record.tookMs = tookMs;
-    this.record.rounds = this.#execution.rounds;
+    this.record.rounds = this.#execution.requestRecords;
     metrics.time("gateway.stages", tookMs, { route: route.name });
     if (result.type === "made") return result;
     const { detail } = result;
--- a/src/gateway/pipeline_run_test.ts
+++ b/src/gateway/pipeline_run_test.ts
@@ -34,7 +34,7 @@
   const catalogue = configurations.Catalogue.create(
     fixture.configuration({ routes: [ROUTE], services }),
   );
-  const batcherClient: contexts.Context["maker"] = {
+  const batcherClient: contexts.Context["batcherClient"] = {
     selectPartition: (_, { dataCentre }) => dataCentre,
     reserve({ cell, slack, rank }: schema.BookQuestion) {
       calls.push(`reserve ${cell}`);
@@ -61,7 +61,7 @@
     metrics: telemetry.noMetrics,
     pool: endpointPools.EndpointPool.create(),
     dataCentre: "town",
-    maker: batcherClient,
+    batcherClient,
     fleetView: {
       catalogue: () => catalogue,
       configurationAge: () => 0,
--- a/src/gateway/placement.ts
+++ b/src/gateway/placement.ts
@@ -113,7 +113,7 @@
   }
 
   /** Answers another host's query for an engine of a partition. */
-  answer(question: schema.PlaceQuestion, from: string): schema.Reply {
+  answerQuery(question: schema.PlaceQuestion, from: string): schema.Reply {
     const { service, partition, prompt, tried, sent } = question;
     const { pool, clock } = this.#options;
     const planned = pool.get(question.planned ?? "");
--- a/src/gateway/placement_test.ts
+++ b/src/gateway/placement_test.ts
@@ -60,7 +60,7 @@
           if (lost.includes(to)) return Promise.reject(new Error("silent"));
           const { placement } = members.get(to)!;
           return Promise.resolve(
-            placement.answer(question as schema.PlaceQuestion, self),
+            placement.answerQuery(question as schema.PlaceQuestion, self),
           );
         },
         cast(to, notice) {
--- a/src/gateway/protocol.ts
+++ b/src/gateway/protocol.ts
@@ -118,7 +118,7 @@
   | { type: "failed"; failure: ItemFailure };
 
 /** An encoded call to an endpoint. */
-export interface OutgoingCall {
+export interface EncodedCall {
   readonly method: string;
   readonly path: string;
   readonly headers: Record<string, string>;
@@ -139,10 +139,10 @@
     status: number,
     headers: Readonly<Record<string, string | string[] | undefined>>,
   ): ReplyHead;
-  batchCall(endpoint: string, items: readonly ItemRequest[]): OutgoingCall;
+  batchCall(endpoint: string, items: readonly ItemRequest[]): EncodedCall;
   /** Results in the order of the requested items; undefined if malformed. */
   decodeItemResults(body: Buffer): readonly ItemResult[] | undefined;
-  releaseCall(handles: readonly string[]): OutgoingCall;
+  releaseCall(handles: readonly string[]): EncodedCall;
   /** Address (host and port) of the endpoint that holds a result. */
   holderOf(handle: string): string;
 }
--- a/src/gateway/retry.ts
+++ b/src/gateway/retry.ts
@@ -13,7 +13,7 @@
   /** Calls that may have been executed. */
   readonly runs: number;
   /** All calls. */
-  readonly sends: number;
+  readonly calls: number;
 }
 
 /** Whether a failed call is retried. */
@@ -28,11 +28,11 @@
 export function afterFailure(
   route: configurations.Route,
   failure: Extract<attempts.Outcome, { type: "failed" }>,
-  { runs, sends }: RetryHistory,
+  { runs, calls }: RetryHistory,
 ): RetryDecision {
   const { cause, mayHaveRun } = failure;
   if (cause === "cancelled" || cause === "deadline") return "stop";
-  if (sends >= route.attempts + EXTRA_NOT_RUN_CALLS) return "stop";
+  if (calls >= route.attempts + EXTRA_NOT_RUN_CALLS) return "stop";
   // Nothing was written, so no endpoint has received the call.
   if (cause === "unreachable") return "retry-free";
   if (!mayHaveRun) return "retry";
--- a/src/gateway/retry_test.ts
+++ b/src/gateway/retry_test.ts
@@ -18,7 +18,7 @@
   return { type: "failed" as const, cause, mayHaveRun };
 }
 
-const ONCE = { runs: 1, sends: 1 };
+const ONCE = { runs: 1, calls: 1 };
 
 test("a call that may have run is retried only if it is idempotent", (t) => {
   const broken = failed("broken", true);
@@ -29,19 +29,19 @@
 });
 
 test("no more endpoints execute a request than its route allows", (t) => {
-  const history = { runs: 2, sends: 2 };
+  const history = { runs: 2, calls: 2 };
   t.is(retries.afterFailure(safe, failed("broken", true), history), "stop");
 });
 
 test("a call that certainly did not run is retried for every kind of route", (t) => {
-  const history = { runs: 0, sends: 1 };
+  const history = { runs: 0, calls: 1 };
   t.is(retries.afterFailure(unsafe, failed("full", false), history), "retry");
   const none = failed("unreachable", false);
   t.is(retries.afterFailure(unsafe, none, history), "retry-free");
 });
 
 test("the number of calls is bounded even if none is executed", (t) => {
-  const history = { runs: 0, sends: 4 };
+  const history = { runs: 0, calls: 4 };
   t.is(retries.afterFailure(safe, failed("full", false), history), "stop");
 });
 
--- a/src/gateway/stage_execution.ts
+++ b/src/gateway/stage_execution.ts
@@ -38,11 +38,11 @@
 
 type Dependencies = Pick<
   contexts.Context,
-  "clock" | "maker" | "dataCentre" | "fleetView" | "pool" | "protocol"
+  "clock" | "batcherClient" | "dataCentre" | "fleetView" | "pool" | "protocol"
 >;
 
 /** Items of a stage requested together, and the milliseconds that they took. */
-export interface RoundRecord {
+export interface StageRequestRecord {
   readonly service: string;
   readonly pieces: number;
   readonly ms: number;
@@ -70,7 +70,7 @@
 
 function createRecord(
   service: string,
-  { wait, work, workAge, ahead, rate }: batching.Turn,
+  { wait, work, workAge, ahead, rate }: batching.ReservationEstimate,
 ): StageForecastRecord {
   return {
     service,
@@ -93,7 +93,7 @@
   #dueAt: number;
   #rank: number;
   /** Item requests so far, for the log. */
-  readonly rounds: RoundRecord[] = [];
+  readonly requestRecords: StageRequestRecord[] = [];
   readonly #stages: readonly Omit<batching.forecast.StageForecast, "wait">[];
   /** Milliseconds of work that follows on each stage. */
   #remainingTimes: readonly number[];
@@ -145,13 +145,13 @@
 
   /** Reserves the items of all stages; resolves with their forecast
    * completion. */
-  async book(): Promise<PipelineForecast> {
+  async reserve(): Promise<PipelineForecast> {
     const { route, request } = this.#options;
     const { itemCounts } = this.#plan;
     const estimates = await Promise.all(
       route.stages.map(({ service }, stage) => {
         if (itemCounts[stage] === 0) return undefined;
-        return this.#dependencies.maker.reserve({
+        return this.#dependencies.batcherClient.reserve({
           type: "book",
           ...this.#partitionOf(service),
           request: request.id,
@@ -225,7 +225,7 @@
       .filter((_, stage) => this.#plan.itemCounts[stage] > 0)
       .map(({ service }) => service);
     for (const service of new Set(services)) {
-      this.#dependencies.maker.cancel(this.#partitionOf(service), id);
+      this.#dependencies.batcherClient.cancel(this.#partitionOf(service), id);
     }
   }
 
@@ -236,14 +236,17 @@
 
   #releaseResults(results: readonly batching.HeldResults[]): void {
     for (const { service, handles } of results) {
-      this.#dependencies.maker.release(this.#partitionOf(service), handles);
+      this.#dependencies.batcherClient.release(
+        this.#partitionOf(service),
+        handles,
+      );
     }
   }
 
   #selectPartition(service: string): string {
     const { id: request } = this.#options.request;
     const dataCentre = this.#destination;
-    return this.#dependencies.maker.selectPartition(service, {
+    return this.#dependencies.batcherClient.selectPartition(service, {
       request,
       dataCentre,
     });
@@ -259,11 +262,17 @@
     stageRequest: batching.StageRequest,
   ): Promise<string | undefined> {
     const { stage, service } = stageRequest;
-    const { clock, maker } = this.#dependencies;
+    const { clock, batcherClient } = this.#dependencies;
     const startedAt = clock.now();
-    const results = await maker.compute(this.#createQuestion(stageRequest));
+    const results = await batcherClient.compute(
+      this.#createQuestion(stageRequest),
+    );
     const ms = Math.round(clock.now() - startedAt);
-    this.rounds.push({ service, pieces: stageRequest.items.length, ms });
+    this.requestRecords.push({
+      service,
+      pieces: stageRequest.items.length,
+      ms,
+    });
     const succeeded = results.filter(({ handle }) => handle !== undefined);
     this.#plan = this.#plan.addResults(stage, succeeded);
     if (this.#isClosed) this.release();
--- a/src/gateway/target_choice.ts
+++ b/src/gateway/target_choice.ts
@@ -34,7 +34,7 @@
   readonly objective: number;
   /** Time at which the request ends at the latest. */
   readonly deadline: number;
-  readonly admission: admissions.EndpointAdmission;
+  readonly endpointAdmission: admissions.EndpointAdmission;
 }
 
 /** Progress of the request so far. */
@@ -74,7 +74,7 @@
 
   /** Resolves with an endpoint that admits the request now. */
   async choose(progress: RequestProgress): Promise<TargetChoiceResult> {
-    const { admission, deadline } = this.#options;
+    const { endpointAdmission: admission, deadline } = this.#options;
     const avoided: string[] = [];
     for (;;) {
       const target = await this.#pick(progress, avoided);
--- a/src/membership/mod.ts
+++ b/src/membership/mod.ts
@@ -4,10 +4,10 @@
  * @module */
 
 export * from "./digest_map.ts";
-export * as exchange from "./anti_entropy.ts";
+export * as antiEntropy from "./anti_entropy.ts";
 export * as hash from "./hash.ts";
 export { isLive, type Member, type Members } from "./member.ts";
 export * from "./membership.ts";
-export * as outbox from "./gossip_queue.ts";
+export * as gossipQueue from "./gossip_queue.ts";
 export * as rings from "./rings.ts";
 export type { Change, Effect, Event, Options } from "./state.ts";
--- a/src/node/directory.ts
+++ b/src/node/directory.ts
@@ -55,7 +55,7 @@
   }
 
   /** Serving endpoints, including draining ones. */
-  get serving(): endpoints.Serving[] {
+  get serving(): endpoints.ServingEntry[] {
     return this.#registry.serving;
   }
 
--- a/src/node/engine_orders.ts
+++ b/src/node/engine_orders.ts
@@ -57,7 +57,7 @@
   }
 
   /** Updates the engines; draining engines receive no further orders. */
-  setEngines(serving: readonly endpoints.Serving[]): void {
+  setEngines(serving: readonly endpoints.ServingEntry[]): void {
     const engines = serving.filter(({ phase, endpoint }) =>
       phase === "ready" && endpoint.kind === "engine"
     );
@@ -77,7 +77,8 @@
 }
 
 function engineOf(
-  { id, generation, endpoint: { service, url, fencing } }: endpoints.Serving,
+  { id, generation, endpoint: { service, url, fencing } }:
+    endpoints.ServingEntry,
 ): orders.Engine {
   return { id, generation, service, url, fencing };
 }
--- a/src/node/serving.ts
+++ b/src/node/serving.ts
@@ -14,7 +14,7 @@
 /** Endpoints that can receive calls, and draining ones that finish theirs. */
 export function reachable(
   { services }: settings.Settings,
-  serving: readonly endpoints.Serving[],
+  serving: readonly endpoints.ServingEntry[],
 ): readonly request.ReachableEndpoint[] {
   const byName = new Map(services.map((service) => [service.name, service]));
   const announced = serving.map((entry) => {
@@ -27,7 +27,7 @@
 /** The same endpoints as shown to operators. */
 export function views(
   of: settings.Settings,
-  serving: readonly endpoints.Serving[],
+  serving: readonly endpoints.ServingEntry[],
 ): readonly operators.EndpointView[] {
   const announced = new Set(serving.map(({ id }) => id));
   return reachable(of, serving).map(({ role: _, generation: __, ...rest }) => ({
@@ -54,7 +54,7 @@
 }
 
 function fromEntry(
-  { id, generation, phase, endpoint }: endpoints.Serving,
+  { id, generation, phase, endpoint }: endpoints.ServingEntry,
   defaultSlots: number,
 ): request.ReachableEndpoint {
   const { service, kind, url, dataCentre, slots, role } = endpoint;
--- a/src/policies/routing_policy.ts
+++ b/src/policies/routing_policy.ts
@@ -203,7 +203,7 @@
     return { routing: this.#router.dump(now) };
   }
 
-  ended(report: policySet.Report, now: number): void {
+  ended(report: policySet.AttemptReport, now: number): void {
     const { attempt, work, elapsed } = report;
     const { group, hedgePolicy } = this.#serviceOf(work, now);
     const mean = this.#options.controls.predict(work).mean;
@@ -250,9 +250,9 @@
 
 /** Evidence about an endpoint from the end of a call, by result. */
 const evidence: Record<
-  policySet.Report["result"],
+  policySet.AttemptReport["result"],
   (
-    report: policySet.Report,
+    report: policySet.AttemptReport,
     slowness: number,
   ) => routing.endpointGroup.CallResult
 > = {
--- a/src/quarantine/coordinator.ts
+++ b/src/quarantine/coordinator.ts
@@ -35,9 +35,9 @@
   /** Heartbeat interval of endpoints, in milliseconds. */
   readonly heartbeat: number;
   /** The other control hosts that are alive. */
-  cores(): readonly string[];
+  controlHosts(): readonly string[];
   /** Entry hosts that receive their state from this host. */
-  followers(): readonly string[];
+  entryHosts(): readonly string[];
   /** Time of the last heartbeat of an incarnation of an endpoint; undefined if
    * it is not known. */
   lastHeartbeatAt(endpoint: string): number | undefined;
@@ -145,7 +145,7 @@
   /** Refutes crashes of endpoints that are alive, removes expired records and
    * leases, and repeats recent changes. */
   tick(): void {
-    const { clock, cores } = this.#options;
+    const { clock, controlHosts: cores } = this.#options;
     const now = clock.now();
     this.#broadcast(
       this.#table.all.map((suspect) =>
@@ -194,7 +194,7 @@
 
   /** Broadcasts the records that have changed. */
   #broadcast(records: readonly (suspects.Suspect | undefined)[]): void {
-    const { clock, cores, followers } = this.#options;
+    const { clock, controlHosts: cores, entryHosts: followers } = this.#options;
     const changed = records.filter((record) => record !== undefined);
     if (changed.length === 0) return;
     const at = clock.now();
--- a/src/quarantine/coordinator_test.ts
+++ b/src/quarantine/coordinator_test.ts
@@ -16,8 +16,8 @@
     logger: telemetry.noLogger,
     metrics: telemetry.noMetrics,
     heartbeat: 1000,
-    cores: () => ["control"],
-    followers: () => ["entry"],
+    controlHosts: () => ["control"],
+    entryHosts: () => ["entry"],
     lastHeartbeatAt: (endpoint) => heartbeats.get(endpoint),
     calls: {
       cast(to, notice) {
--- a/src/quarantine/guard.ts
+++ b/src/quarantine/guard.ts
@@ -59,7 +59,7 @@
   readonly metrics: telemetry.Metrics;
   readonly calls: Pick<peers.Rpc, "ask" | "cast">;
   /** Control hosts, the one that responded last before the others. */
-  cores(): readonly string[];
+  controlHosts(): readonly string[];
 }
 
 /** Admits requests to endpoints and reports crashes. */
@@ -109,7 +109,7 @@
     if (this.#leases.has(fingerprint)) {
       return refused(suspect, NO_RESPONSE_RETRY_MS);
     }
-    const { cores, logger } = this.#options;
+    const { controlHosts: cores, logger } = this.#options;
     const owners = rendezvous.rank(LEASE_OWNER_KEY, cores()).slice(
       0,
       MAX_HOSTS_TRIED,
@@ -213,7 +213,10 @@
     const fingerprints = [...this.#unreported];
     this.#unreported = new Set();
     const records = fingerprints.map((each) => this.#table.get(each));
-    const isAcknowledged = await this.#reportTo(this.#options.cores(), records);
+    const isAcknowledged = await this.#reportTo(
+      this.#options.controlHosts(),
+      records,
+    );
     // After a partition, the crashes that were recorded meanwhile still have to
     // be reported.
     if (!isAcknowledged) this.#scheduleReport(fingerprints, REPORT_RETRY_MS);
--- a/src/quarantine/guard_test.ts
+++ b/src/quarantine/guard_test.ts
@@ -16,7 +16,7 @@
     clock,
     logger: telemetry.noLogger,
     metrics: telemetry.noMetrics,
-    cores: () => ["a", "b"],
+    controlHosts: () => ["a", "b"],
     calls: {
       cast: (_, notice) => void notices.push(notice),
       ask(to, question): Promise<schema.Reply> {
--- a/src/rate_limits/quota_client.ts
+++ b/src/rate_limits/quota_client.ts
@@ -38,7 +38,7 @@
   readonly metrics: telemetry.Metrics;
   readonly calls: Pick<peers.Rpc, "ask" | "cast">;
   /** Control hosts. */
-  cores(): readonly string[];
+  controlHosts(): readonly string[];
   /** Number of entry hosts. */
   entryHostCount(): number;
   /** Requests per second of all hosts together that an endpoint can handle
@@ -279,7 +279,7 @@
   }
 
   #ownersOf(endpoint: string): string[] {
-    return rendezvous.rank(endpoint, this.#options.cores()).slice(
+    return rendezvous.rank(endpoint, this.#options.controlHosts()).slice(
       0,
       MAX_HOSTS_TRIED,
     );
--- a/src/request/catalogue.ts
+++ b/src/request/catalogue.ts
@@ -24,7 +24,7 @@
 
 /** Default and upper bound of the deadline of calls to plain services, in
  * milliseconds. */
-export const SERVICE_DEADLINE = 30_000;
+export const SERVICE_DEADLINE_MS = 30_000;
 const DEFAULT_TOP = 8;
 const DEFAULT_MAX_TOKENS = 256;
 
@@ -85,7 +85,7 @@
 function compilePlain(service: settings.Service): Target {
   const { name, idempotent = true } = service;
   const steps = [stepOf({ name: "call", service: name }, service)];
-  return { name, deadline: SERVICE_DEADLINE, steps, idempotent };
+  return { name, deadline: SERVICE_DEADLINE_MS, steps, idempotent };
 }
 
 function stepOf(stage: settings.Stage, service: settings.Service): Step {
--- a/src/request/dispatcher.ts
+++ b/src/request/dispatcher.ts
@@ -68,7 +68,7 @@
       policySet,
       pools: this.#pools,
       calls: this.#calls,
-      schedule: this.#timers,
+      timers: this.#timers,
     });
   }
 
@@ -290,7 +290,7 @@
 
   #finish(
     state: requestState.RequestState,
-    ending: policySet.Ending,
+    ending: policySet.FinalState,
     now: number,
   ): void {
     this.#requests.remove(state);
--- a/src/request/fake_path.ts
+++ b/src/request/fake_path.ts
@@ -165,7 +165,7 @@
 }
 
 /** A started request path with its endpoints. */
-export interface Started {
+export interface RunningPath {
   url: string;
   path: path.RequestPath;
   tally: telemetry.Tally;
@@ -186,7 +186,7 @@
 export async function start(
   serves: Record<string, Serve>,
   options: Partial<pathOptions.PathOptions> = {},
-): Promise<Started> {
+): Promise<RunningPath> {
   const tally = new telemetry.Tally();
   const tokenHash = crypto.createHash("sha256").update(TOKEN).digest("hex");
   const account = { name: "kivu-crew", tokenHash };
@@ -233,7 +233,7 @@
 }
 
 /** A complete answer. */
-export interface Posted {
+export interface Answer {
   status: number;
   headers: Record<string, unknown>;
   text: string;
@@ -249,7 +249,7 @@
     headers?: Record<string, string>;
     method?: "POST" | "PUT" | "DELETE";
   } = {},
-): Promise<Posted> {
+): Promise<Answer> {
   const sent = typeof body === "string" ? body : JSON.stringify(body);
   const answer = await undici.request(url, {
     method: options.method ?? "POST",
--- a/src/request/intake.ts
+++ b/src/request/intake.ts
@@ -45,7 +45,7 @@
   clock: runtime.Clock;
   random: runtime.Random;
   accounting: accounting.Accounting;
-  execution: executor.Executor;
+  executor: executor.Executor;
   claims: pathOptions.Claims | undefined;
 }
 
@@ -104,7 +104,7 @@
       data: stageData.StageData.create(incoming.payload),
       reply: incoming.reply,
     };
-    const { execution, claims } = this.#options;
+    const { executor: execution, claims } = this.#options;
     // No claim is needed without a key, nor for an idempotent request on a host
     // without a claim store.
     if (
@@ -154,7 +154,7 @@
     job: executor.Job,
     answer: ReplayableReply,
   ): void {
-    const { clock, execution } = this.#options;
+    const { clock, executor: execution } = this.#options;
     const claim: pathOptions.Claim = {
       account: job.request.account,
       key: job.request.key!,
--- a/src/request/notifier.ts
+++ b/src/request/notifier.ts
@@ -8,7 +8,7 @@
 
 /** How an attempt ended, apart from the data of its call. */
 export interface CallEnd {
-  result: policySet.Report["result"];
+  result: policySet.AttemptReport["result"];
   usage?: request.Usage;
   failure?: request.Failure;
   now: number;
@@ -61,7 +61,7 @@
 
   finished(
     ended: request.Request,
-    ending: policySet.Ending,
+    ending: policySet.FinalState,
     now: number,
   ): void {
     for (const observer of this.#observers) {
--- a/src/request/path.ts
+++ b/src/request/path.ts
@@ -59,7 +59,7 @@
       clock,
       random,
       accounting: this.#accounting,
-      execution: this.#executor,
+      executor: this.#executor,
       claims,
     });
     this.#server = callers.Server.create({
@@ -118,7 +118,10 @@
     this.drain();
     const { clock, settings } = this.#options;
     const deadlines = settings.pipelines.map(({ deadline }) => deadline);
-    const longestDeadline = Math.max(catalogue.SERVICE_DEADLINE, ...deadlines);
+    const longestDeadline = Math.max(
+      catalogue.SERVICE_DEADLINE_MS,
+      ...deadlines,
+    );
     let cancelTimeout = () => {};
     const timeout = new Promise<void>((resolve) => {
       cancelTimeout = clock.after(longestDeadline + STOP_GRACE_MS, resolve);
--- a/src/request/path_refusals_test.ts
+++ b/src/request/path_refusals_test.ts
@@ -7,7 +7,7 @@
   const started = await fakePath.start(fakePath.allEndpoints);
   const pipeline = `${started.url}/v1/pipelines/plan`;
   const good = { input: { text: "a" } };
-  const cases: [string, number, Promise<fakePath.Posted>][] = [
+  const cases: [string, number, Promise<fakePath.Answer>][] = [
     ["bad-request", 400, fakePath.post(pipeline, "{")],
     ["bad-request", 400, fakePath.post(pipeline, { input: { txt: "a" } })],
     ["body-too-large", 413, fakePath.post(pipeline, "x".repeat(3000))],
@@ -112,7 +112,7 @@
     random: runtime.createRandom(1),
   });
   const book: fakePath.Serve = (_incoming, response) => response.end("booked");
-  const cases: [number, string, fakePath.Started][] = [
+  const cases: [number, string, fakePath.RunningPath][] = [
     [503, "no-endpoint", await fakePath.start({})],
     [503, "overloaded", await fakePath.start({ billing: book }, full)],
     [503, "stopping", await fakePath.start({ billing: book })],
--- a/src/request/policy_set.ts
+++ b/src/request/policy_set.ts
@@ -42,7 +42,7 @@
 }
 
 /** Result of one attempt. */
-export interface Report {
+export interface AttemptReport {
   readonly attempt: request.Attempt;
   readonly work: Work;
   readonly result: "answered" | "failed" | "cancelled";
@@ -63,17 +63,17 @@
   /** A request was admitted. */
   admitted?(request: request.Request, now: number): void;
   /** A request has its final answer. */
-  finished?(request: request.Request, outcome: Ending, now: number): void;
+  finished?(request: request.Request, outcome: FinalState, now: number): void;
   started?(attempt: request.Attempt, work: Work, now: number): void;
   /** An attempt received its first or further tokens. */
   progressed?(attempt: request.Attempt, received: number, now: number): void;
-  ended?(report: Report, now: number): void;
+  ended?(report: AttemptReport, now: number): void;
   /** Plain JSON for the state dump. */
   dump?(now: number): unknown;
 }
 
 /** Final state of a request. */
-export type Ending = "completed" | "refused";
+export type FinalState = "completed" | "refused";
 
 /** Queue of the work for one service. */
 export interface Queue {
--- a/src/request/running_calls.ts
+++ b/src/request/running_calls.ts
@@ -13,7 +13,7 @@
   policySet: policySet.PolicySet;
   pools: fleet.Pools;
   calls: calls.Calls;
-  schedule: requestTimers.RequestTimers;
+  timers: requestTimers.RequestTimers;
 }
 
 /** Time until the next check of a call that could not be replaced now. */
@@ -43,7 +43,7 @@
     pool: fleet.Pool,
     { chosen, now }: { chosen: policySet.Member; now: number },
   ): void {
-    const { calls, schedule, policySet: { hedge } } = this.#options;
+    const { calls, timers: schedule, policySet: { hedge } } = this.#options;
     const member = pool.resolve(chosen);
     const attempt = calls.start(state, { pool, member, hedge: false }, now);
     if (!state.request.idempotent) return;
@@ -131,6 +131,6 @@
 
   #setCheckTimer(state: requestState.RequestState, at: number): void {
     if (this.#options.policySet.hedge.hangsAt === undefined) return;
-    this.#options.schedule.set(at, "look", state);
+    this.#options.timers.set(at, "look", state);
   }
 }
--- a/src/shares/claim.ts
+++ b/src/shares/claim.ts
@@ -16,7 +16,7 @@
 export type Claims = ReadonlyMap<string, schema.Claim>;
 
 /** Inputs to the claims of a host. */
-export interface Basis {
+export interface ClaimInputs {
   hosts: number;
   demands: readonly holders.Demand[];
   /** Claims in the last answered report, which the allocator knows. */
@@ -28,7 +28,7 @@
 /** Creates the claims on the limits whose base may not suffice. */
 export function create(
   all: readonly limits.Limit[],
-  { hosts, demands, reported: said, held: heldOf }: Basis,
+  { hosts, demands, reported: said, held: heldOf }: ClaimInputs,
 ): Claims {
   const byKey = new Map(demands.map((item) => [limits.keyOf(item), item]));
   const claims = new Map<string, schema.Claim>();
--- a/src/shares/meter.ts
+++ b/src/shares/meter.ts
@@ -59,7 +59,7 @@
 
   finished(
     request: request.Request,
-    _ending: request.Ending,
+    _ending: request.FinalState,
     now: number,
   ): void {
     const stay = now - request.arrived;
--- a/src/storage/file_storage.ts
+++ b/src/storage/file_storage.ts
@@ -5,7 +5,7 @@
 import * as fs from "node:fs/promises";
 import * as path from "node:path";
 import type * as runtime from "../runtime/mod.ts";
-import * as errors from "./error.ts";
+import * as errors from "./errors.ts";
 import * as lock from "./lock.ts";
 
 const TEMPORARY_SUFFIX = ".tmp";
--- a/src/storage/lock.ts
+++ b/src/storage/lock.ts
@@ -13,7 +13,7 @@
 import * as fs from "node:fs/promises";
 import * as path from "node:path";
 import * as timers from "node:timers/promises";
-import * as errors from "./error.ts";
+import * as errors from "./errors.ts";
 
 const LOCK_FILE = "lock";
 const MAX_ATTEMPTS = 20;
--- a/src/storage/memory_storage.ts
+++ b/src/storage/memory_storage.ts
@@ -3,7 +3,7 @@
  * @module */
 
 import type * as runtime from "../runtime/mod.ts";
-import * as errors from "./error.ts";
+import * as errors from "./errors.ts";
 
 type Files = Map<string, Uint8Array>;
 
--- a/src/storage/mod.ts
+++ b/src/storage/mod.ts
@@ -2,6 +2,6 @@
  * unsynced writes on a simulated crash.
  * @module */
 
-export * from "./error.ts";
+export * from "./errors.ts";
 export * from "./file_storage.ts";
 export * from "./memory_storage.ts";
