--- a/src/fleet/control_host.ts
+++ b/src/fleet/control_host.ts
@@ -441,7 +441,7 @@
     const { logger } = this.#options;
     if (state === "ready") {
       void this.#replicator.broadcast(id);
-      logger.info({ endpoint: id, state }, "Endpoint ready");
+      logger.info({ endpoint: id, state }, "Endpoint changed");
       return OK;
     }
     const { host } = this.#options.settings;
--- a/src/fleet/control_server.ts
+++ b/src/fleet/control_server.ts
@@ -70,7 +70,9 @@
     metrics.time("control.duration", clock.now() - started, {
       status: `${status}`,
     });
-    if (status >= 400) logger.info({ target, status, body }, "Request refused");
+    if (status >= 400) {
+      logger.info({ target, status, body }, "Control request refused");
+    }
     response.writeHead(status, {
       "content-type": "application/json",
       "content-length": Buffer.byteLength(body),
